--- a/router/src/main/java/org/hornbeampass/router/daemon/QuarantineLog.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/QuarantineLog.java
@@ -1,7 +1,7 @@
 package org.hornbeampass.router.daemon;
 
+import org.hornbeampass.coordination.quarantine.QuarantineListener;
 import org.hornbeampass.coordination.quarantine.RequestDigest;
-import org.hornbeampass.coordination.quarantine.SuspectListener;
 import org.hornbeampass.coordination.service.UpstreamIncarnation;
 import org.hornbeampass.router.relay.LogFields;
 import org.hornbeampass.router.relay.RelayLog;
@@ -14,7 +14,7 @@
  *
  * <p>Confined to one event loop.
  */
-final class QuarantineLog implements SuspectListener {
+final class QuarantineLog implements QuarantineListener {
     private final RelayLog mLog;
 
     QuarantineLog(RelayLog log) {
@@ -27,7 +27,7 @@
                 crashes.stream()
                         .map(UpstreamIncarnation::upstream)
                         .collect(Collectors.joining(" "));
-        mLog.believes(
+        mLog.logStateChange(
                 nowMs,
                 "request-quarantined",
                 new LogFields()
@@ -38,12 +38,13 @@
 
     @Override
     public void onReleased(long nowMs, RequestDigest digest) {
-        mLog.believes(nowMs, "request-released", new LogFields().add("digest", digest.toString()));
+        mLog.logStateChange(
+                nowMs, "request-released", new LogFields().add("digest", digest.toString()));
     }
 
     @Override
     public void onRecordFailed(long nowMs, String key, String reason) {
-        mLog.believes(
+        mLog.logStateChange(
                 nowMs,
                 "quarantine-record-failed",
                 new LogFields().add("key", key).add("reason", reason));
--- a/router/src/main/java/org/hornbeampass/router/daemon/RelayDaemon.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/RelayDaemon.java
@@ -9,8 +9,8 @@
 import org.hornbeampass.coordination.escrow.EscrowBook;
 import org.hornbeampass.coordination.escrow.EscrowLoans;
 import org.hornbeampass.coordination.escrow.EscrowOwner;
-import org.hornbeampass.coordination.escrow.LoanGift;
 import org.hornbeampass.coordination.escrow.LoanRequest;
+import org.hornbeampass.coordination.escrow.TokenTransfer;
 import org.hornbeampass.coordination.membership.Gossip;
 import org.hornbeampass.coordination.membership.IndirectPing;
 import org.hornbeampass.coordination.membership.Ping;
@@ -28,10 +28,10 @@
 import org.hornbeampass.coordination.service.SignalExchange;
 import org.hornbeampass.coordination.service.SignalReport;
 import org.hornbeampass.coordination.service.SignalTable;
-import org.hornbeampass.coordination.service.UpstreamBoard;
+import org.hornbeampass.coordination.service.UpstreamRegistry;
+import org.hornbeampass.router.relay.RelayContext;
 import org.hornbeampass.router.relay.RelayHandler;
 import org.hornbeampass.router.relay.RelayLog;
-import org.hornbeampass.router.relay.RelayParts;
 import org.hornbeampass.router.relay.WireFormat;
 import org.hornbeampass.state.VmId;
 import org.hornbeampass.state.service.CallerLimits;
@@ -81,7 +81,7 @@
 
     private final SignalTable mSignalTable = new SignalTable();
     private final RateLimiter mLimiter;
-    private final UpstreamBoard mBoard;
+    private final UpstreamRegistry mUpstreamRegistry;
     private final ObservedStore mStore;
     private final FleetView mFleet;
     private final PeerTransport mPeers;
@@ -93,7 +93,7 @@
     private final SignalExchange mSignals;
     private final UpstreamPool mPool;
     private final Quarantine mQuarantine;
-    private final RelayParts mParts;
+    private final RelayContext mParts;
     private final StoreChanges mChanges;
     private final CallerServer mCallers;
     private final CallerServer mDirectory;
@@ -119,14 +119,18 @@
                         name -> fleet().flatMap(f -> f.peerAddress(name)));
         mFleet = new FleetView(settings, vm, mPeers, mStore, new Random(mRandom.nextLong()));
         mLimiter = new RateLimiter(mSignalTable, this::signals, mPeers, mFleet);
-        mBoard = new UpstreamBoard(mRandom, this::vms, mSignalTable, mLimiter);
+        mUpstreamRegistry = new UpstreamRegistry(mRandom, this::vms, mSignalTable, mLimiter);
         mViews = views();
         mBudgets = budgets(ip);
         mBudgetMetrics = new BudgetMetrics(mMetrics, mBudgets);
-        mLoads = new LoadExchange(mBoard, mPeers, mFleet::paths);
+        mLoads = new LoadExchange(mUpstreamRegistry, mPeers, mFleet::paths);
         mSignals =
                 new SignalExchange(
-                        mBoard, mSignalTable, mPeers, mFleet::paths, new SignalLog(mLog));
+                        mUpstreamRegistry,
+                        mSignalTable,
+                        mPeers,
+                        mFleet::paths,
+                        new SignalLog(mLog));
         mLoans = new EscrowLoans(mBudgets, mPeers, mFleet.homes(), mRandom);
         mPool = new UpstreamPool(mLoops, mClock);
         mQuarantine = quarantine();
@@ -157,13 +161,13 @@
         return new RelayDaemon(settings, wire, platforms);
     }
 
-    private RelayParts parts() {
-        return new RelayParts(
+    private RelayContext parts() {
+        return new RelayContext(
                 mWire,
                 mSettings.relay(),
                 loop(),
                 mClock,
-                mBoard,
+                mUpstreamRegistry,
                 mPool,
                 new RequestHasher(mSettings.cluster().revealBytes()),
                 mQuarantine,
@@ -247,7 +251,7 @@
         mPeers.on(SyncRequest.class, membership::onSyncRequest);
         mPeers.on(NewsRequest.class, mViews.news()::onRequest);
         mPeers.on(LoanRequest.class, mLoans::onRequest);
-        mPeers.on(LoanGift.class, mLoans::onGift);
+        mPeers.on(TokenTransfer.class, mLoans::onTransfer);
         mPeers.on(InFlightReport.class, mLoads::onReport);
         mPeers.on(SignalReport.class, mSignals::onReport);
         mPeers.on(PermitRequest.class, mLimiter::onRequest);
@@ -263,7 +267,8 @@
         mMetrics.register("peer_bytes_received", (Gauge<Long>) mPeers.counters()::bytesReceived);
         mMetrics.register("suspected_requests", (Gauge<Integer>) mQuarantine.suspects()::size);
         mMetrics.register(
-                "rate_limited_upstreams", (Gauge<Integer>) () -> mBoard.rateLimited().size());
+                "rate_limited_upstreams",
+                (Gauge<Integer>) () -> mUpstreamRegistry.rateLimited().size());
         PermitCounts permits = mLimiter.counts();
         mMetrics.register("permits_granted", (Gauge<Long>) permits::granted);
         mMetrics.register("permits_denied", (Gauge<Long>) permits::denied);
@@ -342,7 +347,7 @@
         mSignals.tick(nowMs);
         mLimiter.tick(nowMs);
         mQuarantine.tick(nowMs);
-        mBoard.tick(nowMs);
+        mUpstreamRegistry.tick(nowMs);
         mPool.tick(nowMs);
         mCallers.tick(nowMs);
         mShutdown.tick(nowMs);
--- a/router/src/main/java/org/hornbeampass/router/relay/CrashDetector.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/CrashDetector.java
@@ -42,7 +42,7 @@
      * @param digest the request
      */
     void onBroken(UpstreamInstance instance, RequestDigest digest) {
-        if (instance.leaving()) {
+        if (instance.isLeaving()) {
             return;
         }
         UpstreamIncarnation crash = instance.incarnation();
@@ -70,14 +70,14 @@
      * progress there.
      */
     void onStartedAgain(long nowMs, UpstreamInstance instance, RequestDigest digest) {
-        if (!instance.leaving()) {
+        if (!instance.isLeaving()) {
             report(nowMs, instance.incarnation(), Set.of(digest));
         }
     }
 
     private void report(long nowMs, UpstreamIncarnation crash, Set<RequestDigest> requests) {
         mQuarantine.onCrash(nowMs, crash, requests);
-        mLog.believes(
+        mLog.logStateChange(
                 nowMs,
                 "upstream-crashed",
                 new LogFields()
--- a/router/src/main/java/org/hornbeampass/router/relay/RelayAttempts.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/RelayAttempts.java
@@ -5,7 +5,7 @@
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpVersion;
 
-import org.hornbeampass.coordination.quarantine.RequestStanding;
+import org.hornbeampass.coordination.quarantine.QuarantineStatus;
 import org.hornbeampass.coordination.service.UpstreamInstance;
 import org.hornbeampass.state.ErrorKind;
 import org.hornbeampass.state.Failure;
@@ -24,7 +24,7 @@
  * event loop.
  */
 final class RelayAttempts implements UpstreamListener, UpstreamSearch.Listener {
-    private final RelayParts mParts;
+    private final RelayContext mParts;
     private final RelayCall mCall;
     private final RelayPlan mPlan;
     private final RequestBody mBody;
@@ -40,7 +40,7 @@
     private long mFirstByteMs = -1;
 
     RelayAttempts(
-            RelayParts parts,
+            RelayContext parts,
             RelayCall call,
             RelayPlan plan,
             RequestBody body,
@@ -109,18 +109,18 @@
     public boolean onHead(long nowMs, HttpResponse head) {
         AnswerHead said = mParts.wire().readAnswer(head, mPlan.head().id());
         mParts.answerSignals().onAnswer(nowMs, mSentMs, mUse.orElseThrow().instance(), said);
-        AnswerClass answer = said.kind();
-        if (answer == AnswerClass.UNRELATED) {
+        AnswerOutcome answer = said.outcome();
+        if (answer == AnswerOutcome.UNRELATED) {
             decided(nowMs, "unrelated-answer", mUse.get().fields());
             return false;
         }
         mSilence.stop();
-        if (answer == AnswerClass.NOT_RUN || answer == AnswerClass.ANOTHER_UPSTREAM) {
+        if (answer == AnswerOutcome.NOT_RUN || answer == AnswerOutcome.WRONG_UPSTREAM) {
             onNotRun(nowMs, answer);
             return true;
         }
-        if (answer == AnswerClass.SPOILED) {
-            mUse.get().instance().onBad(nowMs);
+        if (answer == AnswerOutcome.UNVERIFIED) {
+            mUse.get().instance().onErrorAnswer(nowMs);
             dropConnectionOnly();
             onLost(nowMs, "its answer lacks what proves it", mCrashes.standing());
             return true;
@@ -129,15 +129,15 @@
         return true;
     }
 
-    private void onNotRun(long nowMs, AnswerClass answer) {
+    private void onNotRun(long nowMs, AnswerOutcome answer) {
         UpstreamInstance instance = mUse.orElseThrow().instance();
         mCounts.onNotRun(answer);
-        if (answer == AnswerClass.ANOTHER_UPSTREAM) {
-            mParts.board().onMismatch(nowMs, instance);
+        if (answer == AnswerOutcome.WRONG_UPSTREAM) {
+            mParts.upstreamRegistry().onIdentityMismatch(nowMs, instance);
         } else {
-            instance.onFull(nowMs, RelayBounds.FULL_PAUSE_MS);
+            instance.onOverloaded(nowMs, RelayBounds.FULL_PAUSE_MS);
         }
-        String decision = answer == AnswerClass.NOT_RUN ? "upstream-full" : "upstream-replaced";
+        String decision = answer == AnswerOutcome.NOT_RUN ? "upstream-full" : "upstream-replaced";
         decided(nowMs, decision, mUse.get().fields());
         dropConnection();
         if (mCounts.mayGoOn() && mBody.complete()) {
@@ -147,11 +147,11 @@
         }
     }
 
-    private void onRun(long nowMs, HttpResponse head, AnswerClass answer) {
+    private void onRun(long nowMs, HttpResponse head, AnswerOutcome answer) {
         UpstreamInstance instance = mUse.orElseThrow().instance();
         mCrashes.onHead(head);
-        if (answer == AnswerClass.FAILED) {
-            instance.onBad(nowMs);
+        if (answer == AnswerOutcome.FAILED) {
+            instance.onErrorAnswer(nowMs);
             if (mayRunAgain() && !mAnswer.begun()) {
                 LogFields fields = mUse.get().fields().add("status", head.status().code());
                 decided(nowMs, "upstream-failed", fields);
@@ -166,7 +166,7 @@
             mFirstByteMs = nowMs;
         }
         if (mAnswer.begun()) {
-            if (answer != AnswerClass.GOOD) {
+            if (answer != AnswerOutcome.SUCCEEDED) {
                 dropConnection();
                 breakOff(nowMs, "the stream could not go on at another upstream");
                 return;
@@ -177,7 +177,7 @@
         HttpResponse copy =
                 new DefaultHttpResponse(
                         HttpVersion.HTTP_1_1, head.status(), EndToEndHeaders.of(head.headers()));
-        boolean streams = mPlan.route().kind().streams() && answer == AnswerClass.GOOD;
+        boolean streams = mPlan.route().kind().streams() && answer == AnswerOutcome.SUCCEEDED;
         if (streams) {
             mAnswer.startStream(copy);
             mSilence.awaitEvent();
@@ -253,8 +253,8 @@
         }
         mConnection = Optional.empty();
         UpstreamInstance instance = mUse.orElseThrow().instance();
-        instance.onSilent(nowMs);
-        RequestStanding before = mCrashes.onBroken(instance);
+        instance.onNoAnswer(nowMs);
+        QuarantineStatus before = mCrashes.onBroken(instance);
         onLost(nowMs, reason, before);
     }
 
@@ -264,7 +264,7 @@
             return;
         }
         dropConnectionOnly();
-        RequestStanding before = mCrashes.onStartedAgain(nowMs, mUse.orElseThrow().instance());
+        QuarantineStatus before = mCrashes.onStartedAgain(nowMs, mUse.orElseThrow().instance());
         onLost(nowMs, "the upstream has started again", before);
     }
 
@@ -275,7 +275,7 @@
      * @param reason what happened, for logs
      * @param before the verdict on the request before this loss
      */
-    private void onLost(long nowMs, String reason, RequestStanding before) {
+    private void onLost(long nowMs, String reason, QuarantineStatus before) {
         LogFields fields = mUse.map(InstanceUse::fields).orElseGet(LogFields::new);
         fields.add("reason", reason)
                 .add("events", mAnswer.events())
@@ -287,7 +287,7 @@
             mCall.end(nowMs, "caller-gone", usedTokens());
             return;
         }
-        if (mayRunAgain() && before.mayBeSentAgain() && mAnswer.mayRestart()) {
+        if (mayRunAgain() && before.mayBeRetried() && mAnswer.mayRestart()) {
             mAnswer.restart();
             attempt(nowMs);
             return;
@@ -300,7 +300,7 @@
         if (mConnection.isEmpty() || !mayRunAgain() || !mAnswer.mayRestart()) {
             return;
         }
-        mUse.ifPresent(u -> u.instance().onSilent(nowMs));
+        mUse.ifPresent(u -> u.instance().onNoAnswer(nowMs));
         dropConnectionOnly();
         onLost(nowMs, "it was silent for too long", mCrashes.standing());
     }
@@ -308,7 +308,7 @@
     /** The time is over. */
     void onDeadline(long nowMs) {
         if (mConnection.isPresent() && mFirstByteMs < 0) {
-            mUse.ifPresent(u -> u.instance().onSilent(nowMs));
+            mUse.ifPresent(u -> u.instance().onNoAnswer(nowMs));
         }
         dropConnection();
         if (mAnswer.begun()) {
@@ -359,8 +359,8 @@
             return;
         }
         String service = mPlan.service().name();
-        OptionalLong pauseLeftMs = mParts.board().pauseLeftMs(nowMs, service);
-        OptionalLong closedForMs = mParts.board().closedForMs(nowMs, service);
+        OptionalLong pauseLeftMs = mParts.upstreamRegistry().requestedPauseLeftMs(nowMs, service);
+        OptionalLong closedForMs = mParts.upstreamRegistry().unavailableForMs(nowMs, service);
         if (pauseLeftMs.isPresent()) {
             fail(nowMs, Refusals.upstreamsPause(pauseLeftMs.getAsLong()));
         } else if (closedForMs.isPresent()) {
--- a/router/src/main/java/org/hornbeampass/router/relay/RelayCall.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/RelayCall.java
@@ -38,7 +38,7 @@
     /** How much earlier than the caller's own time an answer is given, so that it arrives. */
     private static final long ANSWER_MARGIN_MS = 20;
 
-    private final RelayParts mParts;
+    private final RelayContext mParts;
     private final CallerConnection mCaller;
     private final HttpRequest mRequest;
     private final long mArrivedMs;
@@ -65,7 +65,7 @@
     private Runnable mDeadlineTimer = () -> {};
     private Runnable mGrantTimer = () -> {};
 
-    RelayCall(RelayParts parts, CallerConnection caller, HttpRequest request, long nowMs) {
+    RelayCall(RelayContext parts, CallerConnection caller, HttpRequest request, long nowMs) {
         mParts = parts;
         mCaller = caller;
         mRequest = request;
@@ -118,7 +118,7 @@
         if (mRoute.get().open() || !routes.checksKeys()) {
             return Optional.empty();
         }
-        mOrganisation = mHead.key().flatMap(routes::organisationOf);
+        mOrganisation = mHead.apiKey().flatMap(routes::organisationOf);
         return mOrganisation.isPresent()
                 ? Optional.empty()
                 : Optional.of(
@@ -134,7 +134,7 @@
         if (mService.isEmpty()) {
             return Optional.of(Refusals.noUpstream("the route has no service"));
         }
-        long budgetMs = mHead.budgetMs().orElse(DEFAULT_TIMEOUT_MS) - ANSWER_MARGIN_MS;
+        long budgetMs = mHead.timeoutMs().orElse(DEFAULT_TIMEOUT_MS) - ANSWER_MARGIN_MS;
         mDeadlineMs = nowMs + Math.max(1, Math.min(budgetMs, route.timeoutMs()));
         return Optional.empty();
     }
@@ -197,11 +197,11 @@
             return;
         }
         Admission admission = reserve(nowMs);
-        if (admission != Admission.SHORT) {
+        if (admission != Admission.INSUFFICIENT_HERE) {
             onAdmission(nowMs, admission);
             return;
         }
-        mGrantTimer = timer(grantWaitMs(), t -> onAdmission(t, Admission.SHORT));
+        mGrantTimer = timer(grantWaitMs(), t -> onAdmission(t, Admission.INSUFFICIENT_HERE));
         waitForTokens(nowMs);
     }
 
@@ -217,13 +217,13 @@
     /** Waits for the store or for other VMs, as long as there is hope for tokens. */
     private void waitForTokens(long nowMs) {
         long tokens = mHead.prompt().maxTokens();
-        if (mParts.budgets().mayGetMore(nowMs, organisation(), tokens)) {
+        if (mParts.budgets().mayObtainTokens(nowMs, organisation(), tokens)) {
             mParts.budgets().afterNextExchange(nowMs, organisation(), this::admitAgain);
             return;
         }
         boolean searching = mParts.loans().search(nowMs, organisation(), tokens, this::admitAgain);
         if (!searching) {
-            onAdmission(nowMs, Admission.SHORT);
+            onAdmission(nowMs, Admission.INSUFFICIENT_HERE);
         }
     }
 
@@ -233,7 +233,7 @@
         }
         long nowMs = mParts.clock().nowMs();
         Admission admission = reserve(nowMs);
-        if (admission == Admission.SHORT) {
+        if (admission == Admission.INSUFFICIENT_HERE) {
             waitForTokens(nowMs);
         } else {
             onAdmission(nowMs, admission);
@@ -290,7 +290,7 @@
 
     /** Returns what identifies the request; its caller is the organisation that pays. */
     private RequestIdentity identity() {
-        String caller = mOrganisation.map(PrepaidOrganisation::name).or(mHead::key).orElse("");
+        String caller = mOrganisation.map(PrepaidOrganisation::name).or(mHead::apiKey).orElse("");
         RequestIdentity identity =
                 new RequestIdentity(mParts.hasher(), mHead.host(), mRequest.uri(), caller, mBody);
         if (mBody.large()) {
@@ -300,25 +300,25 @@
     }
 
     private Refusals.Lack lack(long nowMs) {
-        if (mParts.budgets().outOfReach(nowMs, organisation())) {
+        if (mParts.budgets().isStoreUnreachable(nowMs, organisation())) {
             return Refusals.Lack.STORE_UNREACHABLE;
         }
         long tokens = mHead.prompt().maxTokens();
-        return mParts.budgets().mayGetMore(nowMs, organisation(), tokens)
+        return mParts.budgets().mayObtainTokens(nowMs, organisation(), tokens)
                 ? Refusals.Lack.STORE_MAY_HAVE_MORE
                 : Refusals.Lack.SCARCE;
     }
 
     /** Returns what decided against the request, as fields of a log line. */
     private LogFields lackingFields(long nowMs) {
-        EscrowBook.Standing standing = mParts.budgets().standing(nowMs, organisation());
+        EscrowBook.AdmissionState standing = mParts.budgets().admissionState(nowMs, organisation());
         return new LogFields()
                 .add("wanted", mHead.prompt().maxTokens())
                 .add("free", standing.free())
                 .add("unallocated", standing.unallocated())
                 .add("unspent", standing.unspent())
-                .add("heard_ago_ms", standing.heardAgoMs().orElse(-1))
-                .add("store_lost", standing.outOfReach());
+                .add("heard_ago_ms", standing.storeReplyAgeMs().orElse(-1))
+                .add("store_lost", standing.storeUnreachable());
     }
 
     private void onDeadline(long nowMs) {
--- a/router/src/main/java/org/hornbeampass/router/relay/RelayParts.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/RelayContext.java
@@ -10,7 +10,7 @@
 import org.hornbeampass.coordination.service.RetryWindow;
 import org.hornbeampass.coordination.service.RouteTable;
 import org.hornbeampass.coordination.service.SignalExchange;
-import org.hornbeampass.coordination.service.UpstreamBoard;
+import org.hornbeampass.coordination.service.UpstreamRegistry;
 import org.hornbeampass.transport.Clock;
 import org.hornbeampass.transport.relay.UpstreamPool;
 
@@ -26,12 +26,12 @@
  *
  * <p>Confined to one event loop, but for its construction.
  */
-public final class RelayParts {
+public final class RelayContext {
     private final WireFormat mWire;
     private RelaySettings mSettings;
     private final EventLoop mLoop;
     private final Clock mClock;
-    private final UpstreamBoard mBoard;
+    private final UpstreamRegistry mUpstreamRegistry;
     private final UpstreamPool mPool;
     private final CrashDetector mCrashes;
     private final RequestHasher mHasher;
@@ -52,12 +52,12 @@
      * Gathers the parts; {@code vms} tells how many VMs share the fleet's budgets, and {@code
      * mayBeBehind} whether there may be a newer configuration, at a time in milliseconds.
      */
-    public RelayParts(
+    public RelayContext(
             WireFormat wire,
             RelaySettings settings,
             EventLoop loop,
             Clock clock,
-            UpstreamBoard board,
+            UpstreamRegistry upstreamRegistry,
             UpstreamPool pool,
             RequestHasher hasher,
             Quarantine quarantine,
@@ -73,7 +73,7 @@
         mSettings = settings;
         mLoop = loop;
         mClock = clock;
-        mBoard = board;
+        mUpstreamRegistry = upstreamRegistry;
         mPool = pool;
         mCrashes = new CrashDetector(pool, clock, log, quarantine);
         mQuarantine = quarantine;
@@ -102,8 +102,8 @@
     }
 
     /** Returns the upstreams. */
-    public UpstreamBoard board() {
-        return mBoard;
+    public UpstreamRegistry upstreamRegistry() {
+        return mUpstreamRegistry;
     }
 
     /** Returns the connections to upstreams. */
@@ -170,7 +170,7 @@
     }
 
     /** Refuses requests that come from now on. */
-    public void refuseNew() {
+    public void refuseNewRequests() {
         mRefusing = true;
     }
 
@@ -179,7 +179,7 @@
     }
 
     void countFirst(long nowMs, String service) {
-        retries(service).onFirst(nowMs);
+        retries(service).onFirstSend(nowMs);
     }
 
     boolean takeRetry(long nowMs, String service) {
--- a/router/src/main/java/org/hornbeampass/router/relay/UpstreamSearch.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/UpstreamSearch.java
@@ -34,7 +34,7 @@
         void onGivenUp(long nowMs, String why);
     }
 
-    private final RelayParts mParts;
+    private final RelayContext mParts;
     private final RelayCall mCall;
     private final RelayPlan mPlan;
     private final CrashHistory mCrashes;
@@ -56,7 +56,7 @@
      * @param onInstanceEnd hears of the end of an upstream that was found
      */
     UpstreamSearch(
-            RelayParts parts,
+            RelayContext parts,
             RelayCall call,
             RelayPlan plan,
             CrashHistory crashes,
@@ -92,7 +92,8 @@
     }
 
     private Optional<UpstreamChoice> choose(long nowMs) {
-        return mParts.board().choose(nowMs, mPlan.service(), mPlan.head().prompt(), mTried);
+        return mParts.upstreamRegistry()
+                .choose(nowMs, mPlan.service(), mPlan.head().prompt(), mTried);
     }
 
     /** Returns whether there is an upstream that the request was not sent to yet. */
@@ -102,7 +103,7 @@
 
     private void onPermit(long nowMs, UpstreamChoice choice, Optional<SendPermit> permit) {
         if (mCall.ended()) {
-            permit.ifPresent(p -> mParts.limiter().giveBack(nowMs, p));
+            permit.ifPresent(p -> mParts.limiter().returnUnused(nowMs, p));
             return;
         }
         if (permit.isEmpty()) {
@@ -111,13 +112,13 @@
                     "permit-denied",
                     new LogFields().add("upstream", choice.instance().id()));
             if (mCounts.onDenied()) {
-                mTried.addAll(mParts.board().rateLimited());
+                mTried.addAll(mParts.upstreamRegistry().rateLimited());
             }
             start(nowMs);
             return;
         }
         if (mCounts.sentBefore() && !mParts.takeRetry(nowMs, mPlan.service().name())) {
-            mParts.limiter().giveBack(nowMs, permit.get());
+            mParts.limiter().returnUnused(nowMs, permit.get());
             mListener.onGivenUp(nowMs, "too many requests are sent again now");
             return;
         }
@@ -147,13 +148,13 @@
         UpstreamInstance instance = use.instance();
         boolean current = mConnecting.equals(Optional.of(use)) && !mCall.ended();
         if (!current) {
-            mParts.limiter().giveBack(nowMs, permit);
+            mParts.limiter().returnUnused(nowMs, permit);
             connection.ifPresent(UpstreamConnection::cancel);
             return;
         }
         if (connection.isEmpty()) {
-            mParts.limiter().giveBack(nowMs, permit);
-            instance.onSilent(nowMs);
+            mParts.limiter().returnUnused(nowMs, permit);
+            instance.onNoAnswer(nowMs);
             cancel();
             decided(nowMs, "unreachable", use.fields());
             if (mCounts.onUnreachable()) {
@@ -163,8 +164,8 @@
             }
             return;
         }
-        if (!instance.usable(nowMs)) {
-            mParts.limiter().giveBack(nowMs, permit);
+        if (!instance.isUsable(nowMs)) {
+            mParts.limiter().returnUnused(nowMs, permit);
             lookElsewhere(nowMs, connection.get());
             return;
         }
--- a/router/src/test/java/org/hornbeampass/router/relay/AnswerSignalsTest.java
+++ b/router/src/test/java/org/hornbeampass/router/relay/AnswerSignalsTest.java
@@ -8,14 +8,14 @@
 
 import org.hornbeampass.coordination.peer.PeerMessage;
 import org.hornbeampass.coordination.peer.PeerNetwork;
-import org.hornbeampass.coordination.service.FleetPaths;
+import org.hornbeampass.coordination.service.BroadcastPaths;
 import org.hornbeampass.coordination.service.SendGate;
 import org.hornbeampass.coordination.service.SignalExchange;
 import org.hornbeampass.coordination.service.SignalListener;
 import org.hornbeampass.coordination.service.SignalTable;
-import org.hornbeampass.coordination.service.UpstreamBoard;
 import org.hornbeampass.coordination.service.UpstreamIncarnation;
 import org.hornbeampass.coordination.service.UpstreamInstance;
+import org.hornbeampass.coordination.service.UpstreamRegistry;
 import org.hornbeampass.state.Failure;
 import org.hornbeampass.state.FailureDomain;
 import org.hornbeampass.state.service.Prompt;
@@ -39,29 +39,35 @@
     private static final ServiceSpec SERVICE = new ServiceSpec("s", 100, Optional.empty());
 
     private final SignalTable mTable = new SignalTable();
-    private final UpstreamBoard mBoard =
-            new UpstreamBoard(new Random(1), () -> 1, mTable, SendGate.OPEN);
+    private final UpstreamRegistry mUpstreamRegistry =
+            new UpstreamRegistry(new Random(1), () -> 1, mTable, SendGate.OPEN);
     private final AnswerSignals mSignals =
             new AnswerSignals(
                     new SignalExchange(
-                            mBoard,
+                            mUpstreamRegistry,
                             mTable,
                             new NoPeers(),
-                            () -> new FleetPaths("vm-1", Optional.empty(), List.of(), List.of()),
+                            () ->
+                                    new BroadcastPaths(
+                                            "vm-1", Optional.empty(), List.of(), List.of()),
                             new NoListener()),
                     new RelayLog(new MetricRegistry()));
     private UpstreamInstance mUpstream;
 
     @BeforeEach
     void list() {
-        mBoard.onEntry(
+        mUpstreamRegistry.onEntry(
                 0,
                 new UpstreamEntry(
                         "i-1", OptionalLong.of(1), "s", "a:80", new FailureDomain("d"), 6, false));
-        mUpstream = mBoard.choose(0, SERVICE, Prompt.NONE, Set.of()).orElseThrow().instance();
+        mUpstream =
+                mUpstreamRegistry
+                        .choose(0, SERVICE, Prompt.NONE, Set.of())
+                        .orElseThrow()
+                        .instance();
     }
 
-    private void answer(AnswerClass kind, boolean proven, OptionalDouble limit, long askedMs) {
+    private void answer(AnswerOutcome kind, boolean proven, OptionalDouble limit, long askedMs) {
         mSignals.onAnswer(
                 askedMs + HEARD_MS - ASKED_MS,
                 askedMs,
@@ -70,7 +76,7 @@
     }
 
     private void nameOne() {
-        answer(AnswerClass.GOOD, true, OptionalDouble.of(1), ASKED_MS);
+        answer(AnswerOutcome.SUCCEEDED, true, OptionalDouble.of(1), ASKED_MS);
     }
 
     private OptionalDouble limit() {
@@ -79,34 +85,34 @@
 
     @Test
     void refusalThatNamesALimit_counts() {
-        answer(AnswerClass.NOT_RUN, false, OptionalDouble.of(1), ASKED_MS);
+        answer(AnswerOutcome.NOT_RUN, false, OptionalDouble.of(1), ASKED_MS);
         assertThat(limit()).hasValue(1);
     }
 
     @Test
     void provenAnswerWithoutALimit_endsIt() {
         nameOne();
-        answer(AnswerClass.GOOD, true, OptionalDouble.empty(), HEARD_MS);
+        answer(AnswerOutcome.SUCCEEDED, true, OptionalDouble.empty(), HEARD_MS);
         assertThat(limit()).isEmpty();
     }
 
     @Test
     void refusalsAndErrorsWithoutALimit_doNotEndIt() {
         nameOne();
-        answer(AnswerClass.NOT_RUN, false, OptionalDouble.empty(), HEARD_MS);
-        answer(AnswerClass.GOOD, false, OptionalDouble.empty(), HEARD_MS);
-        answer(AnswerClass.FAILED, false, OptionalDouble.empty(), HEARD_MS);
+        answer(AnswerOutcome.NOT_RUN, false, OptionalDouble.empty(), HEARD_MS);
+        answer(AnswerOutcome.SUCCEEDED, false, OptionalDouble.empty(), HEARD_MS);
+        answer(AnswerOutcome.FAILED, false, OptionalDouble.empty(), HEARD_MS);
         assertThat(limit()).hasValue(1);
     }
 
     @Test
     void answersOfOtherUpstreamsAndToOtherRequests_sayNothing() {
-        answer(AnswerClass.ANOTHER_UPSTREAM, true, OptionalDouble.of(1), ASKED_MS);
-        answer(AnswerClass.UNRELATED, true, OptionalDouble.of(1), ASKED_MS);
+        answer(AnswerOutcome.WRONG_UPSTREAM, true, OptionalDouble.of(1), ASKED_MS);
+        answer(AnswerOutcome.UNRELATED, true, OptionalDouble.of(1), ASKED_MS);
         assertThat(limit()).isEmpty();
     }
 
-    private void answerWithPause(AnswerClass kind) {
+    private void answerWithPause(AnswerOutcome kind) {
         mSignals.onAnswer(
                 HEARD_MS,
                 ASKED_MS,
@@ -117,14 +123,14 @@
 
     @Test
     void lateAnswerToAnotherRequest_asksForNoPause() {
-        answerWithPause(AnswerClass.UNRELATED);
-        assertThat(mBoard.pauseLeftMs(HEARD_MS, "s")).isEmpty();
+        answerWithPause(AnswerOutcome.UNRELATED);
+        assertThat(mUpstreamRegistry.requestedPauseLeftMs(HEARD_MS, "s")).isEmpty();
     }
 
     @Test
     void refusalOfTheRequest_asksForAPause() {
-        answerWithPause(AnswerClass.NOT_RUN);
-        assertThat(mBoard.pauseLeftMs(HEARD_MS, "s")).hasValue(60_000);
+        answerWithPause(AnswerOutcome.NOT_RUN);
+        assertThat(mUpstreamRegistry.requestedPauseLeftMs(HEARD_MS, "s")).hasValue(60_000);
     }
 
     @Test
@@ -134,12 +140,12 @@
                 ASKED_MS,
                 mUpstream,
                 new AnswerHead(
-                        AnswerClass.UNRELATED,
+                        AnswerOutcome.UNRELATED,
                         false,
                         true,
                         OptionalLong.empty(),
                         OptionalDouble.empty()));
-        assertThat(mUpstream.leaving()).isTrue();
+        assertThat(mUpstream.isLeaving()).isTrue();
     }
 
     /** A network without other VMs. */
