--- a/coordination/src/main/java/org/hornbeampass/coordination/limit/AdmissionQueue.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/limit/AdmissionQueue.java
@@ -1,7 +1,7 @@
 package org.hornbeampass.coordination.limit;
 
 import org.agrona.collections.Long2ObjectHashMap;
-import org.hornbeampass.coordination.limit.WaitingRequests.Waiting;
+import org.hornbeampass.coordination.limit.WaitingRequests.WaitingRequest;
 import org.hornbeampass.state.ErrorKind;
 import org.hornbeampass.state.Failure;
 
@@ -23,10 +23,10 @@
 public final class AdmissionQueue {
     private static final long MIN_RETRY_MS = 1_000;
     private static final long MAX_RETRY_MS = 30_000;
-    private static final long RETRY_SPREAD = 1_000;
-    private static final String SHED =
+    private static final long RETRY_JITTER_MS = 1_000;
+    private static final String SHED_MESSAGE =
             "too many requests wait; one of the lowest priority was refused";
-    private static final String HOPELESS =
+    private static final String DEADLINE_MESSAGE =
             "at the present rate the request can't be served before its deadline";
 
     private final Object mLock = new Object();
@@ -39,7 +39,7 @@
     private long mLastNumber;
 
     /** A request that waits, with its answer. */
-    private record Entry(Waiting waiting, BiConsumer<Long, Optional<Failure>> done) {}
+    private record Entry(WaitingRequest waiting, BiConsumer<Long, Optional<Failure>> done) {}
 
     /** An answer that is run once the lock is released. */
     private record Answer(BiConsumer<Long, Optional<Failure>> done, Optional<Failure> failure) {}
@@ -69,9 +69,9 @@
         long number;
         synchronized (mLock) {
             number = ++mLastNumber;
-            submit(nowMs, new Entry(new Waiting(number, request), done), answers);
+            submit(nowMs, new Entry(new WaitingRequest(number, request), done), answers);
         }
-        run(nowMs, answers);
+        runAnswers(nowMs, answers);
         return number;
     }
 
@@ -83,10 +83,10 @@
                 throw new IllegalStateException("released more often than admitted");
             }
             mAdmitted--;
-            mRate.completed(nowMs);
+            mRate.onCompleted(nowMs);
             admitNext(nowMs, answers);
         }
-        run(nowMs, answers);
+        runAnswers(nowMs, answers);
     }
 
     /** Sets how many may be in progress; those above it finish, and none is admitted meanwhile. */
@@ -96,7 +96,7 @@
             mCapacity = capacity;
             admitNext(nowMs, answers);
         }
-        run(nowMs, answers);
+        runAnswers(nowMs, answers);
     }
 
     /**
@@ -117,7 +117,7 @@
         synchronized (mLock) {
             expireLocked(nowMs, answers);
         }
-        run(nowMs, answers);
+        runAnswers(nowMs, answers);
     }
 
     /** Returns how many wait. */
@@ -137,33 +137,34 @@
     private void submit(long nowMs, Entry entry, List<Answer> answers) {
         AdmissionRequest request = entry.waiting().request();
         if (request.deadline().passed(nowMs)) {
-            answers.add(new Answer(entry.done(), Optional.of(tooLate())));
+            answers.add(new Answer(entry.done(), Optional.of(deadlineExceeded())));
             return;
         }
         if (mAdmitted < mCapacity && mWaiting.size() == 0) {
             mAdmitted++;
-            mWaiting.served(request);
+            mWaiting.onServed(request);
             answers.add(new Answer(entry.done(), Optional.empty()));
             return;
         }
-        OptionalLong waitMs = mRate.waitMs(nowMs, mWaiting.sizeFrom(request.priority()) + 1);
+        OptionalLong waitMs =
+                mRate.estimateWaitMs(nowMs, mWaiting.countAtOrAbove(request.priority()) + 1);
         if (waitMs.isPresent() && waitMs.getAsLong() > request.deadline().remainingMs(nowMs)) {
-            answers.add(refuse(nowMs, entry, HOPELESS));
+            answers.add(refuse(nowMs, entry, DEADLINE_MESSAGE));
             return;
         }
         mWaiting.add(entry.waiting());
         mEntries.put(entry.waiting().number(), entry);
         if (mWaiting.size() > mMaxWaiting) {
-            Waiting victim = mWaiting.firstToShed().orElseThrow();
+            WaitingRequest victim = mWaiting.firstToShed().orElseThrow();
             mWaiting.remove(victim);
-            answers.add(refuse(nowMs, mEntries.remove(victim.number()), SHED));
+            answers.add(refuse(nowMs, mEntries.remove(victim.number()), SHED_MESSAGE));
         }
     }
 
     private void admitNext(long nowMs, List<Answer> answers) {
         expireLocked(nowMs, answers);
         while (mAdmitted < mCapacity) {
-            Optional<Waiting> next = mWaiting.takeNext();
+            Optional<WaitingRequest> next = mWaiting.takeNext();
             if (next.isEmpty()) {
                 return;
             }
@@ -174,28 +175,28 @@
     }
 
     private void expireLocked(long nowMs, List<Answer> answers) {
-        for (Waiting late : mWaiting.late(nowMs)) {
+        for (WaitingRequest late : mWaiting.expired(nowMs)) {
             mWaiting.remove(late);
             Entry entry = mEntries.remove(late.number());
-            answers.add(new Answer(entry.done(), Optional.of(tooLate())));
+            answers.add(new Answer(entry.done(), Optional.of(deadlineExceeded())));
         }
     }
 
     private Answer refuse(long nowMs, Entry entry, String why) {
-        long waitMs = mRate.waitMs(nowMs, mWaiting.size() + 1).orElse(MIN_RETRY_MS);
+        long waitMs = mRate.estimateWaitMs(nowMs, mWaiting.size() + 1).orElse(MIN_RETRY_MS);
         long bounded = Math.max(MIN_RETRY_MS, Math.min(MAX_RETRY_MS, waitMs));
-        long spread = Math.floorMod(entry.waiting().number() * 0x9E3779B1L, RETRY_SPREAD);
+        long spread = Math.floorMod(entry.waiting().number() * 0x9E3779B1L, RETRY_JITTER_MS);
         Failure failure = Failure.retryAfter(ErrorKind.OVERLOADED, why, bounded + spread);
         return new Answer(entry.done(), Optional.of(failure));
     }
 
-    private static Failure tooLate() {
+    private static Failure deadlineExceeded() {
         return Failure.of(
                 ErrorKind.DEADLINE_EXCEEDED_NOT_RUN,
                 "the deadline passed while the request waited to be admitted");
     }
 
-    private static void run(long nowMs, List<Answer> answers) {
+    private static void runAnswers(long nowMs, List<Answer> answers) {
         answers.forEach(a -> a.done().accept(nowMs, a.failure()));
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/limit/AnswerKind.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/limit/AnswerKind.java
@@ -9,25 +9,25 @@
     /** A stream of tokens: its first part is expected soon, and the others at short intervals. */
     STREAM {
         @Override
-        double firstMs(double expectedFirstMs) {
+        double firstPartTimeoutMs(double expectedFirstMs) {
             return expectedFirstMs;
         }
     },
     /** One part that comes when all of it is made; the request may run again. */
-    WHOLE {
+    SINGLE_PART {
         @Override
-        double firstMs(double expectedFirstMs) {
+        double firstPartTimeoutMs(double expectedFirstMs) {
             return (double) AttemptTimeouts.MAX_STALL_MS;
         }
     },
     /** An answer to a call that may not be repeated: giving up early would gain nothing. */
-    ONCE {
+    NOT_REPEATABLE {
         @Override
-        double firstMs(double expectedFirstMs) {
+        double firstPartTimeoutMs(double expectedFirstMs) {
             return Double.MAX_VALUE;
         }
     };
 
     /** Returns how long the first part may take, before bounds, in milliseconds. */
-    abstract double firstMs(double expectedFirstMs);
+    abstract double firstPartTimeoutMs(double expectedFirstMs);
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/limit/AttemptWatch.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/limit/AttemptIdleMonitor.java
@@ -6,21 +6,21 @@
  * <p>Invariant: time during which this VM itself does not read the answer is no silence of the
  * upstream. Thread-safe: all state is guarded by its own monitor, a leaf in the order of locks.
  */
-public final class AttemptWatch {
-    private static final long NOTE_EVERY_MS = 100;
+public final class AttemptIdleMonitor {
+    private static final long REPORT_INTERVAL_MS = 100;
 
     private final AttemptTimeouts mTimeouts;
-    private long mQuietSinceMs;
-    private long mNotedAtMs;
+    private long mIdleSinceMs;
+    private long mReportedAtMs;
     private long mLongestGapMs;
     private boolean mBegun;
     private boolean mPaused;
 
     /** Starts to watch an attempt that is sent now. */
-    public AttemptWatch(long nowMs, AttemptTimeouts timeouts) {
+    public AttemptIdleMonitor(long nowMs, AttemptTimeouts timeouts) {
         mTimeouts = timeouts;
-        mQuietSinceMs = nowMs;
-        mNotedAtMs = nowMs;
+        mIdleSinceMs = nowMs;
+        mReportedAtMs = nowMs;
     }
 
     /**
@@ -32,17 +32,17 @@
      */
     public synchronized long onPart(long nowMs) {
         if (mBegun) {
-            mLongestGapMs = Math.max(mLongestGapMs, nowMs - mQuietSinceMs);
+            mLongestGapMs = Math.max(mLongestGapMs, nowMs - mIdleSinceMs);
         }
         boolean first = !mBegun;
         mBegun = true;
-        mQuietSinceMs = nowMs;
-        if (!first && nowMs - mNotedAtMs < NOTE_EVERY_MS) {
+        mIdleSinceMs = nowMs;
+        if (!first && nowMs - mReportedAtMs < REPORT_INTERVAL_MS) {
             return -1;
         }
         long gapMs = mLongestGapMs;
         mLongestGapMs = 0;
-        mNotedAtMs = nowMs;
+        mReportedAtMs = nowMs;
         return gapMs;
     }
 
@@ -54,7 +54,7 @@
     /** Notes that this VM reads again. */
     public synchronized void onResumed(long nowMs) {
         mPaused = false;
-        mQuietSinceMs = nowMs;
+        mIdleSinceMs = nowMs;
     }
 
     /**
@@ -63,10 +63,10 @@
      *
      * @param progressMs as in {@link AttemptTimeouts#giveUpAtMs}
      */
-    public synchronized long nextLookMs(long nowMs, long progressMs) {
+    public synchronized long nextCheckMs(long nowMs, long progressMs) {
         if (mPaused) {
-            return nowMs + mTimeouts.silenceMs();
+            return nowMs + mTimeouts.idleMs();
         }
-        return mTimeouts.giveUpAtMs(mQuietSinceMs, mBegun, progressMs);
+        return mTimeouts.giveUpAtMs(mIdleSinceMs, mBegun, progressMs);
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/limit/AttemptOutcome.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/limit/AttemptOutcome.java
@@ -8,32 +8,32 @@
  */
 public enum AttemptOutcome {
     /** The whole answer came. */
-    SUCCEEDED(true, Blame.NONE),
+    SUCCEEDED(true, UpstreamProblem.NONE),
     /** The upstream answered that the request itself is wrong. */
-    REJECTED(true, Blame.NONE),
+    REJECTED(true, UpstreamProblem.NONE),
     /** The attempt was given up before anything was sent. */
-    NOT_SENT(false, Blame.NONE),
+    NOT_SENT(false, UpstreamProblem.NONE),
     /** No connection could be made, so nothing was sent. */
-    CONNECT_FAILED(false, Blame.UNREACHABLE),
+    CONNECT_FAILED(false, UpstreamProblem.UNREACHABLE),
     /** The upstream refused for overload and says that it did not run the request. */
-    REFUSED_OVERLOADED(true, Blame.OVERLOAD),
+    REFUSED_OVERLOADED(true, UpstreamProblem.OVERLOAD),
     /** The upstream refused since it is leaving and says that it did not run the request. */
-    REFUSED_LEAVING(true, Blame.NONE),
+    REFUSED_LEAVING(true, UpstreamProblem.NONE),
     /** The upstream answered with a fault of its own. */
-    UPSTREAM_ERROR(true, Blame.FAULT),
+    UPSTREAM_ERROR(true, UpstreamProblem.FAULT),
     /** The connection broke after something was sent and before the answer began. */
-    BROKEN_BEFORE_ANSWER(true, Blame.FAULT),
+    BROKEN_BEFORE_ANSWER(true, UpstreamProblem.FAULT),
     /** The connection broke in the middle of the answer. */
-    BROKEN_IN_ANSWER(true, Blame.FAULT),
+    BROKEN_IN_ANSWER(true, UpstreamProblem.FAULT),
     /** The attempt's time was up; it was cancelled. */
-    TIMED_OUT(true, Blame.FAULT),
+    TIMED_OUT(true, UpstreamProblem.FAULT),
     /** The upstream showed no progress for too long; the attempt was given up and cancelled. */
-    SILENT(true, Blame.UNREACHABLE),
+    SILENT(true, UpstreamProblem.UNREACHABLE),
     /** The caller went away or a hedge won; the attempt was cancelled. */
-    CANCELLED(true, Blame.NONE);
+    CANCELLED(true, UpstreamProblem.NONE);
 
     /** What an outcome says about the upstream. */
-    public enum Blame {
+    public enum UpstreamProblem {
         /** Nothing. */
         NONE,
         /** It has too much to do. */
@@ -45,11 +45,11 @@
     }
 
     private final boolean mMayHaveSent;
-    private final Blame mBlame;
+    private final UpstreamProblem mUpstreamProblem;
 
-    AttemptOutcome(boolean mayHaveSent, Blame blame) {
+    AttemptOutcome(boolean mayHaveSent, UpstreamProblem blame) {
         mMayHaveSent = mayHaveSent;
-        mBlame = blame;
+        mUpstreamProblem = blame;
     }
 
     /** Returns whether a byte of the request may have reached the upstream. */
@@ -58,17 +58,18 @@
     }
 
     /** Returns what the outcome says about the upstream. */
-    public Blame blame() {
-        return mBlame;
+    public UpstreamProblem upstreamProblem() {
+        return mUpstreamProblem;
     }
 
     /** Returns whether it counts as a failure of the upstream. */
     public boolean upstreamFailed() {
-        return mBlame == Blame.FAULT || mBlame == Blame.UNREACHABLE;
+        return mUpstreamProblem == UpstreamProblem.FAULT
+                || mUpstreamProblem == UpstreamProblem.UNREACHABLE;
     }
 
     /** Returns whether it shows that the upstream does its work. */
-    public boolean showsHealth() {
+    public boolean showsUpstreamHealthy() {
         return this == SUCCEEDED || this == REJECTED;
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/limit/AttemptTimeouts.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/limit/AttemptTimeouts.java
@@ -11,26 +11,26 @@
  * safe for use by any thread.
  *
  * @param connectMs how long the connection may take, in milliseconds
- * @param firstMs the patience for the first part, in milliseconds
- * @param silenceMs the patience between parts, in milliseconds
+ * @param firstPartMs the patience for the first part, in milliseconds
+ * @param idleMs the patience between parts, in milliseconds
  * @param stallMs the longest silence that progress elsewhere at the upstream excuses, in
  *     milliseconds
  */
-public record AttemptTimeouts(long connectMs, long firstMs, long silenceMs, long stallMs) {
+public record AttemptTimeouts(long connectMs, long firstPartMs, long idleMs, long stallMs) {
     static final long MAX_STALL_MS = 20_000;
 
-    private static final double FIRST_RATIO = 8;
-    private static final double SILENCE_RATIO = 8;
+    private static final double FIRST_PART_RATIO = 8;
+    private static final double IDLE_RATIO = 8;
     private static final double ROUND_TRIP_RATIO = 10;
     private static final double PROMPT_TOKEN_MS = 0.1;
-    private static final double UNKNOWN_FIRST_MS = 600;
-    private static final double UNKNOWN_GAP_MS = 250;
+    private static final double DEFAULT_FIRST_TOKEN_MS = 600;
+    private static final double DEFAULT_GAP_MS = 250;
     private static final long MIN_CONNECT_MS = 300;
     private static final long MAX_CONNECT_MS = 1_500;
-    private static final long MIN_FIRST_MS = 1_000;
-    private static final long MAX_FIRST_MS = 10_000;
-    private static final long MIN_SILENCE_MS = 1_000;
-    private static final long MAX_SILENCE_MS = 10_000;
+    private static final long MIN_FIRST_PART_MS = 1_000;
+    private static final long MAX_FIRST_PART_MS = 10_000;
+    private static final long MIN_IDLE_MS = 1_000;
+    private static final long MAX_IDLE_MS = 10_000;
 
     /**
      * What is known when an attempt is sent.
@@ -40,28 +40,31 @@
      * @param roundTripMs the round trip to the upstream, in milliseconds
      * @param promptTokens the prompt's length
      */
-    public record Known(double firstTokenMs, double gapMs, double roundTripMs, long promptTokens) {}
+    public record Estimates(
+            double firstTokenMs, double gapMs, double roundTripMs, long promptTokens) {}
 
     /** Decides the timeouts of one attempt that is sent now. */
     public static AttemptTimeouts decide(
-            long nowMs, Known known, AnswerKind kind, Deadline deadline) {
+            long nowMs, Estimates known, AnswerKind kind, Deadline deadline) {
         long half = deadline.remainingMs(nowMs) / 2;
-        double typicalMs = known.firstTokenMs() > 0 ? known.firstTokenMs() : UNKNOWN_FIRST_MS;
+        double typicalMs = known.firstTokenMs() > 0 ? known.firstTokenMs() : DEFAULT_FIRST_TOKEN_MS;
         double expectedMs =
                 clamp(
-                        FIRST_RATIO * typicalMs + PROMPT_TOKEN_MS * known.promptTokens(),
-                        MIN_FIRST_MS,
-                        MAX_FIRST_MS);
-        double gapMs = known.gapMs() > 0 ? known.gapMs() : UNKNOWN_GAP_MS;
-        long silenceMs = clamp(SILENCE_RATIO * gapMs, MIN_SILENCE_MS, MAX_SILENCE_MS);
+                        FIRST_PART_RATIO * typicalMs + PROMPT_TOKEN_MS * known.promptTokens(),
+                        MIN_FIRST_PART_MS,
+                        MAX_FIRST_PART_MS);
+        double gapMs = known.gapMs() > 0 ? known.gapMs() : DEFAULT_GAP_MS;
+        long silenceMs = clamp(IDLE_RATIO * gapMs, MIN_IDLE_MS, MAX_IDLE_MS);
         long connectMs =
                 clamp(ROUND_TRIP_RATIO * known.roundTripMs(), MIN_CONNECT_MS, MAX_CONNECT_MS);
-        if (kind == AnswerKind.ONCE) {
+        if (kind == AnswerKind.NOT_REPEATABLE) {
             return new AttemptTimeouts(connectMs, Long.MAX_VALUE, Long.MAX_VALUE, Long.MAX_VALUE);
         }
         return new AttemptTimeouts(
                 connectMs,
-                Math.min((long) kind.firstMs(expectedMs), Math.max(MIN_FIRST_MS, half)),
+                Math.min(
+                        (long) kind.firstPartTimeoutMs(expectedMs),
+                        Math.max(MIN_FIRST_PART_MS, half)),
                 silenceMs,
                 MAX_STALL_MS);
     }
@@ -76,11 +79,11 @@
      *     Long.MIN_VALUE} where it never did
      */
     public long giveUpAtMs(long quietSinceMs, boolean begun, long progressMs) {
-        long patienceMs = begun ? silenceMs : firstMs;
+        long patienceMs = begun ? idleMs : firstPartMs;
         if (patienceMs == Long.MAX_VALUE) {
             return Long.MAX_VALUE;
         }
-        long aliveUntilMs = progressMs == Long.MIN_VALUE ? progressMs : progressMs + silenceMs;
+        long aliveUntilMs = progressMs == Long.MIN_VALUE ? progressMs : progressMs + idleMs;
         long boundMs = quietSinceMs + Math.max(stallMs, patienceMs);
         return Math.min(boundMs, Math.max(quietSinceMs + patienceMs, aliveUntilMs));
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/limit/ConcurrencyLimit.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/limit/ConcurrencyLimit.java
@@ -10,9 +10,9 @@
  */
 public final class ConcurrencyLimit {
     private static final int MIN_LIMIT = 1;
-    private static final double FAST = 0.2;
-    private static final double SLOW = 0.005;
-    private static final double TOLERANCE = 2.0;
+    private static final double FAST_SMOOTHING = 0.2;
+    private static final double SLOW_SMOOTHING = 0.005;
+    private static final double LATENCY_TOLERANCE = 2.0;
     private static final double MIN_GRADIENT = 0.5;
     private static final double LIMIT_SMOOTHING = 0.2;
     private static final double REFUSAL_FACTOR = 0.9;
@@ -53,29 +53,33 @@
      * @param firstTokenMs the time to first token in milliseconds
      * @param inFlight requests in progress when the request was sent
      */
-    public void firstToken(double firstTokenMs, int inFlight) {
+    public void onFirstToken(double firstTokenMs, int inFlight) {
         if (!mAdaptive) {
             return;
         }
         double sample = Math.max(1, firstTokenMs);
-        mFastMs = mFastMs == 0 ? sample : mFastMs + FAST * (sample - mFastMs);
-        mSlowMs = mSlowMs == 0 ? sample : Math.min(mFastMs, mSlowMs + SLOW * (sample - mSlowMs));
-        double gradient = Math.max(MIN_GRADIENT, Math.min(1, TOLERANCE * mSlowMs / mFastMs));
+        mFastMs = mFastMs == 0 ? sample : mFastMs + FAST_SMOOTHING * (sample - mFastMs);
+        mSlowMs =
+                mSlowMs == 0
+                        ? sample
+                        : Math.min(mFastMs, mSlowMs + SLOW_SMOOTHING * (sample - mSlowMs));
+        double gradient =
+                Math.max(MIN_GRADIENT, Math.min(1, LATENCY_TOLERANCE * mSlowMs / mFastMs));
         double target = mLimit * gradient + Math.sqrt(mLimit);
         if (target > mLimit && inFlight * 2 < mLimit) {
             return;
         }
-        set(mLimit + LIMIT_SMOOTHING * (target - mLimit));
+        setLimit(mLimit + LIMIT_SMOOTHING * (target - mLimit));
     }
 
     /** Learns that the upstream refused a request for overload. */
-    public void refused() {
+    public void onOverloadRefusal() {
         if (mAdaptive) {
-            set(mLimit * REFUSAL_FACTOR);
+            setLimit(mLimit * REFUSAL_FACTOR);
         }
     }
 
-    private void set(double limit) {
+    private void setLimit(double limit) {
         mLimit = Math.max(MIN_LIMIT, Math.min(mMax, limit));
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/limit/FairShares.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/limit/FairShares.java
@@ -13,18 +13,18 @@
  * so that it can't claim what it did not use. Not thread-safe: guarded by the queue's lock.
  */
 final class FairShares {
-    private static final int MAX_REMEMBERED = 10_000;
+    private static final int MAX_ORGANISATIONS = 10_000;
 
     private final Object2ObjectHashMap<OrganisationId, Double> mVirtualTimes =
             new Object2ObjectHashMap<>();
-    private double mNow;
+    private double mVirtualNow;
 
     /** Returns the organisation that is to be served next; there is at least one. */
     OrganisationId next(Collection<OrganisationId> waiting) {
         OrganisationId best = null;
         double bestTime = Double.MAX_VALUE;
         for (OrganisationId each : waiting) {
-            double time = timeOf(each);
+            double time = virtualTime(each);
             boolean before =
                     best == null
                             || time < bestTime
@@ -38,18 +38,18 @@
     }
 
     /** Counts a request that is served. */
-    void served(AdmissionRequest request) {
-        double start = timeOf(request.organisation());
-        mNow = Math.max(mNow, start);
-        if (mVirtualTimes.size() >= MAX_REMEMBERED) {
-            mVirtualTimes.values().removeIf(time -> time <= mNow);
+    void onServed(AdmissionRequest request) {
+        double start = virtualTime(request.organisation());
+        mVirtualNow = Math.max(mVirtualNow, start);
+        if (mVirtualTimes.size() >= MAX_ORGANISATIONS) {
+            mVirtualTimes.values().removeIf(time -> time <= mVirtualNow);
         }
         double end = start + (double) request.cost() / request.weight();
         mVirtualTimes.put(request.organisation(), end);
     }
 
-    private double timeOf(OrganisationId organisation) {
+    private double virtualTime(OrganisationId organisation) {
         Double time = mVirtualTimes.get(organisation);
-        return time == null ? mNow : Math.max(mNow, time);
+        return time == null ? mVirtualNow : Math.max(mVirtualNow, time);
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/limit/HedgePolicy.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/limit/HedgePolicy.java
@@ -8,7 +8,7 @@
  * thread-safe.
  */
 public final class HedgePolicy {
-    private static final double TYPICAL_RATIO = 4;
+    private static final double WAIT_RATIO = 4;
     private static final long MIN_WAIT_MS = 200;
 
     /**
@@ -19,14 +19,14 @@
      * @param repeatable whether the request may run more than once
      * @param attempts how many attempts were made
      */
-    public boolean hedge(
+    public boolean tryHedge(
             long waitedMs, double typicalMs, boolean repeatable, int attempts, RetryBudget budget) {
         if (!repeatable || attempts > 1 || typicalMs <= 0) {
             return false;
         }
-        if (waitedMs < Math.max(MIN_WAIT_MS, TYPICAL_RATIO * typicalMs)) {
+        if (waitedMs < Math.max(MIN_WAIT_MS, WAIT_RATIO * typicalMs)) {
             return false;
         }
-        return budget.moreThanHalf() && budget.tryTake();
+        return budget.isMoreThanHalfFull() && budget.tryTake();
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/limit/OrganisationLimits.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/limit/OrganisationLimits.java
@@ -30,15 +30,15 @@
             new Object2ObjectHashMap<>();
     private ConfigSnapshot mConfig = ConfigSnapshot.empty();
     private Set<String> mVms;
-    private Set<String> mSmallerVms;
-    private long mSmallerSinceMs;
-    private long mEpoch;
+    private Set<String> mPendingVms;
+    private long mPendingSinceMs;
+    private long mVmsEpoch;
 
     /** What one organisation uses on this VM. */
     private static final class Usage {
         private int mInProgress;
-        private double mCredit = 1;
-        private long mCreditAtMs = Long.MIN_VALUE;
+        private double mTokens = 1;
+        private long mRefilledAtMs = Long.MIN_VALUE;
         private long mRankEpoch = -1;
         private int mRank;
     }
@@ -47,7 +47,7 @@
     public OrganisationLimits(String vmName) {
         mVmName = vmName;
         mVms = Set.of(vmName);
-        mSmallerVms = mVms;
+        mPendingVms = mVms;
     }
 
     /** Takes a configuration; one that is not newer than the last is ignored. */
@@ -60,19 +60,19 @@
     }
 
     /** Takes the names of the VMs that are believed to be alive; this VM always counts. */
-    public void onVms(long nowMs, Set<String> vmNames) {
+    public void onLiveVms(long nowMs, Set<String> vmNames) {
         synchronized (mLock) {
             Set<String> vms = new HashSet<>(vmNames);
             vms.add(mVmName);
-            settle(nowMs);
+            applyDueShrink(nowMs);
             if (vms.containsAll(mVms)) {
                 setVms(vms);
-                mSmallerVms = mVms;
+                mPendingVms = mVms;
                 return;
             }
-            if (!vms.equals(mSmallerVms)) {
-                mSmallerVms = Set.copyOf(vms);
-                mSmallerSinceMs = nowMs;
+            if (!vms.equals(mPendingVms)) {
+                mPendingVms = Set.copyOf(vms);
+                mPendingSinceMs = nowMs;
                 vms.addAll(mVms);
                 setVms(vms);
             }
@@ -84,9 +84,9 @@
      *
      * @return empty where it may start, and must then be ended once; otherwise {@code RATE_LIMITED}
      */
-    public Optional<Failure> start(long nowMs, OrganisationId organisation) {
+    public Optional<Failure> tryStart(long nowMs, OrganisationId organisation) {
         synchronized (mLock) {
-            settle(nowMs);
+            applyDueShrink(nowMs);
             Optional<OrganisationTerms> terms = mConfig.terms(organisation);
             if (terms.isEmpty()) {
                 return Optional.of(
@@ -95,24 +95,25 @@
                                 "organisation " + organisation + " is not configured"));
             }
             Usage usage = mUsages.computeIfAbsent(organisation, o -> new Usage());
-            if (usage.mInProgress >= places(organisation, usage, terms.get().maxConcurrent())) {
-                return Optional.of(limited("requests in progress", 1_000));
+            if (usage.mInProgress
+                    >= concurrencyShare(organisation, usage, terms.get().maxConcurrent())) {
+                return Optional.of(rateLimited("requests in progress", 1_000));
             }
             double perMs = terms.get().requestsPerSecond() / 1_000.0 / mVms.size();
             refill(nowMs, usage, perMs);
-            if (usage.mCredit < 1) {
-                double missing = 1 - usage.mCredit;
+            if (usage.mTokens < 1) {
+                double missing = 1 - usage.mTokens;
                 long waitMs = perMs > 0 ? (long) Math.ceil(missing / perMs) : 60_000;
-                return Optional.of(limited("requests per second", waitMs));
+                return Optional.of(rateLimited("requests per second", waitMs));
             }
-            usage.mCredit--;
+            usage.mTokens--;
             usage.mInProgress++;
             return Optional.empty();
         }
     }
 
     /** Ends a request that was started. */
-    public void ended(OrganisationId organisation) {
+    public void onEnded(OrganisationId organisation) {
         synchronized (mLock) {
             Usage usage = mUsages.get(organisation);
             if (usage == null || usage.mInProgress == 0) {
@@ -122,10 +123,10 @@
         }
     }
 
-    private int places(OrganisationId organisation, Usage usage, int total) {
-        if (usage.mRankEpoch != mEpoch) {
+    private int concurrencyShare(OrganisationId organisation, Usage usage, int total) {
+        if (usage.mRankEpoch != mVmsEpoch) {
             usage.mRank = rank(organisation);
-            usage.mRankEpoch = mEpoch;
+            usage.mRankEpoch = mVmsEpoch;
         }
         int vms = mVms.size();
         return total / vms + (usage.mRank < total % vms ? 1 : 0);
@@ -144,27 +145,27 @@
 
     private void setVms(Set<String> vms) {
         mVms = Set.copyOf(vms);
-        mEpoch++;
+        mVmsEpoch++;
     }
 
-    private void settle(long nowMs) {
-        if (mSmallerVms.size() < mVms.size() && nowMs - mSmallerSinceMs >= GROW_DELAY_MS) {
-            setVms(mSmallerVms);
+    private void applyDueShrink(long nowMs) {
+        if (mPendingVms.size() < mVms.size() && nowMs - mPendingSinceMs >= GROW_DELAY_MS) {
+            setVms(mPendingVms);
         }
     }
 
     private static void refill(long nowMs, Usage usage, double perMs) {
         double most = Math.max(1, perMs * 1_000);
-        if (usage.mCreditAtMs == Long.MIN_VALUE) {
-            usage.mCredit = most;
+        if (usage.mRefilledAtMs == Long.MIN_VALUE) {
+            usage.mTokens = most;
         } else {
-            double credit = usage.mCredit + Math.max(0, nowMs - usage.mCreditAtMs) * perMs;
-            usage.mCredit = Math.min(most, credit);
+            double credit = usage.mTokens + Math.max(0, nowMs - usage.mRefilledAtMs) * perMs;
+            usage.mTokens = Math.min(most, credit);
         }
-        usage.mCreditAtMs = nowMs;
+        usage.mRefilledAtMs = nowMs;
     }
 
-    private static Failure limited(String what, long retryAfterMs) {
+    private static Failure rateLimited(String what, long retryAfterMs) {
         return Failure.retryAfter(
                 ErrorKind.RATE_LIMITED,
                 "the organisation's limit on " + what + " is reached on this VM",
--- a/coordination/src/main/java/org/hornbeampass/coordination/limit/RetryBudget.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/limit/RetryBudget.java
@@ -8,13 +8,13 @@
  * balance, and what is saved up never exceeds a bound. One budget for each VM. Thread-safe.
  */
 public final class RetryBudget {
-    private static final int WHOLE = 100;
+    private static final int UNITS_PER_ATTEMPT = 100;
     private static final int DEFAULT_PERCENT = 10;
-    private static final int DEFAULT_START = 5;
-    private static final int DEFAULT_MOST = 50;
+    private static final int DEFAULT_INITIAL = 5;
+    private static final int DEFAULT_MAX = 50;
 
     private final int mPercent;
-    private final int mMost;
+    private final int mMaxBalance;
     private int mBalance;
     private long mFirstAttempts;
     private long mFurtherAttempts;
@@ -29,35 +29,35 @@
      */
     public RetryBudget(int percent, int start, int most) {
         mPercent = percent;
-        mMost = most * WHOLE;
-        mBalance = start * WHOLE;
+        mMaxBalance = most * UNITS_PER_ATTEMPT;
+        mBalance = start * UNITS_PER_ATTEMPT;
     }
 
     /** Returns a budget of one further attempt for ten first ones. */
     public static RetryBudget defaults() {
-        return new RetryBudget(DEFAULT_PERCENT, DEFAULT_START, DEFAULT_MOST);
+        return new RetryBudget(DEFAULT_PERCENT, DEFAULT_INITIAL, DEFAULT_MAX);
     }
 
     /** Counts a first attempt. */
     public synchronized void onFirstAttempt() {
         mFirstAttempts++;
-        mBalance = Math.max(mBalance, Math.min(mMost, mBalance + mPercent));
+        mBalance = Math.max(mBalance, Math.min(mMaxBalance, mBalance + mPercent));
     }
 
     /** Takes one further attempt out of the budget; returns whether it was there. */
     public synchronized boolean tryTake() {
-        if (mBalance < WHOLE) {
+        if (mBalance < UNITS_PER_ATTEMPT) {
             mRefused++;
             return false;
         }
-        mBalance -= WHOLE;
+        mBalance -= UNITS_PER_ATTEMPT;
         mFurtherAttempts++;
         return true;
     }
 
     /** Returns whether more than half of what may be saved up is there. */
-    public synchronized boolean moreThanHalf() {
-        return mBalance * 2 > mMost;
+    public synchronized boolean isMoreThanHalfFull() {
+        return mBalance * 2 > mMaxBalance;
     }
 
     /** Returns how many first attempts were counted. */
--- a/coordination/src/main/java/org/hornbeampass/coordination/limit/ServiceRate.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/limit/ServiceRate.java
@@ -14,13 +14,13 @@
     private final long[] mCompletedMs = new long[SAMPLES];
     private int mCount;
 
-    void completed(long nowMs) {
+    void onCompleted(long nowMs) {
         mCompletedMs[mCount % SAMPLES] = nowMs;
         mCount++;
     }
 
     /** Returns the time in milliseconds; empty where too few completions are known. */
-    OptionalLong waitMs(long nowMs, int requests) {
+    OptionalLong estimateWaitMs(long nowMs, int requests) {
         int known = Math.min(mCount, SAMPLES);
         if (known < MIN_SAMPLES) {
             return OptionalLong.empty();
--- a/coordination/src/main/java/org/hornbeampass/coordination/limit/StreamResume.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/limit/StreamPosition.java
@@ -14,23 +14,23 @@
  * @param attempt the attempt whose parts are accepted
  * @param delivered how many tokens the caller has
  */
-public record StreamResume(long attempt, long delivered) {
+public record StreamPosition(long attempt, long delivered) {
     /**
      * A part that fits.
      *
      * @param skip how many of its leading tokens the caller has already
      * @param next the position after it
      */
-    public record Fitted(int skip, StreamResume next) {}
+    public record FittedPart(int skip, StreamPosition next) {}
 
     /** Returns the start of an attempt's answer. */
-    public static StreamResume start(long attempt) {
-        return new StreamResume(attempt, 0);
+    public static StreamPosition start(long attempt) {
+        return new StreamPosition(attempt, 0);
     }
 
     /** Returns the same position for the attempt that resumes the stream. */
-    public StreamResume resumedBy(long newAttempt) {
-        return new StreamResume(newAttempt, delivered);
+    public StreamPosition resumedBy(long newAttempt) {
+        return new StreamPosition(newAttempt, delivered);
     }
 
     /** Returns whether a part belongs to the present attempt; one that doesn't is dropped. */
@@ -45,7 +45,7 @@
      * @param length the number of tokens in it
      * @return how much of it is new, or {@code STREAM_BROKEN} where tokens are missing before it
      */
-    public Either<Failure, Fitted> fit(long offset, int length) {
+    public Either<Failure, FittedPart> fit(long offset, int length) {
         if (offset > delivered) {
             return Either.left(
                     Failure.of(
@@ -58,6 +58,6 @@
         }
         long skip = Math.min(length, delivered - offset);
         long reached = Math.max(delivered, offset + length);
-        return Either.right(new Fitted((int) skip, new StreamResume(attempt, reached)));
+        return Either.right(new FittedPart((int) skip, new StreamPosition(attempt, reached)));
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/limit/WaitingRequests.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/limit/WaitingRequests.java
@@ -15,38 +15,38 @@
  * Holds waiting requests by priority and organisation, and decides which is served and which shed.
  *
  * <p>The highest priority is served first, and within it the organisation furthest behind its fair
- * share; each {@value #FAIR_TURN}th turn goes by fair share alone, so that no priority starves. The
- * lowest priority is shed first, and within it the newest request of the organisation that waits
- * with the most cost for its weight. Not thread-safe: guarded by the queue's lock.
+ * share; each {@value #FAIR_TURN_INTERVAL}th turn goes by fair share alone, so that no priority
+ * starves. The lowest priority is shed first, and within it the newest request of the organisation
+ * that waits with the most cost for its weight. Not thread-safe: guarded by the queue's lock.
  */
 final class WaitingRequests {
-    private static final int FAIR_TURN = 8;
+    private static final int FAIR_TURN_INTERVAL = 8;
 
-    private final TreeMap<Integer, Map<OrganisationId, ArrayDeque<Waiting>>> mByPriority =
+    private final TreeMap<Integer, Map<OrganisationId, ArrayDeque<WaitingRequest>>> mByPriority =
             new TreeMap<>();
     private final FairShares mShares = new FairShares();
     private int mSize;
     private int mTurn;
 
     /** One waiting request with its number. */
-    record Waiting(long number, AdmissionRequest request) {}
+    record WaitingRequest(long number, AdmissionRequest request) {}
 
     int size() {
         return mSize;
     }
 
     /** Returns how many wait with at least a given priority. */
-    int sizeFrom(int priority) {
+    int countAtOrAbove(int priority) {
         int size = 0;
         for (var organisations : mByPriority.tailMap(priority, true).values()) {
-            for (ArrayDeque<Waiting> line : organisations.values()) {
+            for (ArrayDeque<WaitingRequest> line : organisations.values()) {
                 size += line.size();
             }
         }
         return size;
     }
 
-    void add(Waiting waiting) {
+    void add(WaitingRequest waiting) {
         mByPriority
                 .computeIfAbsent(waiting.request().priority(), p -> new HashMap<>())
                 .computeIfAbsent(waiting.request().organisation(), o -> new ArrayDeque<>())
@@ -54,12 +54,12 @@
         mSize++;
     }
 
-    boolean remove(Waiting waiting) {
+    boolean remove(WaitingRequest waiting) {
         var organisations = mByPriority.get(waiting.request().priority());
         if (organisations == null) {
             return false;
         }
-        ArrayDeque<Waiting> line = organisations.get(waiting.request().organisation());
+        ArrayDeque<WaitingRequest> line = organisations.get(waiting.request().organisation());
         if (line == null || !line.remove(waiting)) {
             return false;
         }
@@ -74,62 +74,63 @@
     }
 
     /** Takes out the request that is served next; empty where none waits. */
-    Optional<Waiting> takeNext() {
+    Optional<WaitingRequest> takeNext() {
         if (mSize == 0) {
             return Optional.empty();
         }
         mTurn++;
-        Waiting next = mTurn % FAIR_TURN == 0 ? fairest() : ofHighestPriority();
+        WaitingRequest next =
+                mTurn % FAIR_TURN_INTERVAL == 0 ? nextByFairShare() : nextByPriority();
         remove(next);
-        served(next.request());
+        onServed(next.request());
         return Optional.of(next);
     }
 
     /** Counts a request that is served without waiting. */
-    void served(AdmissionRequest request) {
-        mShares.served(request);
+    void onServed(AdmissionRequest request) {
+        mShares.onServed(request);
     }
 
     /** Returns the request that is shed first; empty where none waits. */
-    Optional<Waiting> firstToShed() {
+    Optional<WaitingRequest> firstToShed() {
         if (mSize == 0) {
             return Optional.empty();
         }
         return mByPriority.firstEntry().getValue().values().stream()
                 .max(
-                        Comparator.comparingDouble(WaitingRequests::weighedCost)
+                        Comparator.comparingDouble(WaitingRequests::costPerWeight)
                                 .thenComparing(line -> line.peekLast().number()))
                 .map(ArrayDeque::peekLast);
     }
 
     /** Returns those whose deadline has passed. */
-    List<Waiting> late(long nowMs) {
-        List<Waiting> late = new ArrayList<>();
+    List<WaitingRequest> expired(long nowMs) {
+        List<WaitingRequest> late = new ArrayList<>();
         for (var organisations : mByPriority.values()) {
-            for (ArrayDeque<Waiting> line : organisations.values()) {
+            for (ArrayDeque<WaitingRequest> line : organisations.values()) {
                 line.stream().filter(w -> w.request().deadline().passed(nowMs)).forEach(late::add);
             }
         }
-        late.sort(Comparator.comparingLong(Waiting::number));
+        late.sort(Comparator.comparingLong(WaitingRequest::number));
         return late;
     }
 
-    private Waiting ofHighestPriority() {
+    private WaitingRequest nextByPriority() {
         var organisations = mByPriority.lastEntry().getValue();
         return organisations.get(mShares.next(organisations.keySet())).peekFirst();
     }
 
-    private Waiting fairest() {
-        Map<OrganisationId, Waiting> heads = new HashMap<>();
+    private WaitingRequest nextByFairShare() {
+        Map<OrganisationId, WaitingRequest> heads = new HashMap<>();
         for (var organisations : mByPriority.descendingMap().values()) {
             organisations.forEach((o, line) -> heads.putIfAbsent(o, line.peekFirst()));
         }
         return heads.get(mShares.next(heads.keySet()));
     }
 
-    private static double weighedCost(ArrayDeque<Waiting> line) {
+    private static double costPerWeight(ArrayDeque<WaitingRequest> line) {
         double cost = 0;
-        for (Waiting waiting : line) {
+        for (WaitingRequest waiting : line) {
             cost += waiting.request().cost();
         }
         return cost / line.peekLast().request().weight();
--- a/coordination/src/main/java/org/hornbeampass/coordination/quarantine/Quarantine.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/quarantine/Quarantine.java
@@ -28,10 +28,10 @@
     private static final int MAX_ITEMS = 128;
 
     private final SuspectTable mTable;
-    private final QuarantineRecords mRecords;
+    private final QuarantineStore mStore;
     private final PeerNetwork mPeers;
-    private final BooleanSupplier mKeeper;
-    private final RelayedNews<RequestDigest> mNews;
+    private final BooleanSupplier mOwnsRecords;
+    private final RelayedNews<RequestDigest> mPendingReports;
 
     /**
      * Makes a quarantine without requests.
@@ -49,12 +49,12 @@
             Supplier<FleetPaths> paths,
             BooleanSupplier keeper,
             RandomGenerator random,
-            SuspectListener listener) {
+            QuarantineListener listener) {
         mTable = new SuspectTable(listener);
-        mRecords = new QuarantineRecords(platform, mTable, listener, keeper, random, this::clear);
+        mStore = new QuarantineStore(platform, mTable, listener, keeper, random, this::clear);
         mPeers = peers;
-        mKeeper = keeper;
-        mNews = new RelayedNews<>(paths, this::tell);
+        mOwnsRecords = keeper;
+        mPendingReports = new RelayedNews<>(paths, this::sendReports);
     }
 
     /** Returns what is known of requests. */
@@ -70,7 +70,7 @@
      * @param requests those of this VM that were in progress there
      */
     public void onCrash(long nowMs, UpstreamIncarnation crash, Collection<RequestDigest> requests) {
-        mTable.onCrash(nowMs, crash, requests).forEach(mNews::add);
+        mTable.onCrash(nowMs, crash, requests).forEach(mPendingReports::add);
     }
 
     /**
@@ -81,7 +81,7 @@
      */
     public void clear(long nowMs, RequestDigest digest) {
         if (mTable.clear(nowMs, digest)) {
-            mNews.add(digest);
+            mPendingReports.add(digest);
         }
     }
 
@@ -90,16 +90,16 @@
      * were interrupted by the same crashes. One VM of the fleet allows trials, as far as its VMs
      * agree on their members.
      */
-    public boolean trialDue(long nowMs, RequestDigest digest) {
-        return mTable.trialDue(nowMs, digest) && mKeeper.getAsBoolean();
+    public boolean isTrialDue(long nowMs, RequestDigest digest) {
+        return mTable.isTrialDue(nowMs, digest) && mOwnsRecords.getAsBoolean();
     }
 
     /**
      * Counts a trial that is about to run; returns whether it may. No other one begins before
      * {@link #endTrial}.
      */
-    public boolean takeTrial(long nowMs, RequestDigest digest) {
-        return trialDue(nowMs, digest) && mTable.takeTrial(nowMs, digest);
+    public boolean tryStartTrial(long nowMs, RequestDigest digest) {
+        return isTrialDue(nowMs, digest) && mTable.tryStartTrial(nowMs, digest);
     }
 
     /** Ends a trial: the request has left its upstream. */
@@ -109,25 +109,25 @@
 
     /** Takes what another VM tells. */
     public void onReport(long nowMs, VmId from, SuspectReport report, Consumer<PeerMessage> reply) {
-        mNews.onTold(from.name(), mTable.merge(nowMs, report.items()));
+        mPendingReports.onTold(from.name(), mTable.merge(nowMs, report.items()));
         report.items().stream()
                 .filter(i -> i.quarantineLeftMs() > 0)
                 .map(SuspectReport.Item::digest)
                 .filter(d -> mTable.quarantineLeftMs(nowMs, d) == 0)
-                .forEach(mNews::add);
+                .forEach(mPendingReports::add);
     }
 
     /** Tells the others what is new, and makes the calls to the store that are due. */
     public void tick(long nowMs) {
         mTable.tick(nowMs);
-        mRecords.tick(nowMs);
-        if (mNews.repeats(nowMs)) {
-            mTable.quarantined(nowMs).forEach(i -> mNews.add(i.digest()));
+        mStore.tick(nowMs);
+        if (mPendingReports.repeats(nowMs)) {
+            mTable.quarantinedItems(nowMs).forEach(i -> mPendingReports.add(i.digest()));
         }
-        mNews.tick(nowMs);
+        mPendingReports.tick(nowMs);
     }
 
-    private void tell(long nowMs, List<String> vms, List<RequestDigest> digests) {
+    private void sendReports(long nowMs, List<String> vms, List<RequestDigest> digests) {
         List<SuspectReport.Item> items =
                 digests.stream().map(d -> mTable.item(nowMs, d)).flatMap(Optional::stream).toList();
         for (int from = 0; from < items.size(); from += MAX_ITEMS) {
--- a/coordination/src/main/java/org/hornbeampass/coordination/quarantine/SuspectListener.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/quarantine/QuarantineListener.java
@@ -9,7 +9,7 @@
  *
  * <p>Called on the thread to which the table is confined.
  */
-public interface SuspectListener {
+public interface QuarantineListener {
     /** A request is kept from upstreams from now on, for the crashes of some. */
     void onQuarantined(long nowMs, RequestDigest digest, List<UpstreamIncarnation> crashes);
 
--- a/coordination/src/main/java/org/hornbeampass/coordination/quarantine/RequestStanding.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/quarantine/QuarantineStatus.java
@@ -5,7 +5,7 @@
  *
  * <p>Immutable; safe for use by any thread.
  */
-public enum RequestStanding {
+public enum QuarantineStatus {
     /** No upstream crashed under it since it was last answered whole. */
     UNSUSPECTED(true, true),
     /** Upstreams crashed under it, though others may have been the cause. */
@@ -14,11 +14,11 @@
     QUARANTINED(false, false);
 
     private final boolean mMayBeSent;
-    private final boolean mMayBeSentAgain;
+    private final boolean mMayBeRetried;
 
-    RequestStanding(boolean mayBeSent, boolean mayBeSentAgain) {
+    QuarantineStatus(boolean mayBeSent, boolean mayBeSentAgain) {
         mMayBeSent = mayBeSent;
-        mMayBeSentAgain = mayBeSentAgain;
+        mMayBeRetried = mayBeSentAgain;
     }
 
     /** Returns whether it may go to an upstream at all. */
@@ -27,7 +27,7 @@
     }
 
     /** Returns whether it may go to another upstream right after it lost one. */
-    public boolean mayBeSentAgain() {
-        return mMayBeSentAgain;
+    public boolean mayBeRetried() {
+        return mMayBeRetried;
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/quarantine/QuarantineRecords.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/quarantine/QuarantineStore.java
@@ -29,45 +29,45 @@
  * verdicts and starts, not on VMs and time. Invariants: one reading is open at a time, and one
  * write for each request; no write waits for another. Confined to one thread.
  */
-final class QuarantineRecords {
+final class QuarantineStore {
     static final String PREFIX = "quarantines/";
 
     /** How often the keeper reads the records while there are any, in milliseconds. */
-    private static final long READ_MS = 10_000;
+    private static final long READ_INTERVAL_MS = 10_000;
 
     /** How long to wait after a call that failed, in milliseconds. */
-    private static final long RETRY_MS = 1_000;
+    private static final long RETRY_DELAY_MS = 1_000;
 
     /**
      * How long VMs that saw one of the crashes leave the record to the keeper, in milliseconds: the
      * keeper tells the others of its record within half a second.
      */
-    private static final long WITNESS_MS = 600;
+    private static final long OBSERVER_WRITE_DELAY_MS = 600;
 
     /** Over how long the witnesses spread their tries, in milliseconds. */
-    private static final int WITNESS_SPREAD_MS = 400;
+    private static final int OBSERVER_WRITE_JITTER_MS = 400;
 
     /** How long others leave the record to the keeper, in milliseconds. */
-    private static final long KEEPER_MS = 3_000;
+    private static final long FALLBACK_WRITE_DELAY_MS = 3_000;
 
     /** Over how long the others spread their own tries, in milliseconds. */
-    private static final int SPREAD_MS = 7_000;
+    private static final int FALLBACK_WRITE_JITTER_MS = 7_000;
 
-    private static final int PAGE = 500;
+    private static final int PAGE_SIZE = 500;
 
     private final Platform mPlatform;
     private final SuspectTable mTable;
-    private final SuspectListener mListener;
-    private final BooleanSupplier mKeeper;
+    private final QuarantineListener mListener;
+    private final BooleanSupplier mOwnsRecords;
     private final RandomGenerator mRandom;
     private final BiConsumer<Long, RequestDigest> mOnLifted;
     private final Map<RequestDigest, Long> mWriteAtMs = new HashMap<>();
-    private final Set<RequestDigest> mFound = new HashSet<>();
-    private Set<RequestDigest> mRecordedBefore = Set.of();
-    private boolean mRead;
-    private boolean mAnyStored;
-    private final Set<RequestDigest> mWriting = new HashSet<>();
-    private boolean mReading;
+    private final Set<RequestDigest> mListed = new HashSet<>();
+    private Set<RequestDigest> mRecordedBeforeRead = Set.of();
+    private boolean mReadOnce;
+    private boolean mHasRecords;
+    private final Set<RequestDigest> mWritesInProgress = new HashSet<>();
+    private boolean mReadInProgress;
     private long mNextReadMs;
 
     /**
@@ -80,40 +80,42 @@
      * @param random spreads the tries of the others
      * @param onLifted takes the present time in milliseconds and a request whose record was deleted
      */
-    QuarantineRecords(
+    QuarantineStore(
             Platform platform,
             SuspectTable table,
-            SuspectListener listener,
+            QuarantineListener listener,
             BooleanSupplier keeper,
             RandomGenerator random,
             BiConsumer<Long, RequestDigest> onLifted) {
         mPlatform = platform;
         mTable = table;
         mListener = listener;
-        mKeeper = keeper;
+        mOwnsRecords = keeper;
         mRandom = random;
         mOnLifted = onLifted;
     }
 
     /** Makes the calls that are due. */
     void tick(long nowMs) {
-        List<SuspectReport.Item> quarantined = mTable.quarantined(nowMs);
+        List<SuspectReport.Item> quarantined = mTable.quarantinedItems(nowMs);
         mWriteAtMs.keySet().retainAll(quarantined.stream().map(i -> i.digest()).toList());
         quarantined.stream()
-                .filter(i -> !i.recorded() && !mWriting.contains(i.digest()))
+                .filter(i -> !i.recorded() && !mWritesInProgress.contains(i.digest()))
                 .filter(i -> nowMs >= writeAtMs(nowMs, i.digest()))
                 .forEach(i -> write(nowMs, i));
-        boolean any = mAnyStored || !quarantined.isEmpty();
+        boolean any = mHasRecords || !quarantined.isEmpty();
         boolean readingDue =
-                !mReading && nowMs >= mNextReadMs && (!mRead || (any && mKeeper.getAsBoolean()));
+                !mReadInProgress
+                        && nowMs >= mNextReadMs
+                        && (!mReadOnce || (any && mOwnsRecords.getAsBoolean()));
         if (readingDue) {
-            mFound.clear();
-            mRecordedBefore = recorded(quarantined);
+            mListed.clear();
+            mRecordedBeforeRead = recordedDigests(quarantined);
             read(nowMs, "");
         }
     }
 
-    private static Set<RequestDigest> recorded(List<SuspectReport.Item> items) {
+    private static Set<RequestDigest> recordedDigests(List<SuspectReport.Item> items) {
         Set<RequestDigest> recorded = new HashSet<>();
         items.stream().filter(i -> i.recorded()).forEach(i -> recorded.add(i.digest()));
         return recorded;
@@ -124,16 +126,16 @@
     }
 
     private long writeDelayMs(RequestDigest digest) {
-        if (mKeeper.getAsBoolean()) {
+        if (mOwnsRecords.getAsBoolean()) {
             return 0;
         }
-        return mTable.witnessed(digest)
-                ? WITNESS_MS + mRandom.nextInt(WITNESS_SPREAD_MS)
-                : KEEPER_MS + mRandom.nextInt(SPREAD_MS);
+        return mTable.isObservedLocally(digest)
+                ? OBSERVER_WRITE_DELAY_MS + mRandom.nextInt(OBSERVER_WRITE_JITTER_MS)
+                : FALLBACK_WRITE_DELAY_MS + mRandom.nextInt(FALLBACK_WRITE_JITTER_MS);
     }
 
     private void write(long nowMs, SuspectReport.Item item) {
-        mWriting.add(item.digest());
+        mWritesInProgress.add(item.digest());
         String key = PREFIX + item.digest();
         QuarantineRecord record =
                 new QuarantineRecord(item.crashes(), nowMs + item.quarantineLeftMs());
@@ -144,40 +146,41 @@
     }
 
     private void onWritten(long nowMs, String key, RequestDigest digest, PlatformReply reply) {
-        mWriting.remove(digest);
+        mWritesInProgress.remove(digest);
         boolean stored =
                 reply instanceof PlatformReply.Written || reply instanceof PlatformReply.Conflict;
         if (!stored) {
-            mWriteAtMs.put(digest, nowMs + RETRY_MS);
+            mWriteAtMs.put(digest, nowMs + RETRY_DELAY_MS);
             mListener.onRecordFailed(nowMs, key, reply.toString());
             return;
         }
-        mAnyStored = true;
+        mHasRecords = true;
         mTable.onRecorded(digest);
     }
 
     private void read(long nowMs, String afterKey) {
-        mReading = true;
-        mPlatform.submit(nowMs, new PlatformCall.ListObjects(PREFIX, afterKey, PAGE), this::onRead);
+        mReadInProgress = true;
+        mPlatform.submit(
+                nowMs, new PlatformCall.ListObjects(PREFIX, afterKey, PAGE_SIZE), this::onRead);
     }
 
     private void onRead(long nowMs, PlatformReply reply) {
-        mReading = false;
+        mReadInProgress = false;
         if (!(reply instanceof PlatformReply.Listed listed)) {
-            mNextReadMs = nowMs + RETRY_MS;
+            mNextReadMs = nowMs + RETRY_DELAY_MS;
             mListener.onRecordFailed(nowMs, PREFIX, reply.toString());
             return;
         }
-        listed.objects().forEach(o -> take(nowMs, o));
+        listed.objects().forEach(o -> onRecord(nowMs, o));
         if (listed.more() && !listed.objects().isEmpty()) {
             read(nowMs, listed.objects().get(listed.objects().size() - 1).key());
             return;
         }
-        mRead = true;
-        mNextReadMs = nowMs + READ_MS;
-        mAnyStored = !mFound.isEmpty();
-        mRecordedBefore.stream()
-                .filter(d -> !mFound.contains(d))
+        mReadOnce = true;
+        mNextReadMs = nowMs + READ_INTERVAL_MS;
+        mHasRecords = !mListed.isEmpty();
+        mRecordedBeforeRead.stream()
+                .filter(d -> !mListed.contains(d))
                 .forEach(d -> mOnLifted.accept(nowMs, d));
     }
 
@@ -191,7 +194,7 @@
     }
 
     /** Takes a record: its quarantine goes on, or is over and its record is deleted. */
-    private void take(long nowMs, StoredObject object) {
+    private void onRecord(long nowMs, StoredObject object) {
         Optional<RequestDigest> digest =
                 RequestDigest.parse(object.key().substring(PREFIX.length()));
         Either<Failure, QuarantineRecord> read =
@@ -200,13 +203,13 @@
             mListener.onRecordFailed(nowMs, object.key(), "it is no record of a quarantine");
             return;
         }
-        mFound.add(digest.get());
+        mListed.add(digest.get());
         SuspectReport.Item item = read.get().item(nowMs, digest.get());
         if (item.quarantineLeftMs() > 0) {
             mTable.merge(nowMs, List.of(item));
         }
         boolean over = mTable.quarantineLeftMs(nowMs, digest.get()) == 0;
-        if (over && mKeeper.getAsBoolean()) {
+        if (over && mOwnsRecords.getAsBoolean()) {
             mPlatform.submit(
                     nowMs,
                     new PlatformCall.Delete(object.key(), object.version()),
--- a/coordination/src/main/java/org/hornbeampass/coordination/quarantine/RequestHasher.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/quarantine/RequestHasher.java
@@ -54,14 +54,14 @@
      * @param caller who sends it; empty where that is not known
      * @param bytes how many bytes of the body count
      */
-    public long scope(String host, String path, String caller, long bytes) {
+    public long hashScope(String host, String path, String caller, long bytes) {
         Mac mac = mac();
         for (String each : List.of(host, path, caller)) {
             mac.update(each.getBytes(StandardCharsets.UTF_8));
             mac.update(SEPARATOR);
         }
         mac.update(ByteBuffer.allocate(Long.BYTES).putLong(bytes).flip());
-        return finish();
+        return finishHash();
     }
 
     /**
@@ -70,7 +70,7 @@
      * @param parts the body's parts, whose positions are left as they are
      * @param maxBytes how many bytes of the body count at most
      */
-    public long content(List<ByteBuffer> parts, long maxBytes) {
+    public long hashContent(List<ByteBuffer> parts, long maxBytes) {
         Mac mac = mac();
         long left = maxBytes;
         for (ByteBuffer part : parts) {
@@ -79,10 +79,10 @@
             left -= view.remaining();
             mac.update(view);
         }
-        return finish();
+        return finishHash();
     }
 
-    private long finish() {
+    private long finishHash() {
         return ByteBuffer.wrap(mac().doFinal()).getLong();
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/quarantine/Suspect.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/quarantine/Suspect.java
@@ -30,10 +30,10 @@
     /** Whether each crash is cleared, in the order in which the crashes became known here. */
     private final Map<UpstreamIncarnation, Boolean> mClearedByCrash = new LinkedHashMap<>();
 
-    private long mKeptUntilMs;
+    private long mRetainedUntilMs;
     private boolean mQuarantined;
     private boolean mRecorded;
-    private boolean mWitnessed;
+    private boolean mObservedLocally;
     private int mTrials;
     private long mNextTrialMs = Long.MAX_VALUE;
 
@@ -46,19 +46,19 @@
     }
 
     /** Notes that this VM itself saw one of the crashes. */
-    void setWitnessed() {
-        mWitnessed = true;
+    void setObservedLocally() {
+        mObservedLocally = true;
     }
 
-    boolean witnessed() {
-        return mWitnessed;
+    boolean isObservedLocally() {
+        return mObservedLocally;
     }
 
     /** Adds crashes, and those that the request did not cause; returns whether any was new. */
     boolean add(Collection<UpstreamIncarnation> crashes, Collection<UpstreamIncarnation> cleared) {
         boolean any = false;
         for (UpstreamIncarnation each : crashes) {
-            any |= !cleared.contains(each) && addOpen(each);
+            any |= !cleared.contains(each) && addUncleared(each);
         }
         for (UpstreamIncarnation each : cleared) {
             any |= addCleared(each);
@@ -66,8 +66,8 @@
         return any;
     }
 
-    private boolean addOpen(UpstreamIncarnation crash) {
-        if (mClearedByCrash.containsKey(crash) || !makeRoom()) {
+    private boolean addUncleared(UpstreamIncarnation crash) {
+        if (mClearedByCrash.containsKey(crash) || !tryMakeRoom()) {
             return false;
         }
         mClearedByCrash.put(crash, false);
@@ -80,7 +80,7 @@
     }
 
     /** Returns whether there is room for one more crash, for which an old cleared one may go. */
-    private boolean makeRoom() {
+    private boolean tryMakeRoom() {
         return mClearedByCrash.size() < MAX_CRASHES || mClearedByCrash.values().remove(true);
     }
 
@@ -92,7 +92,7 @@
     }
 
     /** Returns the crashes that it may have caused. */
-    Set<UpstreamIncarnation> open() {
+    Set<UpstreamIncarnation> unclearedCrashes() {
         return crashes(false);
     }
 
@@ -104,11 +104,11 @@
     }
 
     /** Returns whether enough crashes are known for a verdict against it. */
-    boolean judgeable() {
+    boolean hasEnoughCrashes() {
         return mClearedByCrash.size() >= SuspectTable.CRASHES_TO_QUARANTINE;
     }
 
-    boolean quarantined() {
+    boolean isQuarantined() {
         return mQuarantined;
     }
 
@@ -119,21 +119,21 @@
     }
 
     /** Returns whether it may run to tell it from other requests. */
-    boolean trialDue(long nowMs) {
+    boolean isTrialDue(long nowMs) {
         return mQuarantined && mTrials < MAX_TRIALS && nowMs >= mNextTrialMs;
     }
 
     /** Counts a trial. */
-    void onTrial() {
+    void onTrialStarted() {
         mTrials++;
     }
 
     /** Allows no trial before a time in milliseconds. */
-    void noTrialBefore(long ms) {
+    void deferTrialUntil(long ms) {
         mNextTrialMs = ms;
     }
 
-    boolean recorded() {
+    boolean isRecorded() {
         return mRecorded;
     }
 
@@ -141,17 +141,17 @@
         mRecorded = true;
     }
 
-    long keptUntilMs() {
-        return mKeptUntilMs;
+    long retainedUntilMs() {
+        return mRetainedUntilMs;
     }
 
     /** Keeps what is known until a time in milliseconds at least. */
-    void keepUntil(long untilMs) {
-        mKeptUntilMs = Math.max(mKeptUntilMs, untilMs);
+    void retainUntil(long untilMs) {
+        mRetainedUntilMs = Math.max(mRetainedUntilMs, untilMs);
     }
 
     SuspectReport.Item item(long nowMs) {
-        long leftMs = mQuarantined ? Math.max(0, mKeptUntilMs - nowMs) : 0;
+        long leftMs = mQuarantined ? Math.max(0, mRetainedUntilMs - nowMs) : 0;
         return new SuspectReport.Item(
                 mDigest,
                 List.copyOf(mClearedByCrash.keySet()),
--- a/coordination/src/main/java/org/hornbeampass/coordination/quarantine/SuspectTable.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/quarantine/SuspectTable.java
@@ -31,10 +31,10 @@
      * How much the crashes count, at most, that a request with more of them explains: one more that
      * it does not explain then decides.
      */
-    private static final int EXPLAINED_COUNT = CRASHES_TO_QUARANTINE - 1;
+    private static final int MAX_EXPLAINED_COUNT = CRASHES_TO_QUARANTINE - 1;
 
     /** For how long a crash counts against a request, and a quarantine lasts, in milliseconds. */
-    static final long KEPT_MS = 600_000;
+    static final long RETENTION_MS = 600_000;
 
     /**
      * By how much the end of a quarantine must differ to be taken over, in milliseconds: the time
@@ -46,7 +46,7 @@
      * How long after a verdict, or after a trial that told nothing, a trial of the same request may
      * be, in milliseconds: all crashes are known by then.
      */
-    static final long TRIAL_AFTER_MS = 2_000;
+    static final long TRIAL_DELAY_MS = 2_000;
 
     /** How many requests are kept; an upstream that crashes may have run some hundred. */
     static final int MAX_SUSPECTS = 4_096;
@@ -54,24 +54,24 @@
     /**
      * How many are forgotten at once where the table is full, since each time costs a look at all.
      */
-    private static final int EVICTED_AT_ONCE = MAX_SUSPECTS / 8;
+    private static final int EVICTION_BATCH = MAX_SUSPECTS / 8;
 
     private final Map<RequestDigest, Suspect> mByDigest = new HashMap<>();
 
     /** Those with enough crashes for a verdict: few among many. */
-    private final Map<RequestDigest, Suspect> mJudgeable = new HashMap<>();
+    private final Map<RequestDigest, Suspect> mCandidates = new HashMap<>();
 
     private final Set<Long> mScopes = new HashSet<>();
-    private final SuspectListener mListener;
+    private final QuarantineListener mListener;
     private Optional<RequestDigest> mTrial = Optional.empty();
 
     /** Makes an empty table. */
-    public SuspectTable(SuspectListener listener) {
+    public SuspectTable(QuarantineListener listener) {
         mListener = listener;
     }
 
     /** Returns whether any request is known whose digest has a scope. */
-    public boolean knowsScope(long scope) {
+    public boolean containsScope(long scope) {
         return mScopes.contains(scope);
     }
 
@@ -86,12 +86,12 @@
     }
 
     /** Returns the verdict on a request. */
-    public RequestStanding standing(RequestDigest digest) {
+    public QuarantineStatus status(RequestDigest digest) {
         Suspect suspect = mByDigest.get(digest);
-        if (suspect == null || suspect.open().isEmpty()) {
-            return RequestStanding.UNSUSPECTED;
+        if (suspect == null || suspect.unclearedCrashes().isEmpty()) {
+            return QuarantineStatus.UNSUSPECTED;
         }
-        return suspect.quarantined() ? RequestStanding.QUARANTINED : RequestStanding.SUSPECTED;
+        return suspect.isQuarantined() ? QuarantineStatus.QUARANTINED : QuarantineStatus.SUSPECTED;
     }
 
     /**
@@ -99,8 +99,8 @@
      */
     public long quarantineLeftMs(long nowMs, RequestDigest digest) {
         return Optional.ofNullable(mByDigest.get(digest))
-                .filter(Suspect::quarantined)
-                .map(s -> Math.max(0, s.keptUntilMs() - nowMs))
+                .filter(Suspect::isQuarantined)
+                .map(s -> Math.max(0, s.retainedUntilMs() - nowMs))
                 .orElse(0L);
     }
 
@@ -110,20 +110,20 @@
      * more crash explains the crashes of the others. Two trials at the same time could end in one
      * crash, and tell nothing.
      */
-    boolean trialDue(long nowMs, RequestDigest digest) {
+    boolean isTrialDue(long nowMs, RequestDigest digest) {
         Suspect suspect = mByDigest.get(digest);
         return mTrial.isEmpty()
                 && suspect != null
-                && suspect.trialDue(nowMs)
+                && suspect.isTrialDue(nowMs)
                 && sharesCrashes(suspect);
     }
 
     /** Counts a trial where one is due; returns whether it is. It lasts until {@link #endTrial}. */
-    boolean takeTrial(long nowMs, RequestDigest digest) {
-        boolean due = trialDue(nowMs, digest);
+    boolean tryStartTrial(long nowMs, RequestDigest digest) {
+        boolean due = isTrialDue(nowMs, digest);
         if (due) {
             mTrial = Optional.of(digest);
-            mByDigest.get(digest).onTrial();
+            mByDigest.get(digest).onTrialStarted();
         }
         return due;
     }
@@ -134,7 +134,7 @@
             mTrial = Optional.empty();
         }
         Optional.ofNullable(mByDigest.get(digest))
-                .ifPresent(s -> s.noTrialBefore(nowMs + TRIAL_AFTER_MS));
+                .ifPresent(s -> s.deferTrialUntil(nowMs + TRIAL_DELAY_MS));
     }
 
     /**
@@ -144,20 +144,20 @@
     public long retryAfterMs(long nowMs, RequestDigest digest) {
         long leftMs = quarantineLeftMs(nowMs, digest);
         boolean open = leftMs > 0 && sharesCrashes(mByDigest.get(digest));
-        return open ? Math.min(leftMs, TRIAL_AFTER_MS) : leftMs;
+        return open ? Math.min(leftMs, TRIAL_DELAY_MS) : leftMs;
     }
 
     private boolean sharesCrashes(Suspect suspect) {
-        Set<UpstreamIncarnation> open = suspect.open();
-        return mJudgeable.values().stream()
-                .filter(s -> s != suspect && s.quarantined())
-                .anyMatch(s -> !Collections.disjoint(s.open(), open));
+        Set<UpstreamIncarnation> open = suspect.unclearedCrashes();
+        return mCandidates.values().stream()
+                .filter(s -> s != suspect && s.isQuarantined())
+                .anyMatch(s -> !Collections.disjoint(s.unclearedCrashes(), open));
     }
 
     /** Returns what is known of the quarantined requests. */
-    List<SuspectReport.Item> quarantined(long nowMs) {
-        return mJudgeable.values().stream()
-                .filter(Suspect::quarantined)
+    List<SuspectReport.Item> quarantinedItems(long nowMs) {
+        return mCandidates.values().stream()
+                .filter(Suspect::isQuarantined)
                 .map(s -> s.item(nowMs))
                 .toList();
     }
@@ -179,14 +179,14 @@
             long nowMs, UpstreamIncarnation crash, Collection<RequestDigest> requests) {
         List<RequestDigest> changed = new ArrayList<>();
         for (RequestDigest digest : requests) {
-            Suspect suspect = suspect(digest);
-            suspect.setWitnessed();
+            Suspect suspect = getOrAdd(digest);
+            suspect.setObservedLocally();
             if (suspect.add(List.of(crash), List.of())) {
-                suspect.keepUntil(nowMs + KEPT_MS);
+                suspect.retainUntil(nowMs + RETENTION_MS);
                 changed.add(digest);
             }
         }
-        judge(nowMs, changed);
+        updateQuarantines(nowMs, changed);
         return changed;
     }
 
@@ -196,7 +196,7 @@
         if (suspect == null || !suspect.clear()) {
             return false;
         }
-        judge(nowMs, List.of(digest));
+        updateQuarantines(nowMs, List.of(digest));
         return true;
     }
 
@@ -210,29 +210,33 @@
                 changed.add(item.digest());
             }
         }
-        judge(nowMs, changed);
+        updateQuarantines(nowMs, changed);
         return changed;
     }
 
     private boolean merge(long nowMs, SuspectReport.Item item) {
-        Suspect suspect = suspect(item.digest());
+        Suspect suspect = getOrAdd(item.digest());
         boolean changed = suspect.add(item.crashes(), item.cleared());
-        if (item.recorded() && !suspect.recorded()) {
+        if (item.recorded() && !suspect.isRecorded()) {
             suspect.setRecorded();
             changed = true;
         }
         long leftMs =
-                item.quarantineLeftMs() > 0 ? Math.min(item.quarantineLeftMs(), KEPT_MS) : KEPT_MS;
-        boolean longer = nowMs + leftMs > suspect.keptUntilMs() + END_TOLERANCE_MS;
+                item.quarantineLeftMs() > 0
+                        ? Math.min(item.quarantineLeftMs(), RETENTION_MS)
+                        : RETENTION_MS;
+        boolean longer = nowMs + leftMs > suspect.retainedUntilMs() + END_TOLERANCE_MS;
         if (changed || (item.quarantineLeftMs() > 0 && longer)) {
-            suspect.keepUntil(nowMs + leftMs);
+            suspect.retainUntil(nowMs + leftMs);
         }
         return changed;
     }
 
     /** Returns whether this VM itself saw a crash under a request. */
-    boolean witnessed(RequestDigest digest) {
-        return Optional.ofNullable(mByDigest.get(digest)).filter(Suspect::witnessed).isPresent();
+    boolean isObservedLocally(RequestDigest digest) {
+        return Optional.ofNullable(mByDigest.get(digest))
+                .filter(Suspect::isObservedLocally)
+                .isPresent();
     }
 
     /** Notes that the store holds the quarantine of a request. */
@@ -240,13 +244,13 @@
         Optional.ofNullable(mByDigest.get(digest)).ifPresent(Suspect::setRecorded);
     }
 
-    private Suspect suspect(RequestDigest digest) {
+    private Suspect getOrAdd(RequestDigest digest) {
         Suspect known = mByDigest.get(digest);
         if (known != null) {
             return known;
         }
         if (mByDigest.size() >= MAX_SUSPECTS) {
-            evictSome();
+            evictOldest();
         }
         Suspect added = new Suspect(digest);
         mByDigest.put(digest, added);
@@ -255,78 +259,79 @@
     }
 
     /** Forgets the requests that are known for longest, quarantined ones last. */
-    private void evictSome() {
+    private void evictOldest() {
         mByDigest.values().stream()
                 .sorted(
-                        Comparator.comparing(Suspect::quarantined)
-                                .thenComparing(Suspect::keptUntilMs))
-                .limit(EVICTED_AT_ONCE)
+                        Comparator.comparing(Suspect::isQuarantined)
+                                .thenComparing(Suspect::retainedUntilMs))
+                .limit(EVICTION_BATCH)
                 .map(Suspect::digest)
                 .toList()
-                .forEach(this::forget);
+                .forEach(this::remove);
         updateScopes();
     }
 
     /** Judges the requests of which something new is known, and those that this touches. */
-    private void judge(long nowMs, List<RequestDigest> changed) {
+    private void updateQuarantines(long nowMs, List<RequestDigest> changed) {
         for (RequestDigest digest : changed) {
             Suspect suspect = mByDigest.get(digest);
-            if (suspect != null && suspect.judgeable()) {
-                mJudgeable.put(digest, suspect);
+            if (suspect != null && suspect.hasEnoughCrashes()) {
+                mCandidates.put(digest, suspect);
             }
         }
         if (!changed.isEmpty()) {
-            mJudgeable.values().forEach(s -> judge(nowMs, s));
+            mCandidates.values().forEach(s -> updateQuarantines(nowMs, s));
         }
     }
 
-    private void judge(long nowMs, Suspect suspect) {
-        boolean quarantined = count(suspect) >= CRASHES_TO_QUARANTINE;
-        if (quarantined == suspect.quarantined()) {
+    private void updateQuarantines(long nowMs, Suspect suspect) {
+        boolean quarantined = effectiveCrashCount(suspect) >= CRASHES_TO_QUARANTINE;
+        if (quarantined == suspect.isQuarantined()) {
             return;
         }
-        suspect.setQuarantined(quarantined, nowMs + TRIAL_AFTER_MS);
+        suspect.setQuarantined(quarantined, nowMs + TRIAL_DELAY_MS);
         if (quarantined) {
-            mListener.onQuarantined(nowMs, suspect.digest(), List.copyOf(suspect.open()));
+            mListener.onQuarantined(
+                    nowMs, suspect.digest(), List.copyOf(suspect.unclearedCrashes()));
         } else {
             mListener.onReleased(nowMs, suspect.digest());
         }
     }
 
     /** Returns how many crashes count against a request. */
-    private int count(Suspect suspect) {
-        Set<UpstreamIncarnation> open = suspect.open();
+    private int effectiveCrashCount(Suspect suspect) {
+        Set<UpstreamIncarnation> open = suspect.unclearedCrashes();
         if (open.size() < CRASHES_TO_QUARANTINE) {
             return open.size();
         }
         Set<UpstreamIncarnation> unexplained = new HashSet<>(open);
-        for (Suspect other : mJudgeable.values()) {
-            Set<UpstreamIncarnation> others = other.open();
+        for (Suspect other : mCandidates.values()) {
+            Set<UpstreamIncarnation> others = other.unclearedCrashes();
             if (others.size() > open.size()) {
                 unexplained.removeAll(others);
             }
         }
         int explained = open.size() - unexplained.size();
-        return unexplained.size() + Math.min(EXPLAINED_COUNT, explained);
+        return unexplained.size() + Math.min(MAX_EXPLAINED_COUNT, explained);
     }
 
     /** Forgets what is too old. */
     void tick(long nowMs) {
         List<Suspect> over =
-                mByDigest.values().stream().filter(s -> nowMs >= s.keptUntilMs()).toList();
+                mByDigest.values().stream().filter(s -> nowMs >= s.retainedUntilMs()).toList();
         if (over.isEmpty()) {
             return;
         }
-        over.forEach(s -> forget(s.digest()));
+        over.forEach(s -> remove(s.digest()));
         updateScopes();
         over.stream()
-                .filter(Suspect::quarantined)
+                .filter(Suspect::isQuarantined)
                 .forEach(s -> mListener.onReleased(nowMs, s.digest()));
     }
 
-    private void forget(RequestDigest digest) {
+    private void remove(RequestDigest digest) {
         mByDigest.remove(digest);
-        mJudgeable.remove(digest);
+        mCandidates.remove(digest);
     }
 
     private void updateScopes() {
--- a/coordination/src/main/java/org/hornbeampass/coordination/ratelimit/PermitHomes.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/ratelimit/PermitHomeResolver.java
@@ -7,7 +7,7 @@
  *
  * <p>VMs that know the same members choose alike. Confined to one thread.
  */
-public interface PermitHomes {
+public interface PermitHomeResolver {
     /**
      * Returns the name of the VM that gives out an upstream's permits; empty while this VM knows
      * too little of the fleet to tell.
--- a/coordination/src/main/java/org/hornbeampass/coordination/ratelimit/PermitIssuer.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/ratelimit/PermitIssuer.java
@@ -15,31 +15,31 @@
  * expired. Confined to one thread.
  */
 final class PermitIssuer {
-    /** How many permits an idle upstream saves up, beside those of {@link #BURST_S}. */
-    private static final double BURST_PERMITS = 2;
+    /** How many permits an idle upstream saves up, beside those of {@link #BURST_SECONDS}. */
+    private static final double BASE_BURST_PERMITS = 2;
 
     /** For how long an idle upstream saves up permits, in seconds. */
-    private static final double BURST_S = 0.25;
+    private static final double BURST_SECONDS = 0.25;
 
     /** The rate at which an upstream that takes less is asked whether that still holds. */
     private static final double MIN_PER_SECOND = 0.2;
 
     /** How long a home that takes over waits, in milliseconds: longer than a permit is valid. */
-    static final long TAKEOVER_MS = 1_000;
+    static final long TAKEOVER_DELAY_MS = 1_000;
 
     /** For how long a bucket is kept that nobody asks for, in milliseconds. */
-    private static final long IDLE_MS = 10_000;
+    private static final long BUCKET_IDLE_MS = 10_000;
 
     /**
      * The permits of one upstream.
      *
      * @param bucket its rate
-     * @param askedMs when one was asked for last, in milliseconds
+     * @param lastRequestMs when one was asked for last, in milliseconds
      */
-    private record Issued(TokenBucket bucket, long askedMs) {}
+    private record UpstreamBucket(TokenBucket bucket, long lastRequestMs) {}
 
     private final SignalTable mSignals;
-    private final Map<UpstreamIncarnation, Issued> mIssued = new HashMap<>();
+    private final Map<UpstreamIncarnation, UpstreamBucket> mBuckets = new HashMap<>();
 
     PermitIssuer(SignalTable signals) {
         mSignals = signals;
@@ -52,31 +52,31 @@
             return PermitReply.GRANTED;
         }
         double perSecond = Math.max(MIN_PER_SECOND, limit.getAsDouble());
-        double burst = BURST_PERMITS + BURST_S * perSecond;
-        Issued known = mIssued.get(upstream);
+        double burst = BASE_BURST_PERMITS + BURST_SECONDS * perSecond;
+        UpstreamBucket known = mBuckets.get(upstream);
         TokenBucket bucket =
                 known == null
-                        ? TokenBucket.empty(perSecond, burst, opensAtMs(nowMs, upstream))
+                        ? TokenBucket.empty(perSecond, burst, fillFromMs(nowMs, upstream))
                         : known.bucket();
         bucket.setRate(nowMs, perSecond, burst);
-        mIssued.put(upstream, new Issued(bucket, nowMs));
+        mBuckets.put(upstream, new UpstreamBucket(bucket, nowMs));
         return bucket.tryTake(nowMs)
                 ? PermitReply.GRANTED
                 : PermitReply.denied(bucket.untilNextMs(nowMs));
     }
 
     /** A limit that has been known for a while may have had another home before. */
-    private long opensAtMs(long nowMs, UpstreamIncarnation upstream) {
-        boolean takesOver = mSignals.limitKnownForMs(nowMs, upstream) >= TAKEOVER_MS;
-        return takesOver ? nowMs + TAKEOVER_MS : nowMs;
+    private long fillFromMs(long nowMs, UpstreamIncarnation upstream) {
+        boolean takesOver = mSignals.limitKnownForMs(nowMs, upstream) >= TAKEOVER_DELAY_MS;
+        return takesOver ? nowMs + TAKEOVER_DELAY_MS : nowMs;
     }
 
     /** Forgets what is over. */
     void tick(long nowMs) {
-        mIssued.entrySet()
+        mBuckets.entrySet()
                 .removeIf(
                         e ->
-                                nowMs - e.getValue().askedMs() >= IDLE_MS
+                                nowMs - e.getValue().lastRequestMs() >= BUCKET_IDLE_MS
                                         || !mSignals.get(e.getKey()).rateLimit().limits());
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/ratelimit/RateLimiter.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/ratelimit/RateLimiter.java
@@ -26,22 +26,22 @@
  * Keeps the fleet's requests to each upstream within the rate that the upstream has named.
  *
  * <p>Each send to an upstream with a rate limit needs a permit, which one VM, the upstream's home,
- * gives out for all. Invariants: a permit is used once, and not later than {@link #PERMIT_MS} after
- * it was asked for, so that no clock is compared with another VM's; a VM that reaches no home sends
- * nothing there. Confined to one thread: the network must reply on it.
+ * gives out for all. Invariants: a permit is used once, and not later than {@link
+ * #PERMIT_VALIDITY_MS} after it was asked for, so that no clock is compared with another VM's; a VM
+ * that reaches no home sends nothing there. Confined to one thread: the network must reply on it.
  */
 public final class RateLimiter implements SendGate {
     /** For how long a permit is valid after it was asked for, in milliseconds. */
-    static final long PERMIT_MS = 500;
+    static final long PERMIT_VALIDITY_MS = 500;
 
     /** How long a home may take to answer, in milliseconds; it answers within a few. */
-    private static final long TIMEOUT_MS = 150;
+    private static final long REQUEST_TIMEOUT_MS = 150;
 
     /** For how long a home that did not answer is not asked again, in milliseconds. */
-    private static final long SILENT_MS = 500;
+    private static final long UNANSWERED_WAIT_MS = 500;
 
     /** For how long another VM is not asked that is not the home by its own view. */
-    private static final long NOT_HOME_MS = 200;
+    private static final long NOT_HOME_WAIT_MS = 200;
 
     /** For how long a home is not asked again after it denied a permit, at the least. */
     private static final long MIN_WAIT_MS = 20;
@@ -57,7 +57,7 @@
     private final SignalTable mSignals;
     private final Supplier<SignalExchange> mExchange;
     private final PeerNetwork mPeers;
-    private final PermitHomes mHomes;
+    private final PermitHomeResolver mHomes;
     private final PermitIssuer mIssuer;
     private final PermitCounts mCounts = new PermitCounts();
     private final Map<UpstreamIncarnation, Denial> mDenials = new HashMap<>();
@@ -75,7 +75,7 @@
             SignalTable signals,
             Supplier<SignalExchange> exchange,
             PeerNetwork peers,
-            PermitHomes homes) {
+            PermitHomeResolver homes) {
         mSignals = signals;
         mExchange = exchange;
         mPeers = peers;
@@ -91,7 +91,7 @@
     }
 
     /** Returns whether each send to an upstream needs a permit. */
-    public boolean limited(UpstreamIncarnation upstream) {
+    public boolean isLimited(UpstreamIncarnation upstream) {
         return limit(upstream).isPresent();
     }
 
@@ -117,7 +117,7 @@
      *     the home has answered, or did not in time
      */
     public void acquire(long nowMs, UpstreamIncarnation upstream, PermitListener done) {
-        if (!limited(upstream)) {
+        if (!isLimited(upstream)) {
             done.onAnswer(nowMs, Optional.of(SendPermit.unlimited(upstream)));
             return;
         }
@@ -128,18 +128,18 @@
         }
         Optional<String> home = mHomes.homeOf(upstream.upstream());
         if (home.isEmpty()) {
-            deny(nowMs, upstream, NOT_HOME_MS, done);
+            deny(nowMs, upstream, NOT_HOME_WAIT_MS, done);
             return;
         }
         if (home.get().equals(mHomes.self())) {
-            take(nowMs, nowMs, upstream, mIssuer.issue(nowMs, upstream), done);
+            onPermitReply(nowMs, nowMs, upstream, mIssuer.issue(nowMs, upstream), done);
             return;
         }
         mPeers.request(
                 nowMs,
                 home.get(),
                 new PermitRequest(SignalReport.Item.of(nowMs, upstream, mSignals.get(upstream))),
-                TIMEOUT_MS,
+                REQUEST_TIMEOUT_MS,
                 (t, reply) -> onReply(t, nowMs, upstream, reply, done));
     }
 
@@ -150,14 +150,14 @@
             Either<Failure, PeerMessage> reply,
             PermitListener done) {
         if (reply.isRight() && reply.get() instanceof PermitReply answer) {
-            take(nowMs, askedMs, upstream, answer, done);
+            onPermitReply(nowMs, askedMs, upstream, answer, done);
             return;
         }
         mCounts.onUnanswered();
-        deny(nowMs, upstream, SILENT_MS, done);
+        deny(nowMs, upstream, UNANSWERED_WAIT_MS, done);
     }
 
-    private void take(
+    private void onPermitReply(
             long nowMs,
             long askedMs,
             UpstreamIncarnation upstream,
@@ -169,7 +169,7 @@
             return;
         }
         mCounts.onGranted();
-        done.onAnswer(nowMs, Optional.of(new SendPermit(upstream, askedMs + PERMIT_MS)));
+        done.onAnswer(nowMs, Optional.of(new SendPermit(upstream, askedMs + PERMIT_VALIDITY_MS)));
     }
 
     private void deny(long nowMs, UpstreamIncarnation upstream, long waitMs, PermitListener done) {
@@ -179,7 +179,7 @@
     }
 
     private Optional<SendPermit> takeUnused(long nowMs, UpstreamIncarnation upstream) {
-        expire(nowMs, upstream);
+        removeExpired(nowMs, upstream);
         Deque<SendPermit> unused = mUnused.get(upstream);
         if (unused == null) {
             return Optional.empty();
@@ -191,7 +191,7 @@
         return Optional.of(permit);
     }
 
-    private void expire(long nowMs, UpstreamIncarnation upstream) {
+    private void removeExpired(long nowMs, UpstreamIncarnation upstream) {
         Deque<SendPermit> unused = mUnused.getOrDefault(upstream, new ArrayDeque<>());
         Iterator<SendPermit> each = unused.iterator();
         while (each.hasNext()) {
@@ -212,7 +212,7 @@
      *     has named a limit since
      */
     public boolean redeem(long nowMs, SendPermit permit) {
-        if (!limited(permit.upstream())) {
+        if (!isLimited(permit.upstream())) {
             return true;
         }
         boolean redeemed = permit.limited() && permit.valid(nowMs);
@@ -225,7 +225,7 @@
     }
 
     /** Takes a permit back that was not used, for another request of this VM. */
-    public void giveBack(long nowMs, SendPermit permit) {
+    public void returnUnused(long nowMs, SendPermit permit) {
         if (permit.limited() && permit.valid(nowMs)) {
             mUnused.computeIfAbsent(permit.upstream(), u -> new ArrayDeque<>()).add(permit);
         } else if (permit.limited()) {
@@ -239,14 +239,14 @@
         UpstreamIncarnation upstream = request.known().upstream();
         mExchange.get().onItem(nowMs, from, request.known());
         boolean home = mHomes.homeOf(upstream.upstream()).filter(mHomes.self()::equals).isPresent();
-        reply.accept(home ? mIssuer.issue(nowMs, upstream) : PermitReply.denied(NOT_HOME_MS));
+        reply.accept(home ? mIssuer.issue(nowMs, upstream) : PermitReply.denied(NOT_HOME_WAIT_MS));
     }
 
     /** Forgets what is over. */
     public void tick(long nowMs) {
         mIssuer.tick(nowMs);
         mDenials.values().removeIf(d -> nowMs >= d.untilMs());
-        Map.copyOf(mUnused).keySet().forEach(u -> expire(nowMs, u));
+        Map.copyOf(mUnused).keySet().forEach(u -> removeExpired(nowMs, u));
     }
 
     /** Returns what became of the permits for which this VM asked. */
--- a/coordination/src/main/java/org/hornbeampass/coordination/routing/UpstreamChooser.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/routing/UpstreamChooser.java
@@ -155,8 +155,8 @@
             }
             LoadEstimate load = attempt.mState.load();
             double predictedMs = load.unitMs() * (attempt.mLoadAtStart + 1);
-            AttemptTimeouts.Known known =
-                    new AttemptTimeouts.Known(
+            AttemptTimeouts.Estimates known =
+                    new AttemptTimeouts.Estimates(
                             Math.max(predictedMs, attempt.mGroup.meanFirstTokenMs(nowMs)),
                             attempt.mGroup.meanGapMs(),
                             attempt.mState.distance().roundTripMs(),
@@ -197,9 +197,9 @@
             if (attempt == null) {
                 return;
             }
-            attempt.mState.ended(nowMs, attempt.mAwaitsFirst, outcome.showsHealth());
-            if (outcome.blame() == AttemptOutcome.Blame.OVERLOAD) {
-                attempt.mState.limit().refused();
+            attempt.mState.ended(nowMs, attempt.mAwaitsFirst, outcome.showsUpstreamHealthy());
+            if (outcome.upstreamProblem() == AttemptOutcome.UpstreamProblem.OVERLOAD) {
+                attempt.mState.limit().onOverloadRefusal();
             }
             mDetector.onOutcome(nowMs, attempt.mGroup, attempt.mState, outcome);
         }
--- a/coordination/src/main/java/org/hornbeampass/coordination/upstream/UpstreamHealth.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/upstream/UpstreamHealth.java
@@ -92,7 +92,7 @@
         roll(nowMs);
         if (outcome.upstreamFailed()) {
             failure(outcome);
-        } else if (outcome.showsHealth()) {
+        } else if (outcome.showsUpstreamHealthy()) {
             success(nowMs);
         }
     }
@@ -123,7 +123,8 @@
         mSeen++;
         mFailed++;
         mConsecutiveFailures++;
-        boolean unreachable = outcome.blame() == AttemptOutcome.Blame.UNREACHABLE;
+        boolean unreachable =
+                outcome.upstreamProblem() == AttemptOutcome.UpstreamProblem.UNREACHABLE;
         mConsecutiveUnreachable = unreachable ? mConsecutiveUnreachable + 1 : 0;
         mErrorShare += ERROR_SMOOTHING * (1 - mErrorShare);
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/upstream/UpstreamState.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/upstream/UpstreamState.java
@@ -116,7 +116,7 @@
     /** Learns from a first token, after which the prompt is believed to be cached. */
     public void firstToken(long nowMs, long startedAtMs, double loadAtStart, PrefixDigests prefix) {
         double waitedMs = (double) (nowMs - startedAtMs);
-        mLimit.firstToken(waitedMs, mLoad.inFlight());
+        mLimit.onFirstToken(waitedMs, mLoad.inFlight());
         mLoad.firstToken(nowMs, waitedMs, loadAtStart);
         mPrefixes.ran(prefix);
     }
--- a/coordination/src/test/java/org/hornbeampass/coordination/limit/AdmissionProperties.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/limit/AdmissionProperties.java
@@ -27,7 +27,7 @@
         /** As if the lowest priority were the last to be shed. */
         SHEDS_HIGHEST_FIRST,
         /** As if a given-up request stayed in the queue. */
-        FORGETS_GIVE_UP,
+        IGNORES_ABANDON,
         /** As if the capacity were one more. */
         CAPACITY_PLUS_ONE
     }
@@ -40,24 +40,24 @@
         private final Map<Long, AdmissionRequest> mWaiting = new HashMap<>();
         private int mCapacity = 3;
         private int mAdmitted;
-        private Optional<String> mBroken = Optional.empty();
+        private Optional<String> mViolation = Optional.empty();
 
         private Schedule(long seed, Mutant mutant) {
             mRandom = new SplittableRandom(seed);
             mMutant = mutant;
-            mQueue = new AdmissionQueue(real(mCapacity), MAX_WAITING);
+            mQueue = new AdmissionQueue(queueCapacity(mCapacity), MAX_WAITING);
         }
 
         private Optional<String> run() {
-            for (int now = 1; now <= EVENTS && mBroken.isEmpty(); now++) {
-                event(now);
+            for (int now = 1; now <= EVENTS && mViolation.isEmpty(); now++) {
+                applyRandomEvent(now);
                 mQueue.expire(now);
                 check(now);
             }
-            return mBroken;
+            return mViolation;
         }
 
-        private void event(int nowMs) {
+        private void applyRandomEvent(int nowMs) {
             int kind = mRandom.nextInt(10);
             if (kind < 5) {
                 submit(nowMs);
@@ -67,12 +67,12 @@
             } else if (kind == 8 && !mWaiting.isEmpty()) {
                 long number = mWaiting.keySet().iterator().next();
                 mWaiting.remove(number);
-                if (mMutant != Mutant.FORGETS_GIVE_UP) {
+                if (mMutant != Mutant.IGNORES_ABANDON) {
                     mQueue.abandon(number);
                 }
             } else if (kind == 9) {
                 mCapacity = mRandom.nextInt(5);
-                mQueue.setCapacity(nowMs, real(mCapacity));
+                mQueue.setCapacity(nowMs, queueCapacity(mCapacity));
             }
         }
 
@@ -92,58 +92,58 @@
                             given,
                             (now, failure) -> {
                                 answered[0] = true;
-                                answer(now, number[0], request, failure);
+                                onAnswer(now, number[0], request, failure);
                             });
             if (!answered[0]) {
                 mWaiting.put(number[0], request);
             }
         }
 
-        private void answer(
+        private void onAnswer(
                 long nowMs, long number, AdmissionRequest request, Optional<Failure> failure) {
             boolean waited = number != 0 && mWaiting.remove(number) != null;
             if (number != 0 && !waited) {
-                broken("an answer for a request that was answered or given up");
+                reportViolation("an answer for a request that was answered or given up");
             }
             if (failure.isEmpty()) {
                 mAdmitted++;
                 if (mAdmitted > mCapacity) {
-                    broken("more admitted than the capacity");
+                    reportViolation("more admitted than the capacity");
                 }
                 if (request.deadline().passed(nowMs)) {
-                    broken("admitted after its deadline");
+                    reportViolation("admitted after its deadline");
                 }
             } else if (failure.get().kind() == ErrorKind.OVERLOADED) {
-                shed(request, failure.get());
+                checkShed(request, failure.get());
             }
         }
 
-        private void shed(AdmissionRequest request, Failure failure) {
+        private void checkShed(AdmissionRequest request, Failure failure) {
             if (failure.retryAfterMs().isEmpty()) {
-                broken("shed without a time to retry");
+                reportViolation("shed without a time to retry");
             }
             boolean byPriority = failure.message().contains("priority");
             boolean lowerWaits =
                     mWaiting.values().stream().anyMatch(w -> w.priority() < request.priority());
             if (byPriority && lowerWaits) {
-                broken("shed while a lower priority waits");
+                reportViolation("shed while a lower priority waits");
             }
         }
 
         private void check(int nowMs) {
             if (mQueue.waiting() != mWaiting.size() || mWaiting.size() > MAX_WAITING) {
-                broken("waiting " + mQueue.waiting() + " instead of " + mWaiting.size());
+                reportViolation("waiting " + mQueue.waiting() + " instead of " + mWaiting.size());
             }
             if (mWaiting.values().stream().anyMatch(w -> w.deadline().passed(nowMs))) {
-                broken("a late request still waits");
+                reportViolation("a late request still waits");
             }
         }
 
-        private void broken(String what) {
-            mBroken = mBroken.or(() -> Optional.of(what));
+        private void reportViolation(String what) {
+            mViolation = mViolation.or(() -> Optional.of(what));
         }
 
-        private int real(int capacity) {
+        private int queueCapacity(int capacity) {
             return mMutant == Mutant.CAPACITY_PLUS_ONE ? capacity + 1 : capacity;
         }
     }
--- a/coordination/src/test/java/org/hornbeampass/coordination/limit/AdmissionQueueTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/limit/AdmissionQueueTest.java
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void lateRequest_isAnsweredAndFreesItsPlace() {
+    void requestPastItsDeadline_isAnsweredAndRemoved() {
         AdmissionQueue queue = new AdmissionQueue(1, 1);
         submit(queue, "running", "a", 5, Deadline.none());
         submit(queue, "late", "a", 5, new Deadline(100));
@@ -96,7 +96,7 @@
     }
 
     @Test
-    void requestThatCannotBeServedInTime_isRefusedWhenItComes() {
+    void requestThatCannotBeServedInTime_isRefusedOnSubmission() {
         AdmissionQueue queue = new AdmissionQueue(1, 100);
         submit(queue, "r", "a", 5, Deadline.none());
         for (int i = 1; i <= 20; i++) {
--- a/coordination/src/test/java/org/hornbeampass/coordination/limit/AttemptTimeoutsTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/limit/AttemptTimeoutsTest.java
@@ -30,24 +30,24 @@
             long expectedConnectMs,
             long expectedFirstMs,
             long expectedSilenceMs) {
-        var known = new AttemptTimeouts.Known(firstMs, gapMs, roundTripMs, promptTokens);
+        var known = new AttemptTimeouts.Estimates(firstMs, gapMs, roundTripMs, promptTokens);
         AttemptTimeouts timeouts =
                 AttemptTimeouts.decide(
                         500, known, AnswerKind.STREAM, Deadline.after(500, remainingMs));
 
         assertThat(timeouts.connectMs()).isEqualTo(expectedConnectMs);
-        assertThat(timeouts.firstMs()).isEqualTo(expectedFirstMs);
-        assertThat(timeouts.silenceMs()).isEqualTo(expectedSilenceMs);
+        assertThat(timeouts.firstPartMs()).isEqualTo(expectedFirstMs);
+        assertThat(timeouts.idleMs()).isEqualTo(expectedSilenceMs);
     }
 
     @Test
-    void decide_forWholeAnswer_waitsLongerThanForFirstToken() {
-        assertThat(typical(AnswerKind.WHOLE).giveUpAtMs(0, false, NEVER)).isEqualTo(20_000);
+    void decide_forSinglePartAnswer_waitsLongerThanForFirstToken() {
+        assertThat(typical(AnswerKind.SINGLE_PART).giveUpAtMs(0, false, NEVER)).isEqualTo(20_000);
     }
 
     @Test
     void decide_whereNotRepeatable_leavesAttemptToItsDeadline() {
-        AttemptTimeouts once = typical(AnswerKind.ONCE);
+        AttemptTimeouts once = typical(AnswerKind.NOT_REPEATABLE);
 
         assertThat(once.giveUpAtMs(0, false, NEVER)).isEqualTo(Long.MAX_VALUE);
         assertThat(once.giveUpAtMs(0, true, 100)).isEqualTo(Long.MAX_VALUE);
@@ -72,6 +72,6 @@
 
     private static AttemptTimeouts typical(AnswerKind kind) {
         return AttemptTimeouts.decide(
-                0, new AttemptTimeouts.Known(20, 10, 3, 0), kind, Deadline.after(0, 60_000));
+                0, new AttemptTimeouts.Estimates(20, 10, 3, 0), kind, Deadline.after(0, 60_000));
     }
 }
--- a/coordination/src/test/java/org/hornbeampass/coordination/limit/OrganisationLimitsTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/limit/OrganisationLimitsTest.java
@@ -23,7 +23,7 @@
             IntStream.range(0, 8).mapToObj(i -> "vm-" + i).collect(Collectors.toSet());
 
     @Test
-    void sharesOfPlaces_sumToTheSetting() {
+    void concurrencyShares_sumToTheSetting() {
         int started =
                 FLEET.stream().mapToInt(vm -> startedAt(0, limits(vm, 21, 100_000), 30)).sum();
 
@@ -35,9 +35,9 @@
         OrganisationLimits limits = limits("vm-0", 10_000, 80);
         int started = 0;
         for (long now = 0; now < 10_000; now += 10) {
-            if (limits.start(now, ORG).isEmpty()) {
+            if (limits.tryStart(now, ORG).isEmpty()) {
                 started++;
-                limits.ended(ORG);
+                limits.onEnded(ORG);
             }
         }
 
@@ -45,57 +45,60 @@
     }
 
     @Test
-    void rateBelowOnePerVm_isStillServedInTurn() {
+    void rateBelowOnePerVm_stillAdmitsRequests() {
         OrganisationLimits limits = limits("vm-0", 10_000, 4);
 
-        assertThat(limits.start(0, ORG)).isEmpty();
-        assertThat(limits.start(1_000, ORG).orElseThrow().kind()).isEqualTo(ErrorKind.RATE_LIMITED);
-        assertThat(limits.start(2_000, ORG)).isEmpty();
+        assertThat(limits.tryStart(0, ORG)).isEmpty();
+        assertThat(limits.tryStart(1_000, ORG).orElseThrow().kind())
+                .isEqualTo(ErrorKind.RATE_LIMITED);
+        assertThat(limits.tryStart(2_000, ORG)).isEmpty();
     }
 
     @Test
-    void endedRequest_givesItsPlaceBack() {
+    void endedRequest_allowsAnother() {
         OrganisationLimits limits = limits("vm-0", 8, 100_000);
-        assertThat(limits.start(0, ORG)).isEmpty();
-        assertThat(limits.start(0, ORG)).isPresent();
-        limits.ended(ORG);
+        assertThat(limits.tryStart(0, ORG)).isEmpty();
+        assertThat(limits.tryStart(0, ORG)).isPresent();
+        limits.onEnded(ORG);
 
-        assertThat(limits.start(0, ORG)).isEmpty();
+        assertThat(limits.tryStart(0, ORG)).isEmpty();
     }
 
     @Test
-    void shareGrows_onlyAfterOthersAreGoneForAWhile() {
+    void shareGrows_onlyAfterADelayWhenVmsLeave() {
         OrganisationLimits limits = limits("vm-0", 8, 100_000);
-        limits.onVms(1_000, Set.of("vm-0", "vm-1"));
+        limits.onLiveVms(1_000, Set.of("vm-0", "vm-1"));
 
         assertThat(startedAt(10_999, limits, 20)).isEqualTo(1);
         assertThat(startedAt(11_000, limits, 20)).isEqualTo(3);
     }
 
     @Test
-    void shareShrinks_atOnceWhenOthersCome() {
+    void shareShrinks_atOnceWhenVmsJoin() {
         OrganisationLimits limits = new OrganisationLimits("vm-0");
         limits.applyConfig(0, config(8, 100_000));
-        limits.onVms(1, FLEET);
+        limits.onLiveVms(1, FLEET);
 
         assertThat(startedAt(2, limits, 20)).isEqualTo(1);
     }
 
     @Test
     void unknownOrganisation_isNotPermitted() {
-        assertThat(limits("vm-0", 8, 8).start(0, new OrganisationId("x")).orElseThrow().kind())
+        assertThat(limits("vm-0", 8, 8).tryStart(0, new OrganisationId("x")).orElseThrow().kind())
                 .isEqualTo(ErrorKind.NOT_PERMITTED);
     }
 
     private static int startedAt(long nowMs, OrganisationLimits limits, int tries) {
         return (int)
-                IntStream.range(0, tries).filter(i -> limits.start(nowMs, ORG).isEmpty()).count();
+                IntStream.range(0, tries)
+                        .filter(i -> limits.tryStart(nowMs, ORG).isEmpty())
+                        .count();
     }
 
     private static OrganisationLimits limits(String vm, int places, int rate) {
         OrganisationLimits limits = new OrganisationLimits(vm);
         limits.applyConfig(0, config(places, rate));
-        limits.onVms(0, FLEET);
+        limits.onLiveVms(0, FLEET);
         return limits;
     }
 
--- a/coordination/src/test/java/org/hornbeampass/coordination/limit/RetryPolicyTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/limit/RetryPolicyTest.java
@@ -86,11 +86,11 @@
         HedgePolicy hedges = new HedgePolicy();
         RetryBudget full = new RetryBudget(10, 10, 10);
 
-        assertThat(hedges.hedge(1_000, 50, false, 1, full)).isFalse();
-        assertThat(hedges.hedge(100, 50, true, 1, full)).isFalse();
-        assertThat(hedges.hedge(1_000, 50, true, 2, full)).isFalse();
-        assertThat(hedges.hedge(1_000, 50, true, 1, full)).isTrue();
-        assertThat(hedges.hedge(1_000, 50, true, 1, new RetryBudget(10, 5, 10))).isFalse();
+        assertThat(hedges.tryHedge(1_000, 50, false, 1, full)).isFalse();
+        assertThat(hedges.tryHedge(100, 50, true, 1, full)).isFalse();
+        assertThat(hedges.tryHedge(1_000, 50, true, 2, full)).isFalse();
+        assertThat(hedges.tryHedge(1_000, 50, true, 1, full)).isTrue();
+        assertThat(hedges.tryHedge(1_000, 50, true, 1, new RetryBudget(10, 5, 10))).isFalse();
     }
 
     private static String name(RetryDecision decision) {
--- a/coordination/src/test/java/org/hornbeampass/coordination/limit/RetryProperties.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/limit/RetryProperties.java
@@ -33,28 +33,29 @@
         RetryDecision decide(FailedAttempt attempt, boolean sentBefore, RetryBudget budget);
     }
 
-    private static RetryDecision real(FailedAttempt attempt, boolean sent, RetryBudget budget) {
+    private static RetryDecision realPolicy(
+            FailedAttempt attempt, boolean sent, RetryBudget budget) {
         return new RetryPolicy().decide(0, attempt, sent, budget);
     }
 
     private static RetryDecision ignoresBudget(
             FailedAttempt attempt, boolean sent, RetryBudget budget) {
-        return real(attempt, sent, new RetryBudget(10, 100, 100));
+        return realPolicy(attempt, sent, new RetryBudget(10, 100, 100));
     }
 
     private static RetryDecision forgetsEarlierAttempts(
             FailedAttempt attempt, boolean sent, RetryBudget budget) {
-        return real(attempt, false, budget);
+        return realPolicy(attempt, false, budget);
     }
 
-    private static RetryDecision takesAllAsRepeatable(
+    private static RetryDecision treatsAllAsRepeatable(
             FailedAttempt attempt, boolean sent, RetryBudget budget) {
-        return real(with(attempt, true, attempt.delivered()), sent, budget);
+        return realPolicy(with(attempt, true, attempt.delivered()), sent, budget);
     }
 
-    private static RetryDecision beginsAnew(
+    private static RetryDecision restartsAnswer(
             FailedAttempt attempt, boolean sent, RetryBudget budget) {
-        return real(with(attempt, attempt.repeatable(), 0), sent, budget);
+        return realPolicy(with(attempt, attempt.repeatable(), 0), sent, budget);
     }
 
     private static FailedAttempt with(FailedAttempt attempt, boolean repeatable, long delivered) {
@@ -98,7 +99,7 @@
                     break;
                 }
                 further++;
-                Optional<String> broken = rule(decision, sent, failed);
+                Optional<String> broken = checkRules(decision, sent, failed);
                 if (broken.isPresent()) {
                     return broken;
                 }
@@ -110,7 +111,7 @@
         return Optional.empty();
     }
 
-    private static Optional<String> rule(
+    private static Optional<String> checkRules(
             RetryDecision decision, boolean sent, FailedAttempt failed) {
         if (sent && !failed.repeatable()) {
             return Optional.of("sent again after a byte was sent");
@@ -129,7 +130,7 @@
 
     @Property(seed = "12", tries = 200)
     void retries_keepTheRules(@ForAll long seed) {
-        assertThat(run(seed, RetryProperties::real)).isEmpty();
+        assertThat(run(seed, RetryProperties::realPolicy)).isEmpty();
     }
 
     @Test
@@ -138,8 +139,8 @@
                 List.of(
                         RetryProperties::ignoresBudget,
                         RetryProperties::forgetsEarlierAttempts,
-                        RetryProperties::takesAllAsRepeatable,
-                        RetryProperties::beginsAnew);
+                        RetryProperties::treatsAllAsRepeatable,
+                        RetryProperties::restartsAnswer);
         for (int i = 0; i < mutants.size(); i++) {
             Policy mutant = mutants.get(i);
             assertThat(LongStream.range(0, 200).anyMatch(s -> run(s, mutant).isPresent()))
--- a/coordination/src/test/java/org/hornbeampass/coordination/limit/StreamResumeTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/limit/StreamPositionTest.java
@@ -5,25 +5,25 @@
 import org.hornbeampass.state.ErrorKind;
 import org.junit.jupiter.api.Test;
 
-/** Tests {@link StreamResume}: position and part → what is new. */
-class StreamResumeTest {
-    private final StreamResume mAtTen = new StreamResume(3, 10);
+/** Tests {@link StreamPosition}: position and part → what is new. */
+class StreamPositionTest {
+    private final StreamPosition mAtTen = new StreamPosition(3, 10);
 
     @Test
-    void nextPart_isWhollyNew() {
+    void nextPart_isEntirelyNew() {
         assertThat(mAtTen.fit(10, 4).get())
-                .isEqualTo(new StreamResume.Fitted(0, new StreamResume(3, 14)));
+                .isEqualTo(new StreamPosition.FittedPart(0, new StreamPosition(3, 14)));
     }
 
     @Test
-    void overlappingPart_losesWhatTheCallerHas() {
+    void overlappingPart_skipsDeliveredTokens() {
         assertThat(mAtTen.fit(8, 4).get())
-                .isEqualTo(new StreamResume.Fitted(2, new StreamResume(3, 12)));
+                .isEqualTo(new StreamPosition.FittedPart(2, new StreamPosition(3, 12)));
     }
 
     @Test
-    void repeatedPart_isWhollySkipped() {
-        assertThat(mAtTen.fit(4, 4).get()).isEqualTo(new StreamResume.Fitted(4, mAtTen));
+    void repeatedPart_isSkippedEntirely() {
+        assertThat(mAtTen.fit(4, 4).get()).isEqualTo(new StreamPosition.FittedPart(4, mAtTen));
     }
 
     @Test
@@ -33,7 +33,7 @@
 
     @Test
     void partOfAbandonedAttempt_isNotAccepted() {
-        StreamResume resumed = mAtTen.resumedBy(4);
+        StreamPosition resumed = mAtTen.resumedBy(4);
 
         assertThat(resumed.accepts(3)).isFalse();
         assertThat(resumed.accepts(4)).isTrue();
--- a/coordination/src/test/java/org/hornbeampass/coordination/limit/TokenBucketTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/limit/TokenBucketTest.java
@@ -18,7 +18,7 @@
     }
 
     @Test
-    void emptyBucket_fillsFromItsTimeOn() {
+    void emptyBucket_fillsFromItsStartTime() {
         TokenBucket bucket = TokenBucket.empty(1, 2, 1_000);
         assertThat(bucket.untilNextMs(0)).isEqualTo(2_000);
         assertThat(bucket.tryTake(1_999)).isFalse();
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void longPause_savesUpNoMoreThanTheBurst() {
+    void longPause_accumulatesAtMostTheBurst() {
         TokenBucket bucket = TokenBucket.empty(10, 2, 0);
         assertThat(bucket.tryTake(60_000)).isTrue();
         assertThat(bucket.tryTake(60_000)).isTrue();
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void lowerRate_takesSavedTokensAway() {
+    void lowerBurst_discardsExcessTokens() {
         TokenBucket bucket = TokenBucket.full(10, 10, 0);
         bucket.setRate(0, 1, 1);
         assertThat(bucket.tryTake(0)).isTrue();
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void clockThatGoesBack_addsNothing() {
+    void clockGoingBackwards_addsNoTokens() {
         TokenBucket bucket = TokenBucket.empty(1, 1, 5_000);
         assertThat(bucket.tryTake(0)).isFalse();
         assertThat(bucket.tryTake(5_500)).isFalse();
--- a/coordination/src/test/java/org/hornbeampass/coordination/quarantine/CrashingRequestModel.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/quarantine/CrashingRequestModel.java
@@ -16,31 +16,32 @@
 final class CrashingRequestModel {
     private static final int UPSTREAMS = 6;
     private static final long STEP_MS = 10;
-    private static final long RUN_MS = 1_000;
+    private static final long MAX_RUN_MS = 1_000;
     private static final long CRASH_AFTER_MS = 80;
-    private static final long BACK_AFTER_MS = 3_000;
-    private static final long CRASHING_EVERY_MS = 400;
+    private static final long RESTART_MS = 3_000;
+    private static final long CRASHING_INTERVAL_MS = 400;
     private static final int REQUESTS_PER_S = 60;
-    private static final int SENDS = 4;
+    private static final int MAX_SENDS = 4;
 
     /** How long news of a crash take to all VMs, in milliseconds. */
-    private static final long NEWS_MS = 200;
+    private static final long CRASH_REPORT_DELAY_MS = 200;
 
     /** One request at an upstream. */
     private record Run(RequestDigest digest, boolean crashing, int sends, long endsMs) {}
 
     /** A crash that is not known yet. */
-    private record News(long atMs, UpstreamIncarnation crash, List<RequestDigest> requests) {}
+    private record PendingCrash(
+            long atMs, UpstreamIncarnation crash, List<RequestDigest> requests) {}
 
-    private final SuspectTable mTable = new SuspectTable(new QuarantineFleet.SilentListener());
+    private final SuspectTable mTable = new SuspectTable(new QuarantineFleet.NoOpListener());
     private final List<List<Run>> mRunning = new ArrayList<>();
-    private final long[] mBackMs = new long[UPSTREAMS];
-    private final long[] mLives = new long[UPSTREAMS];
-    private final List<News> mNews = new ArrayList<>();
+    private final long[] mUpAtMs = new long[UPSTREAMS];
+    private final long[] mIncarnations = new long[UPSTREAMS];
+    private final List<PendingCrash> mPendingCrashes = new ArrayList<>();
     private final Random mRandom;
     private final int mCrashingRequests;
-    private int mInnocents;
-    private int mInnocentsRefused;
+    private int mHarmless;
+    private int mHarmlessRefused;
     private int mCrashes;
     private long mLastCrashMs;
     private long mNextId;
@@ -54,26 +55,26 @@
     }
 
     /** Plays for a time in milliseconds. */
-    void play(long ms) {
+    void simulate(long ms) {
         for (long nowMs = 0; nowMs < ms; nowMs += STEP_MS) {
             long atMs = nowMs;
-            mNews.stream()
+            mPendingCrashes.stream()
                     .filter(n -> n.atMs() <= atMs)
                     .forEach(n -> mTable.onCrash(atMs, n.crash(), n.requests()));
-            mNews.removeIf(n -> n.atMs() <= atMs);
+            mPendingCrashes.removeIf(n -> n.atMs() <= atMs);
             arrive(nowMs);
             for (int i = 0; i < UPSTREAMS; i++) {
-                end(nowMs, i);
+                endRuns(nowMs, i);
             }
         }
     }
 
     private void arrive(long nowMs) {
         if (mRandom.nextInt(1_000) < REQUESTS_PER_S * STEP_MS) {
-            mInnocents++;
+            mHarmless++;
             send(nowMs, new RequestDigest(2, mNextId++), false, 0);
         }
-        if (nowMs % CRASHING_EVERY_MS == 0) {
+        if (nowMs % CRASHING_INTERVAL_MS == 0) {
             for (int i = 0; i < mCrashingRequests; i++) {
                 send(nowMs, new RequestDigest(1, i), true, 0);
             }
@@ -81,25 +82,25 @@
     }
 
     private void send(long nowMs, RequestDigest digest, boolean crashing, int sends) {
-        if (!mTable.standing(digest).mayBeSent()) {
-            mInnocentsRefused += crashing ? 0 : 1;
+        if (!mTable.status(digest).mayBeSent()) {
+            mHarmlessRefused += crashing ? 0 : 1;
             return;
         }
         List<Integer> up = new ArrayList<>();
         for (int i = 0; i < UPSTREAMS; i++) {
-            if (mBackMs[i] <= nowMs) {
+            if (mUpAtMs[i] <= nowMs) {
                 up.add(i);
             }
         }
-        if (up.isEmpty() || sends >= SENDS) {
+        if (up.isEmpty() || sends >= MAX_SENDS) {
             return;
         }
-        long lastsMs = crashing ? CRASH_AFTER_MS : 1 + mRandom.nextInt((int) RUN_MS);
+        long lastsMs = crashing ? CRASH_AFTER_MS : 1 + mRandom.nextInt((int) MAX_RUN_MS);
         mRunning.get(up.get(mRandom.nextInt(up.size())))
                 .add(new Run(digest, crashing, sends + 1, nowMs + lastsMs));
     }
 
-    private void end(long nowMs, int upstream) {
+    private void endRuns(long nowMs, int upstream) {
         List<Run> running = mRunning.get(upstream);
         boolean crashes = running.stream().anyMatch(r -> r.crashing() && r.endsMs() <= nowMs);
         if (crashes) {
@@ -116,11 +117,11 @@
         List<Run> lost = mRunning.set(upstream, new ArrayList<>());
         mCrashes++;
         mLastCrashMs = nowMs;
-        mBackMs[upstream] = nowMs + BACK_AFTER_MS;
-        mNews.add(
-                new News(
-                        nowMs + NEWS_MS,
-                        new UpstreamIncarnation("i-" + upstream, mLives[upstream]++),
+        mUpAtMs[upstream] = nowMs + RESTART_MS;
+        mPendingCrashes.add(
+                new PendingCrash(
+                        nowMs + CRASH_REPORT_DELAY_MS,
+                        new UpstreamIncarnation("i-" + upstream, mIncarnations[upstream]++),
                         lost.stream().map(Run::digest).toList()));
         lost.stream()
                 .filter(r -> !r.crashing())
@@ -135,7 +136,7 @@
         return mLastCrashMs;
     }
 
-    double innocentsRefusedShare() {
-        return (double) mInnocentsRefused / mInnocents;
+    double harmlessRefusedShare() {
+        return (double) mHarmlessRefused / mHarmless;
     }
 }
--- a/coordination/src/test/java/org/hornbeampass/coordination/quarantine/CrashingRequestModelTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/quarantine/CrashingRequestModelTest.java
@@ -7,11 +7,11 @@
 
 /** Checks that crashing requests are found soon, and that few others are taken for them. */
 class CrashingRequestModelTest {
-    private static final long PLAY_MS = 60_000;
+    private static final long SIMULATED_MS = 60_000;
     private static final int SEEDS = 20;
 
     /** Within this time, in milliseconds, from the first crash on a crashing request is known. */
-    private static final long FOUND_MS = 3_000;
+    private static final long DETECTION_MS = 3_000;
 
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3})
@@ -19,10 +19,10 @@
         double refused = 0;
         for (int seed = 0; seed < SEEDS; seed++) {
             CrashingRequestModel model = new CrashingRequestModel(seed, crashing);
-            model.play(PLAY_MS);
+            model.simulate(SIMULATED_MS);
             assertThat(model.crashes()).isGreaterThanOrEqualTo(3);
-            assertThat(model.lastCrashMs()).isLessThan(FOUND_MS * crashing);
-            refused += model.innocentsRefusedShare() / SEEDS;
+            assertThat(model.lastCrashMs()).isLessThan(DETECTION_MS * crashing);
+            refused += model.harmlessRefusedShare() / SEEDS;
         }
         assertThat(refused).isLessThan(0.001);
     }
--- a/coordination/src/test/java/org/hornbeampass/coordination/quarantine/QuarantineFleet.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/quarantine/QuarantineFleet.java
@@ -33,13 +33,13 @@
     private final MemoryPlatform mStore = new MemoryPlatform();
     private final Map<String, Quarantine> mByVm = new HashMap<>();
     private final List<Member> mMembers = new ArrayList<>();
-    private final Set<String> mCutOff = new HashSet<>();
+    private final Set<String> mPartitioned = new HashSet<>();
     private final Random mRandom = new Random(1);
-    private String mKeeper = "";
+    private String mRecordOwner = "";
     private final Set<String> mCutFromStore = new HashSet<>();
-    private boolean mStoreAway;
-    private int mUnanswered;
-    private int mCalls;
+    private boolean mStoreUnavailable;
+    private int mWritesToLeaveUnanswered;
+    private int mStoreCalls;
     private int mMessages;
     private double mLossShare;
     private long mNowMs = 1_000_000;
@@ -55,7 +55,7 @@
         Member self = TestMembers.live(name, domain);
         mMembers.removeIf(m -> m.name().equals(name));
         mMembers.add(self);
-        chooseKeeper();
+        chooseRecordOwner();
         Function<List<Member>, FleetPaths> paths = FleetPaths.remembering(self);
         mByVm.put(
                 name,
@@ -63,25 +63,25 @@
                         storeOf(name),
                         new Peers(self.vm()),
                         () -> paths.apply(mMembers),
-                        () -> mKeeper.equals(name),
+                        () -> mRecordOwner.equals(name),
                         mRandom,
-                        new SilentListener()));
+                        new NoOpListener()));
     }
 
-    private void chooseKeeper() {
+    private void chooseRecordOwner() {
         List<String> names = mMembers.stream().map(Member::name).toList();
-        mKeeper = RendezvousHash.choose("quarantines", names).orElseThrow();
+        mRecordOwner = RendezvousHash.choose("quarantines", names).orElseThrow();
     }
 
-    /** Ends a VM; the others take it for up until {@link #forget}. */
+    /** Ends a VM; the others take it for up until {@link #removeMember}. */
     void kill(String name) {
         mByVm.remove(name);
     }
 
     /** Lets the others know that a VM is gone. */
-    void forget(String name) {
+    void removeMember(String name) {
         mMembers.removeIf(m -> m.name().equals(name));
-        chooseKeeper();
+        chooseRecordOwner();
     }
 
     /** Ends all VMs at once and starts them again. */
@@ -91,17 +91,17 @@
         names.forEach(n -> start(n, Math.floorMod(n.hashCode(), DOMAINS)));
     }
 
-    void cutOff(String name, boolean cut) {
+    void setPartitioned(String name, boolean cut) {
         if (cut) {
-            mCutOff.add(name);
+            mPartitioned.add(name);
         } else {
-            mCutOff.remove(name);
+            mPartitioned.remove(name);
         }
     }
 
     /** Lets the store not answer the next writes. */
-    void leaveUnanswered(int writes) {
-        mUnanswered = writes;
+    void leaveWritesUnanswered(int writes) {
+        mWritesToLeaveUnanswered = writes;
     }
 
     /** Cuts a VM off from the store alone. */
@@ -110,12 +110,12 @@
     }
 
     /** Returns the VM that writes to the store first. */
-    String keeper() {
-        return mKeeper;
+    String recordOwner() {
+        return mRecordOwner;
     }
 
-    void setStoreAway(boolean away) {
-        mStoreAway = away;
+    void setStoreUnavailable(boolean away) {
+        mStoreUnavailable = away;
     }
 
     void loseMessages(double share) {
@@ -137,14 +137,14 @@
         mByVm.get(vm).clear(mNowMs, request);
     }
 
-    RequestStanding standing(String vm, RequestDigest request) {
-        return mByVm.get(vm).suspects().standing(request);
+    QuarantineStatus status(String vm, RequestDigest request) {
+        return mByVm.get(vm).suspects().status(request);
     }
 
     /** Returns the VMs at which a quarantined request may run once more. */
-    List<String> takeTrials(RequestDigest request) {
+    List<String> startTrials(RequestDigest request) {
         return mByVm.keySet().stream()
-                .filter(vm -> mByVm.get(vm).takeTrial(mNowMs, request))
+                .filter(vm -> mByVm.get(vm).tryStartTrial(mNowMs, request))
                 .toList();
     }
 
@@ -154,14 +154,14 @@
     }
 
     /** Returns how many VMs keep a request from upstreams. */
-    long quarantinedAt(RequestDigest request) {
+    long quarantinedVmCount(RequestDigest request) {
         return mByVm.values().stream()
-                .filter(q -> q.suspects().standing(request) == RequestStanding.QUARANTINED)
+                .filter(q -> q.suspects().status(request) == QuarantineStatus.QUARANTINED)
                 .count();
     }
 
-    int calls() {
-        return mCalls;
+    int storeCalls() {
+        return mStoreCalls;
     }
 
     int messages() {
@@ -170,7 +170,7 @@
 
     /** Deletes the record of a quarantine, as operators do. */
     void deleteRecord(RequestDigest request) {
-        String key = QuarantineRecords.PREFIX + request;
+        String key = QuarantineStore.PREFIX + request;
         mStore.submit(
                 mNowMs,
                 new PlatformCall.Get(key),
@@ -183,23 +183,23 @@
     }
 
     /** Returns whether the store holds the record of a quarantine. */
-    boolean recorded(RequestDigest request) {
+    boolean isRecorded(RequestDigest request) {
         List<PlatformReply> replies = new ArrayList<>();
         mStore.submit(
                 mNowMs,
-                new PlatformCall.Get(QuarantineRecords.PREFIX + request),
+                new PlatformCall.Get(QuarantineStore.PREFIX + request),
                 (t, reply) -> replies.add(reply));
         return replies.get(0) instanceof PlatformReply.Found;
     }
 
     private Platform storeOf(String vm) {
         return (nowMs, call, done) -> {
-            mCalls++;
-            if (mUnanswered > 0 && call instanceof PlatformCall.Create) {
-                mUnanswered--;
+            mStoreCalls++;
+            if (mWritesToLeaveUnanswered > 0 && call instanceof PlatformCall.Create) {
+                mWritesToLeaveUnanswered--;
                 return;
             }
-            if (mStoreAway || mCutFromStore.contains(vm)) {
+            if (mStoreUnavailable || mCutFromStore.contains(vm)) {
                 done.accept(nowMs, new PlatformReply.Unavailable("away"));
             } else {
                 mStore.submit(nowMs, call, done);
@@ -221,8 +221,8 @@
             Quarantine receiver = mByVm.get(vmName);
             boolean lost =
                     receiver == null
-                            || mCutOff.contains(vmName)
-                            || mCutOff.contains(mSelf.name())
+                            || mPartitioned.contains(vmName)
+                            || mPartitioned.contains(mSelf.name())
                             || mRandom.nextDouble() < mLossShare;
             if (!lost) {
                 receiver.onReport(mNowMs, mSelf, (SuspectReport) message, reply -> {});
@@ -231,7 +231,7 @@
     }
 
     /** Takes verdicts and does nothing with them. */
-    static final class SilentListener implements SuspectListener {
+    static final class NoOpListener implements QuarantineListener {
         @Override
         public void onQuarantined(
                 long nowMs, RequestDigest digest, List<UpstreamIncarnation> crashes) {}
--- a/coordination/src/test/java/org/hornbeampass/coordination/quarantine/RequestHasherTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/quarantine/RequestHasherTest.java
@@ -21,39 +21,39 @@
     }
 
     private long content(String... parts) {
-        return mHasher.content(
+        return mHasher.hashContent(
                 List.of(parts).stream().map(RequestHasherTest::part).toList(), Long.MAX_VALUE);
     }
 
     @Test
-    void bodyInOtherParts_hasTheSameHash() {
+    void bodySplitDifferently_hasTheSameHash() {
         assertThat(content("ab", "", "c")).isEqualTo(content("abc")).isNotEqualTo(content("abd"));
     }
 
     @Test
-    void bytesBeyondTheBound_doNotCount() {
+    void bytesBeyondTheLimit_areNotHashed() {
         List<ByteBuffer> longer = List.of(part("ab"), part("cd"));
-        assertThat(mHasher.content(longer, 3)).isEqualTo(content("abc"));
+        assertThat(mHasher.hashContent(longer, 3)).isEqualTo(content("abc"));
         assertThat(longer.get(1).remaining()).isEqualTo(2);
     }
 
     @Test
-    void hostPathAndCaller_doNotRunIntoEachOther() {
-        long scope = mHasher.scope("h", "/ab", "c", 4);
-        assertThat(mHasher.scope("h", "/a", "bc", 4)).isNotEqualTo(scope);
-        assertThat(mHasher.scope("h/", "ab", "c", 4)).isNotEqualTo(scope);
-        assertThat(mHasher.scope("h", "/ab", "c", 5)).isNotEqualTo(scope);
+    void hostPathAndCaller_areSeparatedInTheHash() {
+        long scope = mHasher.hashScope("h", "/ab", "c", 4);
+        assertThat(mHasher.hashScope("h", "/a", "bc", 4)).isNotEqualTo(scope);
+        assertThat(mHasher.hashScope("h/", "ab", "c", 4)).isNotEqualTo(scope);
+        assertThat(mHasher.hashScope("h", "/ab", "c", 5)).isNotEqualTo(scope);
     }
 
     @Test
     void otherKey_givesOtherHashes() {
-        long scope = mHasher.scope("h", "/a", "c", 4);
-        assertThat(hasher("b").scope("h", "/a", "c", 4)).isNotEqualTo(scope);
-        assertThat(hasher("a key").scope("h", "/a", "c", 4)).isEqualTo(scope);
+        long scope = mHasher.hashScope("h", "/a", "c", 4);
+        assertThat(hasher("b").hashScope("h", "/a", "c", 4)).isNotEqualTo(scope);
+        assertThat(hasher("a key").hashScope("h", "/a", "c", 4)).isEqualTo(scope);
     }
 
     @Test
-    void digest_isReadFromItsText() {
+    void digest_isParsedFromItsText() {
         RequestDigest digest = new RequestDigest(-1, 255);
         assertThat(digest.toString()).isEqualTo("ffffffffffffffff00000000000000ff");
         assertThat(RequestDigest.parse(digest.toString())).contains(digest);
--- a/coordination/src/test/java/org/hornbeampass/coordination/quarantine/SuspectTableTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/quarantine/SuspectTableTest.java
@@ -15,12 +15,12 @@
 /** Checks the verdicts on requests, and that the order of news does not matter to them. */
 class SuspectTableTest {
     private static final RequestDigest CRASHING = new RequestDigest(1, 1);
-    private static final RequestDigest INNOCENT = new RequestDigest(2, 2);
+    private static final RequestDigest HARMLESS = new RequestDigest(2, 2);
 
     private final SuspectTable mTable = table();
 
     private static SuspectTable table() {
-        return new SuspectTable(new QuarantineFleet.SilentListener());
+        return new SuspectTable(new QuarantineFleet.NoOpListener());
     }
 
     private static UpstreamIncarnation crash(int i) {
@@ -35,66 +35,66 @@
 
     @Test
     void thirdCrash_quarantines() {
-        assertThat(mTable.standing(CRASHING)).isEqualTo(RequestStanding.UNSUSPECTED);
+        assertThat(mTable.status(CRASHING)).isEqualTo(QuarantineStatus.UNSUSPECTED);
         crashes(1, 2, CRASHING);
-        assertThat(mTable.standing(CRASHING)).isEqualTo(RequestStanding.SUSPECTED);
+        assertThat(mTable.status(CRASHING)).isEqualTo(QuarantineStatus.SUSPECTED);
         crashes(3, 3, CRASHING);
-        assertThat(mTable.standing(CRASHING)).isEqualTo(RequestStanding.QUARANTINED);
+        assertThat(mTable.status(CRASHING)).isEqualTo(QuarantineStatus.QUARANTINED);
         assertThat(mTable.quarantineLeftMs(1_000, CRASHING))
-                .isEqualTo(SuspectTable.KEPT_MS - 1_000);
+                .isEqualTo(SuspectTable.RETENTION_MS - 1_000);
     }
 
     @Test
-    void upstreamThatStartsAgainUnderItsId_crashesAnew() {
+    void crashesOfLaterIncarnationsOfAnUpstream_countSeparately() {
         for (long born = 1; born <= 3; born++) {
             mTable.onCrash(0, new UpstreamIncarnation("i-1", born), List.of(CRASHING));
         }
-        assertThat(mTable.standing(CRASHING)).isEqualTo(RequestStanding.QUARANTINED);
+        assertThat(mTable.status(CRASHING)).isEqualTo(QuarantineStatus.QUARANTINED);
     }
 
     @Test
-    void requestThatFellWithTheCrashingOne_isReleasedOnceTheOtherHasMoreCrashes() {
-        crashes(1, 3, CRASHING, INNOCENT);
-        assertThat(mTable.standing(INNOCENT)).isEqualTo(RequestStanding.QUARANTINED);
+    void interruptedRequest_isReleasedOnceTheCrashingOneHasMoreCrashes() {
+        crashes(1, 3, CRASHING, HARMLESS);
+        assertThat(mTable.status(HARMLESS)).isEqualTo(QuarantineStatus.QUARANTINED);
         crashes(4, 4, CRASHING);
-        assertThat(mTable.standing(INNOCENT)).isEqualTo(RequestStanding.SUSPECTED);
-        assertThat(mTable.standing(CRASHING)).isEqualTo(RequestStanding.QUARANTINED);
+        assertThat(mTable.status(HARMLESS)).isEqualTo(QuarantineStatus.SUSPECTED);
+        assertThat(mTable.status(CRASHING)).isEqualTo(QuarantineStatus.QUARANTINED);
     }
 
     @Test
-    void secondCrashingRequestBehindTheFirst_isFoundAtItsNextCrash() {
+    void secondCrashingRequest_isFoundAtItsFirstUnexplainedCrash() {
         crashes(1, 4, CRASHING);
-        crashes(1, 3, INNOCENT);
-        assertThat(mTable.standing(INNOCENT)).isEqualTo(RequestStanding.SUSPECTED);
-        crashes(5, 5, INNOCENT);
-        assertThat(mTable.standing(INNOCENT)).isEqualTo(RequestStanding.QUARANTINED);
+        crashes(1, 3, HARMLESS);
+        assertThat(mTable.status(HARMLESS)).isEqualTo(QuarantineStatus.SUSPECTED);
+        crashes(5, 5, HARMLESS);
+        assertThat(mTable.status(HARMLESS)).isEqualTo(QuarantineStatus.QUARANTINED);
     }
 
     @Test
-    void answerAfterTheVerdict_releases() {
+    void answerDuringTheQuarantine_releases() {
         crashes(1, 3, CRASHING);
         assertThat(mTable.clear(0, CRASHING)).isTrue();
-        assertThat(mTable.standing(CRASHING)).isEqualTo(RequestStanding.UNSUSPECTED);
+        assertThat(mTable.status(CRASHING)).isEqualTo(QuarantineStatus.UNSUSPECTED);
         assertThat(mTable.clear(0, CRASHING)).isFalse();
     }
 
     @Test
-    void requestWhoseGuiltIsOpen_isAskedBackForItsTrial() {
+    void requestThatMayStillBeCleared_getsAShortRetryAfter() {
         crashes(1, 3, CRASHING);
-        assertThat(mTable.retryAfterMs(0, CRASHING)).isEqualTo(SuspectTable.KEPT_MS);
-        crashes(1, 3, INNOCENT);
-        assertThat(mTable.retryAfterMs(0, INNOCENT)).isEqualTo(SuspectTable.TRIAL_AFTER_MS);
-        assertThat(mTable.retryAfterMs(0, CRASHING)).isEqualTo(SuspectTable.TRIAL_AFTER_MS);
-        assertThat(mTable.retryAfterMs(SuspectTable.KEPT_MS - 1, CRASHING)).isEqualTo(1);
+        assertThat(mTable.retryAfterMs(0, CRASHING)).isEqualTo(SuspectTable.RETENTION_MS);
+        crashes(1, 3, HARMLESS);
+        assertThat(mTable.retryAfterMs(0, HARMLESS)).isEqualTo(SuspectTable.TRIAL_DELAY_MS);
+        assertThat(mTable.retryAfterMs(0, CRASHING)).isEqualTo(SuspectTable.TRIAL_DELAY_MS);
+        assertThat(mTable.retryAfterMs(SuspectTable.RETENTION_MS - 1, CRASHING)).isEqualTo(1);
         crashes(4, 4, CRASHING);
-        assertThat(mTable.retryAfterMs(0, CRASHING)).isEqualTo(SuspectTable.KEPT_MS);
+        assertThat(mTable.retryAfterMs(0, CRASHING)).isEqualTo(SuspectTable.RETENTION_MS);
     }
 
     @Test
-    void newsInAnyOrder_leadToTheSameVerdicts() {
+    void reportsInAnyOrder_giveTheSameStatuses() {
         SuspectTable teller = table();
         List<SuspectReport.Item> news = new ArrayList<>();
-        Set<RequestStanding> standings = EnumSet.noneOf(RequestStanding.class);
+        Set<QuarantineStatus> standings = EnumSet.noneOf(QuarantineStatus.class);
         Random random = new Random(7);
         for (int i = 0; i < 60; i++) {
             RequestDigest digest = new RequestDigest(0, random.nextInt(8));
@@ -113,11 +113,11 @@
             shuffled.forEach(i -> hearer.merge(0, List.of(i)));
             for (int d = 0; d < 8; d++) {
                 RequestDigest digest = new RequestDigest(0, d);
-                assertThat(hearer.standing(digest)).isEqualTo(teller.standing(digest));
-                standings.add(teller.standing(digest));
+                assertThat(hearer.status(digest)).isEqualTo(teller.status(digest));
+                standings.add(teller.status(digest));
             }
         }
-        assertThat(standings).contains(RequestStanding.SUSPECTED, RequestStanding.QUARANTINED);
+        assertThat(standings).contains(QuarantineStatus.SUSPECTED, QuarantineStatus.QUARANTINED);
     }
 
     /** Three requests, each of which was interrupted by the crashes of the next and one more. */
@@ -134,12 +134,12 @@
             table.onCrash(0, crash(i), List.of(smallest));
         }
         table.clear(0, largest);
-        assertThat(table.standing(middle)).isEqualTo(RequestStanding.QUARANTINED);
-        assertThat(table.standing(smallest)).isEqualTo(RequestStanding.SUSPECTED);
+        assertThat(table.status(middle)).isEqualTo(QuarantineStatus.QUARANTINED);
+        assertThat(table.status(smallest)).isEqualTo(QuarantineStatus.SUSPECTED);
     }
 
     @Test
-    void verdicts_dependOnTheCrashesAloneAndNotOnTheOrderOfJudging() {
+    void statuses_dependOnTheCrashesAndNotOnTheOrderOfEvaluation() {
         for (int i = 0; i < 50; i++) {
             RequestDigest a = new RequestDigest(i, 1);
             RequestDigest b = new RequestDigest(i, 2);
@@ -150,21 +150,21 @@
     }
 
     @Test
-    void requestThatWasOftenClearedOfCrashes_isStillFoundOnceItCausesThem() {
+    void requestOftenClearedBefore_isStillQuarantinedForNewCrashes() {
         for (int i = 0; i < 60; i++) {
             mTable.onCrash(0, crash(i), List.of(CRASHING));
             mTable.clear(0, CRASHING);
         }
         crashes(100, 102, CRASHING);
-        assertThat(mTable.standing(CRASHING)).isEqualTo(RequestStanding.QUARANTINED);
+        assertThat(mTable.status(CRASHING)).isEqualTo(QuarantineStatus.QUARANTINED);
     }
 
     @Test
-    void crashesOfLongAgo_areForgotten() {
+    void oldCrashes_expire() {
         crashes(1, 2, CRASHING);
-        mTable.tick(SuspectTable.KEPT_MS);
+        mTable.tick(SuspectTable.RETENTION_MS);
         assertThat(mTable.isEmpty()).isTrue();
-        assertThat(mTable.knowsScope(CRASHING.scope())).isFalse();
+        assertThat(mTable.containsScope(CRASHING.scope())).isFalse();
     }
 
     @Test
@@ -174,6 +174,6 @@
             mTable.onCrash(i, crash(100 + i), List.of(new RequestDigest(9, i)));
         }
         assertThat(mTable.size()).isLessThanOrEqualTo(SuspectTable.MAX_SUSPECTS);
-        assertThat(mTable.standing(CRASHING)).isEqualTo(RequestStanding.QUARANTINED);
+        assertThat(mTable.status(CRASHING)).isEqualTo(QuarantineStatus.QUARANTINED);
     }
 }
--- a/coordination/src/test/java/org/hornbeampass/coordination/ratelimit/LimitedUpstream.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/ratelimit/LimitedUpstream.java
@@ -15,38 +15,38 @@
 final class LimitedUpstream {
     static final long WINDOW_MS = 4_000;
 
-    private static final double SHARE = 1.5;
-    private static final int EXTRA = 5;
-    private static final long TOLD_MS = 500;
-    private static final long CONTACT_MS = 3_000;
+    private static final double ALLOWED_RATIO = 1.5;
+    private static final int ALLOWED_EXTRA = 5;
+    private static final long REACTION_MS = 500;
+    private static final long PROPAGATION_MS = 3_000;
 
     /**
      * A request that reached it.
      *
      * @param atMs when, in milliseconds
-     * @param counts whether its VM had been told for long enough
+     * @param informed whether its VM had been told for long enough
      */
-    private record Arrival(long atMs, boolean counts) {}
+    private record Arrival(long atMs, boolean informed) {}
 
     private final List<Arrival> mArrivals = new ArrayList<>();
-    private final Map<String, Long> mToldMs = new HashMap<>();
+    private final Map<String, Long> mAnnouncedToVmMs = new HashMap<>();
     private OptionalDouble mLimit = OptionalDouble.empty();
-    private long mNamedMs = Long.MAX_VALUE;
-    private double mHighest;
+    private long mAnnouncedMs = Long.MAX_VALUE;
+    private double mHighestLimit;
 
     /** Names a limit from now on. */
-    void name(long nowMs, double perSecond) {
+    void announceLimit(long nowMs, double perSecond) {
         mLimit = OptionalDouble.of(perSecond);
-        mHighest = Math.max(mHighest, perSecond);
-        mNamedMs = Math.min(mNamedMs, nowMs);
+        mHighestLimit = Math.max(mHighestLimit, perSecond);
+        mAnnouncedMs = Math.min(mAnnouncedMs, nowMs);
     }
 
     /** Names none any more. */
-    void drop() {
+    void withdrawLimit() {
         mLimit = OptionalDouble.empty();
-        mNamedMs = Long.MAX_VALUE;
-        mHighest = 0;
-        mToldMs.clear();
+        mAnnouncedMs = Long.MAX_VALUE;
+        mHighestLimit = 0;
+        mAnnouncedToVmMs.clear();
     }
 
     OptionalDouble limit() {
@@ -57,38 +57,39 @@
         return 20 + random.nextLong(200);
     }
 
-    void onTold(long nowMs, String vm) {
-        mToldMs.putIfAbsent(vm, nowMs);
+    void onLimitReceived(long nowMs, String vm) {
+        mAnnouncedToVmMs.putIfAbsent(vm, nowMs);
     }
 
     /** Notes that a VM has ended or was cut off, which excuses it until it is told anew. */
-    void onExcused(String vm) {
-        mToldMs.remove(vm);
+    void onVmInterrupted(String vm) {
+        mAnnouncedToVmMs.remove(vm);
     }
 
     void onArrival(long nowMs, String vm) {
-        Long toldMs = mToldMs.get(vm);
-        mArrivals.add(new Arrival(nowMs, toldMs != null && nowMs >= toldMs + TOLD_MS));
+        Long toldMs = mAnnouncedToVmMs.get(vm);
+        mArrivals.add(new Arrival(nowMs, toldMs != null && nowMs >= toldMs + REACTION_MS));
     }
 
     /** Returns how many requests came from a time on. */
-    long arrivedSince(long fromMs) {
+    long arrivalsSince(long fromMs) {
         return mArrivals.stream().filter(a -> a.atMs() >= fromMs).count();
     }
 
     /** Returns the largest count of requests of all VMs in a window that begins after a time. */
-    long largestWindow(long fromMs) {
-        return largest(mArrivals.stream().filter(a -> a.atMs() >= fromMs).toList());
+    long largestWindowOfAllVms(long fromMs) {
+        return largestWindow(mArrivals.stream().filter(a -> a.atMs() >= fromMs).toList());
     }
 
     /** Returns the largest count of a window that is judged. */
-    long largestJudged() {
-        List<Arrival> counted = mArrivals.stream().filter(Arrival::counts).toList();
-        long judgedFromMs = mNamedMs + CONTACT_MS;
-        return largest(counted.stream().filter(a -> a.atMs() >= judgedFromMs - WINDOW_MS).toList());
+    long largestWindowOfInformedVms() {
+        List<Arrival> counted = mArrivals.stream().filter(Arrival::informed).toList();
+        long judgedFromMs = mAnnouncedMs + PROPAGATION_MS;
+        return largestWindow(
+                counted.stream().filter(a -> a.atMs() >= judgedFromMs - WINDOW_MS).toList());
     }
 
-    private static long largest(List<Arrival> arrivals) {
+    private static long largestWindow(List<Arrival> arrivals) {
         int from = 0;
         int largest = 0;
         for (int i = 0; i < arrivals.size(); i++) {
@@ -102,6 +103,6 @@
 
     /** Returns the most that a window may hold. */
     double allowed() {
-        return SHARE * mHighest * WINDOW_MS / 1_000 + EXTRA;
+        return ALLOWED_RATIO * mHighestLimit * WINDOW_MS / 1_000 + ALLOWED_EXTRA;
     }
 }
--- a/coordination/src/test/java/org/hornbeampass/coordination/ratelimit/RateLimitFleet.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/ratelimit/RateLimitFleet.java
@@ -49,8 +49,8 @@
 
     private static final int DOMAINS = 5;
     private static final long TICK_MS = 100;
-    private static final long NEWCOMER_MS = 2_000;
-    private static final int MAX_DENIED = 4;
+    private static final long WARM_UP_MS = 2_000;
+    private static final int MAX_DENIALS = 4;
     private static final long ONE_WAY_MS = 2;
     private static final ServiceSpec SERVICE = new ServiceSpec(SERVICE_NAME, 100, Optional.empty());
 
@@ -58,10 +58,10 @@
     private record Event(long atMs, long number, Runnable action) {}
 
     /** One VM in one of its lives. */
-    private final class Vm implements PeerNetwork, PermitHomes, SignalListener {
+    private final class Vm implements PeerNetwork, PermitHomeResolver, SignalListener {
         private final Member mSelf;
         private final long mStartedMs;
-        private final Set<String> mKnown = new HashSet<>();
+        private final Set<String> mKnownVms = new HashSet<>();
         private final SignalTable mTable = new SignalTable();
         private final UpstreamBoard mBoard;
         private final SignalExchange mExchange;
@@ -80,14 +80,15 @@
         }
 
         private FleetPaths paths() {
-            List<Member> known = mMembers.stream().filter(m -> mKnown.contains(m.name())).toList();
+            List<Member> known =
+                    mMembers.stream().filter(m -> mKnownVms.contains(m.name())).toList();
             return FleetPaths.choose(mSelf, known);
         }
 
         @Override
         public Optional<String> homeOf(String upstream) {
-            boolean newcomer = mStartedMs > 0 && mNowMs - mStartedMs < NEWCOMER_MS;
-            return newcomer ? Optional.empty() : RendezvousHash.choose(upstream, mKnown);
+            boolean newcomer = mStartedMs > 0 && mNowMs - mStartedMs < WARM_UP_MS;
+            return newcomer ? Optional.empty() : RendezvousHash.choose(upstream, mKnownVms);
         }
 
         @Override
@@ -134,10 +135,10 @@
                                                                     mNowMs, Either.right(reply));
                                                         }
                                                     })));
-            after(
+            schedule(
                     timeoutMs,
                     () -> {
-                        if (!answered[0] && up(this)) {
+                        if (!answered[0] && isUp(this)) {
                             answered[0] = true;
                             done.accept(
                                     mNowMs,
@@ -155,14 +156,14 @@
     }
 
     /** One request in progress at an upstream. */
-    private static final class Use implements IncarnationListener {
+    private static final class InFlightRequest implements IncarnationListener {
         @Override
         public void onEnded(long nowMs) {}
     }
 
     /** What a VM does with a message. */
-    private interface Receipt {
-        void on(Vm to);
+    private interface MessageHandler {
+        void handle(Vm to);
     }
 
     private final Random mRandom;
@@ -171,7 +172,7 @@
                     Comparator.comparingLong(Event::atMs).thenComparingLong(Event::number));
     private final Map<String, Vm> mVms = new TreeMap<>();
     private final List<Member> mMembers = new ArrayList<>();
-    private final Set<String> mCutOff = new HashSet<>();
+    private final Set<String> mPartitioned = new HashSet<>();
     private final Map<String, LimitedUpstream> mUpstreams = new HashMap<>();
     private double mLossShare;
     private long mMessages;
@@ -188,18 +189,18 @@
         for (int i = 0; i < vms; i++) {
             mMembers.add(TestMembers.live("vm-" + i, i % DOMAINS));
         }
-        mMembers.forEach(this::startKnown);
-        after(0, this::tick);
+        mMembers.forEach(this::startVm);
+        schedule(0, this::tick);
     }
 
-    private void startKnown(Member member) {
+    private void startVm(Member member) {
         Vm vm = new Vm(member);
-        mMembers.forEach(m -> vm.mKnown.add(m.name()));
+        mMembers.forEach(m -> vm.mKnownVms.add(m.name()));
         mVms.put(member.name(), vm);
-        mUpstreams.keySet().forEach(u -> list(vm, u));
+        mUpstreams.keySet().forEach(u -> addUpstream(vm, u));
     }
 
-    private void list(Vm vm, String upstream) {
+    private void addUpstream(Vm vm, String upstream) {
         vm.mBoard.onEntry(
                 mNowMs,
                 new UpstreamEntry(
@@ -237,12 +238,12 @@
     }
 
     /** Cuts a VM off from the others and from the upstreams, or ends that. */
-    void cutOff(String vm, boolean cut) {
-        mUpstreams.values().forEach(u -> u.onExcused(vm));
+    void setPartitioned(String vm, boolean cut) {
+        mUpstreams.values().forEach(u -> u.onVmInterrupted(vm));
         if (cut) {
-            mCutOff.add(vm);
+            mPartitioned.add(vm);
         } else {
-            mCutOff.remove(vm);
+            mPartitioned.remove(vm);
         }
     }
 
@@ -254,13 +255,13 @@
     /** Kills a VM; each of the others notices after a time of its own up to a bound. */
     void kill(String vm, long noticedWithinMs) {
         mVms.remove(vm);
-        mUpstreams.values().forEach(u -> u.onExcused(vm));
+        mUpstreams.values().forEach(u -> u.onVmInterrupted(vm));
         for (Vm other : mVms.values()) {
-            after(
+            schedule(
                     mRandom.nextLong(noticedWithinMs),
                     () -> {
                         if (!mVms.containsKey(vm)) {
-                            other.mKnown.remove(vm);
+                            other.mKnownVms.remove(vm);
                         }
                     });
         }
@@ -270,9 +271,9 @@
     void start(String vm, long noticedWithinMs) {
         Member member =
                 mMembers.stream().filter(m -> m.name().equals(vm)).findFirst().orElseThrow();
-        startKnown(member);
+        startVm(member);
         for (Vm other : mVms.values()) {
-            after(mRandom.nextLong(noticedWithinMs), () -> other.mKnown.add(vm));
+            schedule(mRandom.nextLong(noticedWithinMs), () -> other.mKnownVms.add(vm));
         }
     }
 
@@ -280,18 +281,18 @@
     void load(double perSecond, long forMs) {
         long untilMs = mNowMs + forMs;
         double gapMs = 1_000 / perSecond;
-        for (double t = gapMs(gapMs); t < forMs; t += gapMs(gapMs)) {
-            after((long) t, this::arrive);
+        for (double t = nextGapMs(gapMs); t < forMs; t += nextGapMs(gapMs)) {
+            schedule((long) t, this::onRequest);
         }
         runUntil(untilMs);
     }
 
-    private double gapMs(double meanMs) {
+    private double nextGapMs(double meanMs) {
         return -meanMs * Math.log(1 - mRandom.nextDouble());
     }
 
     /** Plans an action, in milliseconds from now on. */
-    void after(long ms, Runnable action) {
+    void schedule(long ms, Runnable action) {
         mEvents.add(new Event(mNowMs + ms, mNumber++, action));
     }
 
@@ -310,26 +311,26 @@
             vm.mLimiter.tick(mNowMs);
             vm.mBoard.tick(mNowMs);
         }
-        after(TICK_MS, this::tick);
+        schedule(TICK_MS, this::tick);
     }
 
-    private boolean up(Vm vm) {
+    private boolean isUp(Vm vm) {
         return mVms.get(vm.self()) == vm;
     }
 
-    private void deliver(Vm from, String to, Receipt receipt) {
-        boolean lost = mCutOff.contains(from.self()) || mRandom.nextDouble() < mLossShare;
-        after(
+    private void deliver(Vm from, String to, MessageHandler receipt) {
+        boolean lost = mPartitioned.contains(from.self()) || mRandom.nextDouble() < mLossShare;
+        schedule(
                 ONE_WAY_MS + mRandom.nextInt(2),
                 () -> {
                     Vm receiver = mVms.get(to);
-                    if (!lost && receiver != null && !mCutOff.contains(to)) {
-                        receipt.on(receiver);
+                    if (!lost && receiver != null && !mPartitioned.contains(to)) {
+                        receipt.handle(receiver);
                     }
                 });
     }
 
-    private void arrive() {
+    private void onRequest() {
         List<Vm> up = List.copyOf(mVms.values());
         if (!up.isEmpty()) {
             attempt(up.get(mRandom.nextInt(up.size())), 0);
@@ -338,7 +339,7 @@
 
     /** Chooses and asks for a permit as the relay does. */
     private void attempt(Vm vm, int denied) {
-        Set<String> leftOut = denied >= MAX_DENIED ? vm.mBoard.rateLimited() : Set.of();
+        Set<String> leftOut = denied >= MAX_DENIALS ? vm.mBoard.rateLimited() : Set.of();
         var chosen = vm.mBoard.choose(mNowMs, SERVICE, Prompt.NONE, leftOut);
         if (chosen.isEmpty()) {
             mRefused++;
@@ -358,34 +359,34 @@
     }
 
     private void send(Vm vm, UpstreamInstance instance) {
-        if (mCutOff.contains(vm.self())) {
+        if (mPartitioned.contains(vm.self())) {
             return;
         }
         mServed++;
         long askedMs = mNowMs;
-        IncarnationListener use = new Use();
+        IncarnationListener use = new InFlightRequest();
         instance.onSent(0, use);
         LimitedUpstream upstream = mUpstreams.get(instance.id());
-        after(
+        schedule(
                 ONE_WAY_MS,
                 () -> {
                     upstream.onArrival(mNowMs, vm.self());
-                    after(upstream.workMs(mRandom), () -> answer(vm, instance, use, askedMs));
+                    schedule(upstream.workMs(mRandom), () -> answer(vm, instance, use, askedMs));
                 });
     }
 
     private void answer(Vm vm, UpstreamInstance instance, IncarnationListener use, long askedMs) {
         LimitedUpstream upstream = mUpstreams.get(instance.id());
         OptionalDouble limit = upstream.limit();
-        after(
+        schedule(
                 ONE_WAY_MS + mRandom.nextInt(20),
                 () -> {
                     instance.onEnded(use);
-                    if (!up(vm) || mCutOff.contains(vm.self())) {
+                    if (!isUp(vm) || mPartitioned.contains(vm.self())) {
                         return;
                     }
                     if (limit.isPresent()) {
-                        upstream.onTold(mNowMs, vm.self());
+                        upstream.onLimitReceived(mNowMs, vm.self());
                     }
                     instance.onGood(mNowMs, (double) (mNowMs - askedMs));
                     vm.mExchange.onAnswer(
--- a/coordination/src/test/java/org/hornbeampass/coordination/routing/SilentUpstreamTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/routing/SilentUpstreamTest.java
@@ -24,11 +24,11 @@
     void timeouts_followLatencyOfModel() {
         mTable.applyConfig(0, Fleet.config(1, 2, 4));
         UpstreamChoice first = choose(0);
-        long before = mChooser.timeouts(0, first, AnswerKind.STREAM).firstMs();
+        long before = mChooser.timeouts(0, first, AnswerKind.STREAM).firstPartMs();
         mChooser.onFirstToken(900, first);
 
         assertThat(before).isEqualTo(4_800);
-        assertThat(mChooser.timeouts(900, choose(900), AnswerKind.STREAM).firstMs())
+        assertThat(mChooser.timeouts(900, choose(900), AnswerKind.STREAM).firstPartMs())
                 .isGreaterThanOrEqualTo(7_200);
     }
 
--- a/experiment/src/main/java/org/hornbeampass/experiment/routing/RequestRun.java
+++ b/experiment/src/main/java/org/hornbeampass/experiment/routing/RequestRun.java
@@ -4,9 +4,9 @@
 
 import org.hornbeampass.coordination.limit.AdmissionRequest;
 import org.hornbeampass.coordination.limit.AnswerKind;
+import org.hornbeampass.coordination.limit.AttemptIdleMonitor;
 import org.hornbeampass.coordination.limit.AttemptOutcome;
 import org.hornbeampass.coordination.limit.AttemptTimeouts;
-import org.hornbeampass.coordination.limit.AttemptWatch;
 import org.hornbeampass.coordination.limit.FailedAttempt;
 import org.hornbeampass.coordination.limit.RetryDecision;
 import org.hornbeampass.coordination.routing.RoutingQuery;
@@ -47,7 +47,7 @@
         private final SimulatedUpstream mUpstream;
         private final double mBackMs;
         private final AttemptTimeouts mTimeouts;
-        private final AttemptWatch mWatch;
+        private final AttemptIdleMonitor mWatch;
         private int mDelivered;
         private boolean mEnded;
 
@@ -57,7 +57,7 @@
             mBackMs = mSimulation.oneWayMs(mVm, upstream);
             long nowMs = mClock.nowMs();
             mTimeouts = mVm.chooser().timeouts(nowMs, choice, kind());
-            mWatch = new AttemptWatch(nowMs, mTimeouts);
+            mWatch = new AttemptIdleMonitor(nowMs, mTimeouts);
         }
 
         private void send() {
@@ -95,7 +95,7 @@
                 return;
             }
             long nowMs = mClock.nowMs();
-            long nextMs = mWatch.nextLookMs(nowMs, mVm.chooser().lastProgressMs(mChoice));
+            long nextMs = mWatch.nextCheckMs(nowMs, mVm.chooser().lastProgressMs(mChoice));
             if (nextMs <= nowMs) {
                 cancel();
                 end(AttemptOutcome.SILENT);
@@ -186,7 +186,7 @@
     }
 
     private AnswerKind kind() {
-        return mRequest.repeatable() ? AnswerKind.STREAM : AnswerKind.ONCE;
+        return mRequest.repeatable() ? AnswerKind.STREAM : AnswerKind.NOT_REPEATABLE;
     }
 
     /** Asks to be admitted and goes on from there. */
--- a/router/src/main/java/org/hornbeampass/router/daemon/Coordination.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/Coordination.java
@@ -150,7 +150,7 @@
         @Override
         public void onChange(long nowMs, MembershipView view) {
             Set<String> names = view.live().stream().map(Member::name).collect(Collectors.toSet());
-            mLimits.onVms(nowMs, names);
+            mLimits.onLiveVms(nowMs, names);
         }
 
         @Override
--- a/router/src/main/java/org/hornbeampass/router/daemon/FleetView.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/FleetView.java
@@ -10,7 +10,7 @@
 import org.hornbeampass.coordination.platform.Platform;
 import org.hornbeampass.coordination.platform.PlatformCall;
 import org.hornbeampass.coordination.platform.PlatformReply;
-import org.hornbeampass.coordination.ratelimit.PermitHomes;
+import org.hornbeampass.coordination.ratelimit.PermitHomeResolver;
 import org.hornbeampass.coordination.service.FleetPaths;
 import org.hornbeampass.state.Json;
 import org.hornbeampass.state.VmId;
@@ -32,7 +32,7 @@
  * <p>VMs are named by their IP numbers among each other, so that a seed's name is known from its
  * address. Confined to one event loop.
  */
-final class FleetView implements PermitHomes {
+final class FleetView implements PermitHomeResolver {
     private static final String PREFIX = "vms/";
 
     /** How long to wait before registering again after a failed call, in milliseconds. */
--- a/router/src/main/java/org/hornbeampass/router/daemon/QuarantineLog.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/QuarantineLog.java
@@ -1,7 +1,7 @@
 package org.hornbeampass.router.daemon;
 
+import org.hornbeampass.coordination.quarantine.QuarantineListener;
 import org.hornbeampass.coordination.quarantine.RequestDigest;
-import org.hornbeampass.coordination.quarantine.SuspectListener;
 import org.hornbeampass.coordination.service.UpstreamIncarnation;
 import org.hornbeampass.router.relay.LogFields;
 import org.hornbeampass.router.relay.RelayLog;
@@ -14,7 +14,7 @@
  *
  * <p>Confined to one event loop.
  */
-final class QuarantineLog implements SuspectListener {
+final class QuarantineLog implements QuarantineListener {
     private final RelayLog mLog;
 
     QuarantineLog(RelayLog log) {
--- a/router/src/main/java/org/hornbeampass/router/relay/CrashHistory.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/CrashHistory.java
@@ -3,8 +3,8 @@
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpUtil;
 
+import org.hornbeampass.coordination.quarantine.QuarantineStatus;
 import org.hornbeampass.coordination.quarantine.RequestDigest;
-import org.hornbeampass.coordination.quarantine.RequestStanding;
 import org.hornbeampass.coordination.service.UpstreamInstance;
 
 /**
@@ -31,27 +31,27 @@
     }
 
     /** Returns the verdict on the request as of now. */
-    RequestStanding standing() {
+    QuarantineStatus standing() {
         return mIdentity.standing(mParts.quarantine().suspects());
     }
 
     /** Takes the loss of the request's connection; returns the verdict before it. */
-    RequestStanding onBroken(UpstreamInstance instance) {
-        RequestStanding before = standing();
+    QuarantineStatus onBroken(UpstreamInstance instance) {
+        QuarantineStatus before = standing();
         mParts.crashes().onBroken(instance, digest());
         return before;
     }
 
     /** Records that the request's upstream has started again; returns the verdict before it. */
-    RequestStanding onStartedAgain(long nowMs, UpstreamInstance instance) {
-        RequestStanding before = standing();
+    QuarantineStatus onStartedAgain(long nowMs, UpstreamInstance instance) {
+        QuarantineStatus before = standing();
         mParts.crashes().onStartedAgain(nowMs, instance, digest());
         return before;
     }
 
     /** Returns whether the request may go to an upstream as of now, be it as a trial. */
     boolean mayBeSent(long nowMs) {
-        return standing().mayBeSent() || mParts.quarantine().trialDue(nowMs, digest());
+        return standing().mayBeSent() || mParts.quarantine().isTrialDue(nowMs, digest());
     }
 
     /** Returns whether the request may go out at this moment; a trial is counted and logged. */
@@ -59,7 +59,7 @@
         if (standing().mayBeSent()) {
             return true;
         }
-        mTrial = mParts.quarantine().takeTrial(nowMs, digest());
+        mTrial = mParts.quarantine().tryStartTrial(nowMs, digest());
         if (mTrial) {
             LogFields fields = new LogFields().add("digest", digest().toString());
             mParts.log().decided(nowMs, mRequestId, "quarantine-trial", fields);
@@ -88,7 +88,7 @@
     void onAnswered(long nowMs, UpstreamInstance instance) {
         if (!mTellsItsEnd) {
             mParts.crashes().onBroken(instance, digest());
-        } else if (standing() != RequestStanding.UNSUSPECTED) {
+        } else if (standing() != QuarantineStatus.UNSUSPECTED) {
             mParts.quarantine().clear(nowMs, digest());
         }
     }
--- a/router/src/main/java/org/hornbeampass/router/relay/RelayAttempts.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/RelayAttempts.java
@@ -5,7 +5,7 @@
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpVersion;
 
-import org.hornbeampass.coordination.quarantine.RequestStanding;
+import org.hornbeampass.coordination.quarantine.QuarantineStatus;
 import org.hornbeampass.coordination.service.UpstreamInstance;
 import org.hornbeampass.state.ErrorKind;
 import org.hornbeampass.state.Failure;
@@ -254,7 +254,7 @@
         mConnection = Optional.empty();
         UpstreamInstance instance = mUse.orElseThrow().instance();
         instance.onSilent(nowMs);
-        RequestStanding before = mCrashes.onBroken(instance);
+        QuarantineStatus before = mCrashes.onBroken(instance);
         onLost(nowMs, reason, before);
     }
 
@@ -264,7 +264,7 @@
             return;
         }
         dropConnectionOnly();
-        RequestStanding before = mCrashes.onStartedAgain(nowMs, mUse.orElseThrow().instance());
+        QuarantineStatus before = mCrashes.onStartedAgain(nowMs, mUse.orElseThrow().instance());
         onLost(nowMs, "the upstream has started again", before);
     }
 
@@ -275,7 +275,7 @@
      * @param reason what happened, for logs
      * @param before the verdict on the request before this loss
      */
-    private void onLost(long nowMs, String reason, RequestStanding before) {
+    private void onLost(long nowMs, String reason, QuarantineStatus before) {
         LogFields fields = mUse.map(InstanceUse::fields).orElseGet(LogFields::new);
         fields.add("reason", reason)
                 .add("events", mAnswer.events())
@@ -287,7 +287,7 @@
             mCall.end(nowMs, "caller-gone", usedTokens());
             return;
         }
-        if (mayRunAgain() && before.mayBeSentAgain() && mAnswer.mayRestart()) {
+        if (mayRunAgain() && before.mayBeRetried() && mAnswer.mayRestart()) {
             mAnswer.restart();
             attempt(nowMs);
             return;
--- a/router/src/main/java/org/hornbeampass/router/relay/RequestIdentity.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/RequestIdentity.java
@@ -1,8 +1,8 @@
 package org.hornbeampass.router.relay;
 
+import org.hornbeampass.coordination.quarantine.QuarantineStatus;
 import org.hornbeampass.coordination.quarantine.RequestDigest;
 import org.hornbeampass.coordination.quarantine.RequestHasher;
-import org.hornbeampass.coordination.quarantine.RequestStanding;
 import org.hornbeampass.coordination.quarantine.SuspectTable;
 
 import java.util.Optional;
@@ -35,22 +35,22 @@
     private long scope() {
         if (mScope.isEmpty()) {
             long bytes = Math.min(mBody.bytes(), RequestBody.MAX_KEPT_BYTES);
-            mScope = OptionalLong.of(mHasher.scope(mHost, mPath, mCaller, bytes));
+            mScope = OptionalLong.of(mHasher.hashScope(mHost, mPath, mCaller, bytes));
         }
         return mScope.getAsLong();
     }
 
     /** Returns the verdict on the request; the body is hashed only where its scope is known. */
-    RequestStanding standing(SuspectTable suspects) {
-        return suspects.isEmpty() || !suspects.knowsScope(scope())
-                ? RequestStanding.UNSUSPECTED
-                : suspects.standing(digest());
+    QuarantineStatus standing(SuspectTable suspects) {
+        return suspects.isEmpty() || !suspects.containsScope(scope())
+                ? QuarantineStatus.UNSUSPECTED
+                : suspects.status(digest());
     }
 
     /** Returns the digest of the request. */
     RequestDigest digest() {
         if (mDigest.isEmpty()) {
-            long content = mHasher.content(mBody.kept(), RequestBody.MAX_KEPT_BYTES);
+            long content = mHasher.hashContent(mBody.kept(), RequestBody.MAX_KEPT_BYTES);
             mDigest = Optional.of(new RequestDigest(scope(), content));
         }
         return mDigest.get();
--- a/router/src/main/java/org/hornbeampass/router/relay/UpstreamSearch.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/UpstreamSearch.java
@@ -102,7 +102,7 @@
 
     private void onPermit(long nowMs, UpstreamChoice choice, Optional<SendPermit> permit) {
         if (mCall.ended()) {
-            permit.ifPresent(p -> mParts.limiter().giveBack(nowMs, p));
+            permit.ifPresent(p -> mParts.limiter().returnUnused(nowMs, p));
             return;
         }
         if (permit.isEmpty()) {
@@ -117,7 +117,7 @@
             return;
         }
         if (mCounts.sentBefore() && !mParts.takeRetry(nowMs, mPlan.service().name())) {
-            mParts.limiter().giveBack(nowMs, permit.get());
+            mParts.limiter().returnUnused(nowMs, permit.get());
             mListener.onGivenUp(nowMs, "too many requests are sent again now");
             return;
         }
@@ -147,12 +147,12 @@
         UpstreamInstance instance = use.instance();
         boolean current = mConnecting.equals(Optional.of(use)) && !mCall.ended();
         if (!current) {
-            mParts.limiter().giveBack(nowMs, permit);
+            mParts.limiter().returnUnused(nowMs, permit);
             connection.ifPresent(UpstreamConnection::cancel);
             return;
         }
         if (connection.isEmpty()) {
-            mParts.limiter().giveBack(nowMs, permit);
+            mParts.limiter().returnUnused(nowMs, permit);
             instance.onSilent(nowMs);
             cancel();
             decided(nowMs, "unreachable", use.fields());
@@ -164,7 +164,7 @@
             return;
         }
         if (!instance.usable(nowMs)) {
-            mParts.limiter().giveBack(nowMs, permit);
+            mParts.limiter().returnUnused(nowMs, permit);
             lookElsewhere(nowMs, connection.get());
             return;
         }
--- a/router/src/main/java/org/hornbeampass/router/serve/RequestGate.java
+++ b/router/src/main/java/org/hornbeampass/router/serve/RequestGate.java
@@ -40,7 +40,7 @@
 
     @Override
     public void enter(long nowMs, BiConsumer<Long, Optional<Failure>> done) {
-        Optional<Failure> limited = mLimits.start(nowMs, mRequest.organisation());
+        Optional<Failure> limited = mLimits.tryStart(nowMs, mRequest.organisation());
         if (limited.isPresent()) {
             done.accept(nowMs, limited);
             return;
@@ -70,7 +70,7 @@
         }
         if (mStarted) {
             mStarted = false;
-            mLimits.ended(mRequest.organisation());
+            mLimits.onEnded(mRequest.organisation());
         }
     }
 }
--- a/router/src/main/java/org/hornbeampass/router/upstream/ChatRoute.java
+++ b/router/src/main/java/org/hornbeampass/router/upstream/ChatRoute.java
@@ -40,7 +40,7 @@
             UpstreamChoice choice, int number, Relayed relayed, AttemptListener listener) {
         return mStream
                 ? new ChatStreamAttempt(calls(), choice, number, listener, relayed.tokens())
-                : new HttpAttempt(calls(), choice, number, listener, AnswerKind.WHOLE);
+                : new HttpAttempt(calls(), choice, number, listener, AnswerKind.SINGLE_PART);
     }
 
     @Override
--- a/router/src/main/java/org/hornbeampass/router/upstream/HttpAttempt.java
+++ b/router/src/main/java/org/hornbeampass/router/upstream/HttpAttempt.java
@@ -1,9 +1,9 @@
 package org.hornbeampass.router.upstream;
 
 import org.hornbeampass.coordination.limit.AnswerKind;
+import org.hornbeampass.coordination.limit.AttemptIdleMonitor;
 import org.hornbeampass.coordination.limit.AttemptOutcome;
 import org.hornbeampass.coordination.limit.AttemptTimeouts;
-import org.hornbeampass.coordination.limit.AttemptWatch;
 import org.hornbeampass.coordination.routing.UpstreamChoice;
 import org.hornbeampass.router.flow.Attempt;
 import org.hornbeampass.router.flow.AttemptFault;
@@ -34,7 +34,7 @@
     private final int mNumber;
     private final AttemptListener mListener;
     private final AttemptTimeouts mTimeouts;
-    private final AttemptWatch mWatch;
+    private final AttemptIdleMonitor mWatch;
     private final AtomicBoolean mEnded = new AtomicBoolean();
     private final ByteArrayOutputStream mBody = new ByteArrayOutputStream();
     private volatile HttpClient.Call mCall;
@@ -57,7 +57,7 @@
         mListener = listener;
         long nowMs = calls.clock().nowMs();
         mTimeouts = calls.chooser().timeouts(nowMs, choice, kind);
-        mWatch = new AttemptWatch(nowMs, mTimeouts);
+        mWatch = new AttemptIdleMonitor(nowMs, mTimeouts);
     }
 
     /** Returns how long the connection may take, in milliseconds. */
@@ -81,7 +81,7 @@
         if (ended()) {
             return;
         }
-        long nextMs = mWatch.nextLookMs(nowMs, mCalls.chooser().lastProgressMs(mChoice));
+        long nextMs = mWatch.nextCheckMs(nowMs, mCalls.chooser().lastProgressMs(mChoice));
         if (nextMs <= nowMs) {
             fault(AttemptOutcome.SILENT, "it was silent for too long");
             close();
--- a/router/src/main/java/org/hornbeampass/router/upstream/ServiceAttempt.java
+++ b/router/src/main/java/org/hornbeampass/router/upstream/ServiceAttempt.java
@@ -26,7 +26,7 @@
     }
 
     private static AnswerKind kind(boolean repeatable) {
-        return repeatable ? AnswerKind.WHOLE : AnswerKind.ONCE;
+        return repeatable ? AnswerKind.SINGLE_PART : AnswerKind.NOT_REPEATABLE;
     }
 
     @Override
