--- a/coordination/src/main/java/org/hornbeampass/coordination/limit/AdmissionQueue.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/limit/AdmissionQueue.java
@@ -12,13 +12,14 @@
 import java.util.function.BiConsumer;
 
 /**
- * Admits requests up to a capacity and lets a bounded number wait; one queue for each target.
+ * Admits requests up to a capacity and queues a bounded number of others; there is one queue for
+ * each target.
  *
  * <p>Invariants: at most {@code capacity} requests are admitted and not released; at most {@code
- * maxWaiting} wait; each request is answered exactly once, and one that is shed, abandoned or past
- * its deadline leaves the queue at once. A request that can't be served before its deadline at the
- * present rate is refused when it comes. Thread-safe: one lock guards the state, and answers are
- * run after it is released.
+ * maxWaiting} wait; each request is answered exactly once unless it is abandoned, and one that is
+ * shed, abandoned or past its deadline leaves the queue at once. A request that can't be served
+ * before its deadline at the present rate is refused on submission. Thread-safe: one lock guards
+ * the state, and callbacks run after it is released.
  */
 public final class AdmissionQueue {
     private static final long MIN_RETRY_MS = 1_000;
@@ -38,17 +39,17 @@
     private int mAdmitted;
     private long mLastNumber;
 
-    /** A request that waits, with its answer. */
+    /** A waiting request with its callback. */
     private record Entry(WaitingRequest waiting, BiConsumer<Long, Optional<Failure>> done) {}
 
-    /** An answer that is run once the lock is released. */
+    /** A callback to run after the lock is released, with its result. */
     private record Answer(BiConsumer<Long, Optional<Failure>> done, Optional<Failure> failure) {}
 
     /**
      * Creates an empty queue.
      *
-     * @param capacity how many may be in progress at once
-     * @param maxWaiting how many may wait
+     * @param capacity how many requests may be admitted at once
+     * @param maxWaiting how many requests may wait
      */
     public AdmissionQueue(int capacity, int maxWaiting) {
         mCapacity = capacity;
@@ -56,12 +57,12 @@
     }
 
     /**
-     * Asks to be admitted.
+     * Submits a request for admission.
      *
-     * @param done run exactly once, now or later, with the time in milliseconds and with nothing
-     *     where the request is admitted, which must then be released once, or with {@code
-     *     OVERLOADED} or {@code DEADLINE_EXCEEDED_NOT_RUN}; not run where the request is abandoned
-     * @return the number by which the request may be abandoned
+     * @param done called exactly once, now or later, with the time in milliseconds and either no
+     *     failure, which admits the request so that it must be released once, or {@code OVERLOADED}
+     *     or {@code DEADLINE_EXCEEDED_NOT_RUN}; not called if the request is abandoned
+     * @return the number to pass to {@link #abandon}
      */
     public long submit(
             long nowMs, AdmissionRequest request, BiConsumer<Long, Optional<Failure>> done) {
@@ -75,12 +76,12 @@
         return number;
     }
 
-    /** Gives one admitted request's place back and admits the next. */
+    /** Releases one admitted request and admits the next. */
     public void release(long nowMs) {
         List<Answer> answers = new ArrayList<>();
         synchronized (mLock) {
             if (mAdmitted == 0) {
-                throw new IllegalStateException("released more often than admitted");
+                throw new IllegalStateException("more requests were released than admitted");
             }
             mAdmitted--;
             mRate.onCompleted(nowMs);
@@ -89,7 +90,10 @@
         runAnswers(nowMs, answers);
     }
 
-    /** Sets how many may be in progress; those above it finish, and none is admitted meanwhile. */
+    /**
+     * Sets how many requests may be admitted at once; those above the limit finish, and none is
+     * admitted until then.
+     */
     public void setCapacity(long nowMs, int capacity) {
         List<Answer> answers = new ArrayList<>();
         synchronized (mLock) {
@@ -100,9 +104,9 @@
     }
 
     /**
-     * Takes out a request whose caller gave up.
+     * Removes a waiting request whose caller gave up.
      *
-     * @return whether it still waited; otherwise it was answered before
+     * @return whether the request was still waiting; otherwise it was answered before
      */
     public boolean abandon(long number) {
         synchronized (mLock) {
@@ -111,7 +115,7 @@
         }
     }
 
-    /** Answers those whose deadline has passed; to be called a few times a second. */
+    /** Answers waiting requests whose deadline has passed; must be called a few times a second. */
     public void expire(long nowMs) {
         List<Answer> answers = new ArrayList<>();
         synchronized (mLock) {
@@ -120,14 +124,14 @@
         runAnswers(nowMs, answers);
     }
 
-    /** Returns how many wait. */
+    /** Returns the number of waiting requests. */
     public int waiting() {
         synchronized (mLock) {
             return mWaiting.size();
         }
     }
 
-    /** Returns how many are admitted and not released. */
+    /** Returns the number of requests that are admitted and not released. */
     public int admitted() {
         synchronized (mLock) {
             return mAdmitted;
@@ -175,18 +179,18 @@
     }
 
     private void expireLocked(long nowMs, List<Answer> answers) {
-        for (WaitingRequest late : mWaiting.expired(nowMs)) {
-            mWaiting.remove(late);
-            Entry entry = mEntries.remove(late.number());
+        for (WaitingRequest expired : mWaiting.expired(nowMs)) {
+            mWaiting.remove(expired);
+            Entry entry = mEntries.remove(expired.number());
             answers.add(new Answer(entry.done(), Optional.of(deadlineExceeded())));
         }
     }
 
-    private Answer refuse(long nowMs, Entry entry, String why) {
+    private Answer refuse(long nowMs, Entry entry, String message) {
         long waitMs = mRate.estimateWaitMs(nowMs, mWaiting.size() + 1).orElse(MIN_RETRY_MS);
         long bounded = Math.max(MIN_RETRY_MS, Math.min(MAX_RETRY_MS, waitMs));
         long spread = Math.floorMod(entry.waiting().number() * 0x9E3779B1L, RETRY_JITTER_MS);
-        Failure failure = Failure.retryAfter(ErrorKind.OVERLOADED, why, bounded + spread);
+        Failure failure = Failure.retryAfter(ErrorKind.OVERLOADED, message, bounded + spread);
         return new Answer(entry.done(), Optional.of(failure));
     }
 
--- a/coordination/src/main/java/org/hornbeampass/coordination/limit/AdmissionRequest.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/limit/AdmissionRequest.java
@@ -5,15 +5,15 @@
 import java.util.Objects;
 
 /**
- * A request that asks to be admitted.
+ * A request for admission.
  *
  * <p>Immutable; safe for use by any thread.
  *
- * @param organisation who asks
+ * @param organisation the organisation that sends the request
  * @param priority from 0 (first to be shed) to 9 (last to be shed)
- * @param weight the organisation's share in proportion to others of the same priority, at least 1
- * @param cost what the request may use, such as its tokens in the worst case, at least 1
- * @param deadline when its answer is due
+ * @param weight the organisation's share relative to others of the same priority, at least 1
+ * @param cost the most that the request may use, such as its maximum number of tokens, at least 1
+ * @param deadline when the answer is due
  */
 public record AdmissionRequest(
         OrganisationId organisation, int priority, int weight, long cost, Deadline deadline) {
--- a/coordination/src/main/java/org/hornbeampass/coordination/limit/AttemptIdleMonitor.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/limit/AttemptIdleMonitor.java
@@ -1,10 +1,10 @@
 package org.hornbeampass.coordination.limit;
 
 /**
- * Watches the silence of one attempt.
+ * Tracks the idle time of one attempt and says when to give it up.
  *
- * <p>Invariant: time during which this VM itself does not read the answer is no silence of the
- * upstream. Thread-safe: all state is guarded by its own monitor, a leaf in the order of locks.
+ * <p>Invariant: time during which this VM does not read the answer does not count as idle time of
+ * the upstream. Thread-safe: all state is guarded by its own monitor, a leaf in the lock order.
  */
 public final class AttemptIdleMonitor {
     private static final long REPORT_INTERVAL_MS = 100;
@@ -13,10 +13,10 @@
     private long mIdleSinceMs;
     private long mReportedAtMs;
     private long mLongestGapMs;
-    private boolean mBegun;
+    private boolean mStarted;
     private boolean mPaused;
 
-    /** Starts to watch an attempt that is sent now. */
+    /** Creates a monitor of an attempt that is sent now. */
     public AttemptIdleMonitor(long nowMs, AttemptTimeouts timeouts) {
         mTimeouts = timeouts;
         mIdleSinceMs = nowMs;
@@ -24,18 +24,18 @@
     }
 
     /**
-     * Notes a part of the answer.
+     * Records a part of the answer.
      *
-     * @return the longest gap since the last one that was returned, in milliseconds, where {@link
-     *     org.hornbeampass.coordination.routing.UpstreamChooser#onProgress} is to be told; -1 where
-     *     that was told a moment ago
+     * @return the longest gap between parts since the last gap that was returned, in milliseconds,
+     *     to be passed to {@link org.hornbeampass.coordination.routing.UpstreamChooser#onProgress};
+     *     -1 if the last report was so recent that none is due
      */
     public synchronized long onPart(long nowMs) {
-        if (mBegun) {
+        if (mStarted) {
             mLongestGapMs = Math.max(mLongestGapMs, nowMs - mIdleSinceMs);
         }
-        boolean first = !mBegun;
-        mBegun = true;
+        boolean first = !mStarted;
+        mStarted = true;
         mIdleSinceMs = nowMs;
         if (!first && nowMs - mReportedAtMs < REPORT_INTERVAL_MS) {
             return -1;
@@ -46,27 +46,27 @@
         return gapMs;
     }
 
-    /** Notes that this VM stops reading the answer. */
+    /** Records that this VM has stopped reading the answer. */
     public synchronized void onPaused() {
         mPaused = true;
     }
 
-    /** Notes that this VM reads again. */
+    /** Records that this VM reads the answer again. */
     public synchronized void onResumed(long nowMs) {
         mPaused = false;
         mIdleSinceMs = nowMs;
     }
 
     /**
-     * Returns when to look again; a time that is not after {@code nowMs} means that the attempt is
-     * to be given up now, and {@code Long.MAX_VALUE} that it never is.
+     * Returns when to check again, in milliseconds; a time that is not after {@code nowMs} means
+     * that the attempt must be given up now, and {@code Long.MAX_VALUE} that no check is needed.
      *
-     * @param progressMs as in {@link AttemptTimeouts#giveUpAtMs}
+     * @param lastProgressMs as in {@link AttemptTimeouts#giveUpAtMs}
      */
-    public synchronized long nextCheckMs(long nowMs, long progressMs) {
+    public synchronized long nextCheckMs(long nowMs, long lastProgressMs) {
         if (mPaused) {
             return nowMs + mTimeouts.idleMs();
         }
-        return mTimeouts.giveUpAtMs(mIdleSinceMs, mBegun, progressMs);
+        return mTimeouts.giveUpAtMs(mIdleSinceMs, mStarted, lastProgressMs);
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/limit/AttemptOutcome.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/limit/AttemptOutcome.java
@@ -1,46 +1,55 @@
 package org.hornbeampass.coordination.limit;
 
 /**
- * The closed list of ways in which one attempt at an upstream ends.
+ * The possible outcomes of one attempt at an upstream.
  *
- * <p>Each says whether a byte may have reached the upstream and whether it speaks against the
- * upstream. Immutable; safe for use by any thread.
+ * <p>Each says whether a byte may have reached the upstream and which problem of the upstream it
+ * indicates. Immutable; safe for use by any thread.
  */
 public enum AttemptOutcome {
-    /** The whole answer came. */
+    /** The complete answer was received. */
     SUCCEEDED(true, UpstreamProblem.NONE),
-    /** The upstream answered that the request itself is wrong. */
+    /** The upstream answered that the request is invalid. */
     REJECTED(true, UpstreamProblem.NONE),
-    /** The attempt was given up before anything was sent. */
+    /** The attempt was abandoned before anything was sent. */
     NOT_SENT(false, UpstreamProblem.NONE),
     /** No connection could be made, so nothing was sent. */
     CONNECT_FAILED(false, UpstreamProblem.UNREACHABLE),
-    /** The upstream refused for overload and says that it did not run the request. */
+    /**
+     * The upstream refused the request because of overload, and says that it did not run the
+     * request.
+     */
     REFUSED_OVERLOADED(true, UpstreamProblem.OVERLOAD),
-    /** The upstream refused since it is leaving and says that it did not run the request. */
+    /**
+     * The upstream refused the request because it is leaving, and says that it did not run the
+     * request.
+     */
     REFUSED_LEAVING(true, UpstreamProblem.NONE),
-    /** The upstream answered with a fault of its own. */
+    /** The upstream answered with an error of its own. */
     UPSTREAM_ERROR(true, UpstreamProblem.FAULT),
-    /** The connection broke after something was sent and before the answer began. */
+    /** The connection failed after something was sent and before the answer began. */
     BROKEN_BEFORE_ANSWER(true, UpstreamProblem.FAULT),
-    /** The connection broke in the middle of the answer. */
+    /** The connection failed during the answer. */
     BROKEN_IN_ANSWER(true, UpstreamProblem.FAULT),
-    /** The attempt's time was up; it was cancelled. */
+    /** The attempt timed out and was cancelled. */
     TIMED_OUT(true, UpstreamProblem.FAULT),
-    /** The upstream showed no progress for too long; the attempt was given up and cancelled. */
+    /** The upstream made no progress for too long, and the attempt was cancelled. */
     SILENT(true, UpstreamProblem.UNREACHABLE),
-    /** The caller went away or a hedge won; the attempt was cancelled. */
+    /**
+     * The caller disconnected or another attempt of the request answered first, and the attempt was
+     * cancelled.
+     */
     CANCELLED(true, UpstreamProblem.NONE);
 
-    /** What an outcome says about the upstream. */
+    /** The problem of the upstream that an outcome indicates. */
     public enum UpstreamProblem {
-        /** Nothing. */
+        /** No problem. */
         NONE,
-        /** It has too much to do. */
+        /** The upstream is overloaded. */
         OVERLOAD,
-        /** It may be faulty. */
+        /** The upstream may be faulty. */
         FAULT,
-        /** It can't be reached, or does nothing. */
+        /** The upstream can't be reached or makes no progress. */
         UNREACHABLE
     }
 
@@ -57,18 +66,18 @@
         return mMayHaveSent;
     }
 
-    /** Returns what the outcome says about the upstream. */
+    /** Returns the problem of the upstream that the outcome indicates. */
     public UpstreamProblem upstreamProblem() {
         return mUpstreamProblem;
     }
 
-    /** Returns whether it counts as a failure of the upstream. */
+    /** Returns whether the outcome counts as a failure of the upstream. */
     public boolean upstreamFailed() {
         return mUpstreamProblem == UpstreamProblem.FAULT
                 || mUpstreamProblem == UpstreamProblem.UNREACHABLE;
     }
 
-    /** Returns whether it shows that the upstream does its work. */
+    /** Returns whether the outcome shows that the upstream is healthy. */
     public boolean showsUpstreamHealthy() {
         return this == SUCCEEDED || this == REJECTED;
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/limit/AttemptTimeouts.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/limit/AttemptTimeouts.java
@@ -1,19 +1,19 @@
 package org.hornbeampass.coordination.limit;
 
 /**
- * Decides for how long an attempt may be silent before it is given up.
+ * The timeouts of one attempt, after which it is given up for lack of progress.
  *
- * <p>The patience for the first part is a multiple of the recent time to first token, and more for
- * a long prompt; the patience between parts is a multiple of the recent gap. Both are bounded, and
- * leave half of the time to the deadline to another attempt. An upstream that has shown progress in
- * any attempt of this VM is alive, so a quiet attempt there is excused, but not beyond {@link
- * #MAX_STALL_MS}. An attempt whose request may not be repeated is left to its deadline. Immutable;
- * safe for use by any thread.
+ * <p>The timeout of the first part is a multiple of the recent time to first token, plus an
+ * allowance for the prompt's length; the timeout between parts is a multiple of the recent gap
+ * between parts. Both are bounded, and the timeout of the first part leaves half of the time to the
+ * deadline for another attempt where it can. While an upstream makes progress in any attempt of
+ * this VM, an idle attempt at it is given more time, up to {@link #MAX_STALL_MS}. An attempt whose
+ * request may not be repeated ends only at its deadline. Immutable; safe for use by any thread.
  *
- * @param connectMs how long the connection may take, in milliseconds
- * @param firstPartMs the patience for the first part, in milliseconds
- * @param idleMs the patience between parts, in milliseconds
- * @param stallMs the longest silence that progress elsewhere at the upstream excuses, in
+ * @param connectMs the timeout for connecting, in milliseconds
+ * @param firstPartMs the timeout of the first part, in milliseconds
+ * @param idleMs the timeout between parts, in milliseconds
+ * @param stallMs the longest idle time while other attempts at the upstream make progress, in
  *     milliseconds
  */
 public record AttemptTimeouts(long connectMs, long firstPartMs, long idleMs, long stallMs) {
@@ -33,30 +33,31 @@
     private static final long MAX_IDLE_MS = 10_000;
 
     /**
-     * What is known when an attempt is sent.
+     * The estimates available when an attempt is sent.
      *
-     * @param firstTokenMs the recent time to first token, in milliseconds; 0 where unknown
-     * @param gapMs the recent longest gaps between parts, in milliseconds; 0 where unknown
-     * @param roundTripMs the round trip to the upstream, in milliseconds
-     * @param promptTokens the prompt's length
+     * @param firstTokenMs the recent time to first token, in milliseconds; 0 if unknown
+     * @param gapMs the recent longest gaps between parts, in milliseconds; 0 if unknown
+     * @param roundTripMs the round trip time to the upstream, in milliseconds
+     * @param promptTokens the length of the prompt in tokens
      */
     public record Estimates(
             double firstTokenMs, double gapMs, double roundTripMs, long promptTokens) {}
 
-    /** Decides the timeouts of one attempt that is sent now. */
+    /** Computes the timeouts of one attempt that is sent now. */
     public static AttemptTimeouts decide(
-            long nowMs, Estimates known, AnswerKind kind, Deadline deadline) {
-        long half = deadline.remainingMs(nowMs) / 2;
-        double typicalMs = known.firstTokenMs() > 0 ? known.firstTokenMs() : DEFAULT_FIRST_TOKEN_MS;
+            long nowMs, Estimates estimates, AnswerKind kind, Deadline deadline) {
+        long halfMs = deadline.remainingMs(nowMs) / 2;
+        double typicalMs =
+                estimates.firstTokenMs() > 0 ? estimates.firstTokenMs() : DEFAULT_FIRST_TOKEN_MS;
         double expectedMs =
                 clamp(
-                        FIRST_PART_RATIO * typicalMs + PROMPT_TOKEN_MS * known.promptTokens(),
+                        FIRST_PART_RATIO * typicalMs + PROMPT_TOKEN_MS * estimates.promptTokens(),
                         MIN_FIRST_PART_MS,
                         MAX_FIRST_PART_MS);
-        double gapMs = known.gapMs() > 0 ? known.gapMs() : DEFAULT_GAP_MS;
-        long silenceMs = clamp(IDLE_RATIO * gapMs, MIN_IDLE_MS, MAX_IDLE_MS);
+        double gapMs = estimates.gapMs() > 0 ? estimates.gapMs() : DEFAULT_GAP_MS;
+        long idleMs = clamp(IDLE_RATIO * gapMs, MIN_IDLE_MS, MAX_IDLE_MS);
         long connectMs =
-                clamp(ROUND_TRIP_RATIO * known.roundTripMs(), MIN_CONNECT_MS, MAX_CONNECT_MS);
+                clamp(ROUND_TRIP_RATIO * estimates.roundTripMs(), MIN_CONNECT_MS, MAX_CONNECT_MS);
         if (kind == AnswerKind.NOT_REPEATABLE) {
             return new AttemptTimeouts(connectMs, Long.MAX_VALUE, Long.MAX_VALUE, Long.MAX_VALUE);
         }
@@ -64,31 +65,33 @@
                 connectMs,
                 Math.min(
                         (long) kind.firstPartTimeoutMs(expectedMs),
-                        Math.max(MIN_FIRST_PART_MS, half)),
-                silenceMs,
+                        Math.max(MIN_FIRST_PART_MS, halfMs)),
+                idleMs,
                 MAX_STALL_MS);
     }
 
     /**
-     * Returns when an attempt is to be given up if nothing happens until then; {@code
-     * Long.MAX_VALUE} for never.
+     * Returns when to give up an attempt if it makes no progress until then, in milliseconds;
+     * {@code Long.MAX_VALUE} for never.
      *
-     * @param quietSinceMs when its last part came; before the first, when it was sent
-     * @param begun whether its first part came
-     * @param progressMs when the upstream last showed progress in any attempt of this VM; {@code
-     *     Long.MIN_VALUE} where it never did
+     * @param idleSinceMs when the last part was received; before the first part, when the attempt
+     *     was sent
+     * @param started whether the first part was received
+     * @param lastProgressMs when the upstream last made progress in any attempt of this VM; {@code
+     *     Long.MIN_VALUE} if it never did
      */
-    public long giveUpAtMs(long quietSinceMs, boolean begun, long progressMs) {
-        long patienceMs = begun ? idleMs : firstPartMs;
-        if (patienceMs == Long.MAX_VALUE) {
+    public long giveUpAtMs(long idleSinceMs, boolean started, long lastProgressMs) {
+        long timeoutMs = started ? idleMs : firstPartMs;
+        if (timeoutMs == Long.MAX_VALUE) {
             return Long.MAX_VALUE;
         }
-        long aliveUntilMs = progressMs == Long.MIN_VALUE ? progressMs : progressMs + idleMs;
-        long boundMs = quietSinceMs + Math.max(stallMs, patienceMs);
-        return Math.min(boundMs, Math.max(quietSinceMs + patienceMs, aliveUntilMs));
+        long extendedUntilMs =
+                lastProgressMs == Long.MIN_VALUE ? lastProgressMs : lastProgressMs + idleMs;
+        long latestMs = idleSinceMs + Math.max(stallMs, timeoutMs);
+        return Math.min(latestMs, Math.max(idleSinceMs + timeoutMs, extendedUntilMs));
     }
 
-    private static long clamp(double value, long least, long most) {
-        return Math.max(least, Math.min(most, (long) value));
+    private static long clamp(double value, long min, long max) {
+        return Math.max(min, Math.min(max, (long) value));
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/limit/ConcurrencyLimit.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/limit/ConcurrencyLimit.java
@@ -1,12 +1,12 @@
 package org.hornbeampass.coordination.limit;
 
 /**
- * Decides how many requests one VM may have in progress at one upstream.
+ * Limits how many requests one VM may have in flight at one upstream.
  *
- * <p>The limit follows the latency gradient: while recent times to first token stay near the
- * long-run ones it grows, when they rise it shrinks in proportion. Invariants: the limit is at
- * least {@value #MIN_LIMIT} and never above the configured maximum; it only grows while it is in
- * use. Not thread-safe: guarded by the owner's lock.
+ * <p>The limit follows the latency gradient: it grows while recent times to first token stay near
+ * the long-term ones, and shrinks in proportion when they rise. Invariants: the limit is at least
+ * {@value #MIN_LIMIT} and never above the configured maximum; it only grows while it is in use. Not
+ * thread-safe: guarded by the owner's lock.
  */
 public final class ConcurrencyLimit {
     private static final int MIN_LIMIT = 1;
@@ -40,7 +40,7 @@
         return (int) mLimit;
     }
 
-    /** Takes a changed maximum; a limit that stood at the old one moves to the new one. */
+    /** Changes the maximum; a limit that was at the old maximum becomes the new one. */
     public void setMax(int max) {
         int newMax = Math.max(MIN_LIMIT, max);
         mLimit = mLimit >= mMax ? newMax : Math.min(mLimit, newMax);
@@ -48,10 +48,10 @@
     }
 
     /**
-     * Learns from a first token.
+     * Updates the limit with the latency of a first token.
      *
      * @param firstTokenMs the time to first token in milliseconds
-     * @param inFlight requests in progress when the request was sent
+     * @param inFlight the number of requests in flight when the request was sent
      */
     public void onFirstToken(double firstTokenMs, int inFlight) {
         if (!mAdaptive) {
@@ -72,7 +72,7 @@
         setLimit(mLimit + LIMIT_SMOOTHING * (target - mLimit));
     }
 
-    /** Learns that the upstream refused a request for overload. */
+    /** Lowers the limit after the upstream refused a request because of overload. */
     public void onOverloadRefusal() {
         if (mAdaptive) {
             setLimit(mLimit * REFUSAL_FACTOR);
--- a/coordination/src/main/java/org/hornbeampass/coordination/limit/Deadline.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/limit/Deadline.java
@@ -1,10 +1,10 @@
 package org.hornbeampass.coordination.limit;
 
 /**
- * The time by which a request must be answered, in this VM's clock.
+ * The time by which a request must be answered, by this VM's clock.
  *
- * <p>Between processes the remaining time travels, not the time of day, so that clocks need not
- * agree; the time on the way is not subtracted. Immutable; safe for use by any thread.
+ * <p>Processes send each other the remaining time rather than a time of day, so their clocks need
+ * not agree; the time in transit is not subtracted. Immutable; safe for use by any thread.
  *
  * @param atMs the deadline in milliseconds
  */
@@ -14,7 +14,7 @@
         return new Deadline(Long.MAX_VALUE);
     }
 
-    /** Returns the deadline after a remaining time in milliseconds, as it came from a caller. */
+    /** Returns the deadline for a remaining time in milliseconds, as received from a caller. */
     public static Deadline after(long nowMs, long remainingMs) {
         long at = nowMs + remainingMs;
         return new Deadline(remainingMs > 0 && at < nowMs ? Long.MAX_VALUE : at);
@@ -25,7 +25,10 @@
         return nowMs >= atMs;
     }
 
-    /** Returns the time that is left in milliseconds, to send on; 0 where it has passed. */
+    /**
+     * Returns the remaining time in milliseconds, which may be sent to another process; 0 if the
+     * deadline has passed.
+     */
     public long remainingMs(long nowMs) {
         return atMs == Long.MAX_VALUE ? Long.MAX_VALUE : Math.max(0, atMs - nowMs);
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/limit/FailedAttempt.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/limit/FailedAttempt.java
@@ -3,15 +3,16 @@
 import java.util.Objects;
 
 /**
- * What is known when an attempt has failed, from which the next step is decided.
+ * A failed attempt, from which {@link RetryPolicy} decides the next step.
  *
  * <p>Immutable; safe for use by any thread.
  *
  * @param outcome how the attempt ended
  * @param repeatable whether the request may run more than once
- * @param attempts how many attempts were made, this one included
- * @param delivered how many tokens (for a plain service, bytes) of the answer went to the caller
- * @param resumable whether the upstream can resume this stream at an offset
+ * @param attempts the number of attempts made, including this one
+ * @param delivered the number of tokens of the answer sent to the caller, or bytes for a plain
+ *     service
+ * @param resumable whether the upstream can resume the stream at an offset
  * @param deadline when the answer is due
  */
 public record FailedAttempt(
@@ -30,7 +31,7 @@
                         || outcome == AttemptOutcome.REJECTED
                         || outcome == AttemptOutcome.CANCELLED;
         if (ended) {
-            throw new IllegalArgumentException(outcome + " leaves nothing to be retried");
+            throw new IllegalArgumentException(outcome + " is not a failure that can be retried");
         }
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/limit/FairShares.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/limit/FairShares.java
@@ -6,11 +6,12 @@
 import java.util.Collection;
 
 /**
- * Keeps how much each organisation was served, so that the one furthest behind its share is next.
+ * Tracks how much each organisation was served and selects the one furthest behind its fair share.
  *
- * <p>This is start-time fair queueing: an organisation's virtual time grows by cost over weight
- * with each request served; one that comes back after a pause starts at the present virtual time,
- * so that it can't claim what it did not use. Not thread-safe: guarded by the queue's lock.
+ * <p>Implements start-time fair queueing: an organisation's virtual time grows by cost divided by
+ * weight with each request served. An organisation that returns after a pause starts at the present
+ * virtual time, so it can't claim capacity that it did not use. Not thread-safe: guarded by the
+ * queue's lock.
  */
 final class FairShares {
     private static final int MAX_ORGANISATIONS = 10_000;
@@ -19,17 +20,17 @@
             new Object2ObjectHashMap<>();
     private double mVirtualNow;
 
-    /** Returns the organisation that is to be served next; there is at least one. */
+    /** Returns the organisation to serve next; {@code waiting} must not be empty. */
     OrganisationId next(Collection<OrganisationId> waiting) {
         OrganisationId best = null;
         double bestTime = Double.MAX_VALUE;
         for (OrganisationId each : waiting) {
             double time = virtualTime(each);
-            boolean before =
+            boolean better =
                     best == null
                             || time < bestTime
                             || (time == bestTime && each.compareTo(best) < 0);
-            if (before) {
+            if (better) {
                 best = each;
                 bestTime = time;
             }
@@ -37,7 +38,7 @@
         return best;
     }
 
-    /** Counts a request that is served. */
+    /** Records that a request is served. */
     void onServed(AdmissionRequest request) {
         double start = virtualTime(request.organisation());
         mVirtualNow = Math.max(mVirtualNow, start);
--- a/coordination/src/main/java/org/hornbeampass/coordination/limit/HedgePolicy.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/limit/HedgePolicy.java
@@ -1,10 +1,10 @@
 package org.hornbeampass.coordination.limit;
 
 /**
- * Decides whether a second attempt is sent while the first still waits for its first token.
+ * Decides whether to send a second attempt while the first still waits for its first token.
  *
  * <p>Invariants: only a request that may be repeated is hedged, at most once, and only while the
- * budget holds more than half, so that hedges never use up what retries need. Stateless;
+ * retry budget is more than half full, so that hedges never use up what retries need. Stateless;
  * thread-safe.
  */
 public final class HedgePolicy {
@@ -12,12 +12,13 @@
     private static final long MIN_WAIT_MS = 200;
 
     /**
-     * Decides for one waiting attempt; a hedge that is allowed is taken out of the budget.
+     * Returns whether to hedge a waiting attempt; if so, the hedge is taken out of the budget.
      *
      * @param waitedMs how long the first attempt has waited, in milliseconds
-     * @param typicalMs the smoothed time to first token of the target's upstreams; 0 where unknown
+     * @param typicalMs the smoothed time to first token of the target's upstreams, in milliseconds;
+     *     0 if unknown
      * @param repeatable whether the request may run more than once
-     * @param attempts how many attempts were made
+     * @param attempts the number of attempts made
      */
     public boolean tryHedge(
             long waitedMs, double typicalMs, boolean repeatable, int attempts, RetryBudget budget) {
--- a/coordination/src/main/java/org/hornbeampass/coordination/limit/OrganisationLimits.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/limit/OrganisationLimits.java
@@ -13,13 +13,14 @@
 import java.util.Set;
 
 /**
- * Holds each organisation to this VM's share of its limits on concurrency and rate.
+ * Enforces this VM's share of each organisation's limits on concurrency and rate.
  *
- * <p>The settings are over all VMs. Each VM takes an equal share: the rate in fractions, the places
- * in whole ones, where the remainder goes to the VMs that rank first for the organisation by
- * rendezvous hashing. Invariant: VMs that see the same set of VMs have shares that sum to exactly
- * the setting. When the set shrinks the share grows only after {@value #GROW_DELAY_MS} ms, so that
- * a VM that is slow to be heard of is not counted out at once. Thread-safe: one lock, a leaf.
+ * <p>The configured limits apply to the sum over all VMs. Each VM takes an equal share. The rate is
+ * divided exactly; concurrent requests are divided into whole numbers, and the remainder goes to
+ * the VMs that rank first for the organisation by rendezvous hashing. Invariant: the shares of VMs
+ * that see the same set of VMs sum to exactly the configured limit. When the set shrinks, the share
+ * grows only after {@value #GROW_DELAY_MS} ms, in case the missing VM is only briefly unreachable.
+ * Thread-safe: one lock, a leaf in the lock order.
  */
 public final class OrganisationLimits {
     private static final long GROW_DELAY_MS = 10_000;
@@ -34,7 +35,7 @@
     private long mPendingSinceMs;
     private long mVmsEpoch;
 
-    /** What one organisation uses on this VM. */
+    /** The usage of one organisation on this VM. */
     private static final class Usage {
         private int mInProgress;
         private double mTokens = 1;
@@ -43,14 +44,14 @@
         private int mRank;
     }
 
-    /** Creates limits for a fleet of which only this VM is known. */
+    /** Creates limits without a configuration for a fleet of which only this VM is known. */
     public OrganisationLimits(String vmName) {
         mVmName = vmName;
         mVms = Set.of(vmName);
         mPendingVms = mVms;
     }
 
-    /** Takes a configuration; one that is not newer than the last is ignored. */
+    /** Applies a configuration; one that is not newer than the last is ignored. */
     public void applyConfig(long nowMs, ConfigSnapshot config) {
         synchronized (mLock) {
             if (config.revision() > mConfig.revision()) {
@@ -59,7 +60,7 @@
         }
     }
 
-    /** Takes the names of the VMs that are believed to be alive; this VM always counts. */
+    /** Updates the names of the live VMs; this VM is always included. */
     public void onLiveVms(long nowMs, Set<String> vmNames) {
         synchronized (mLock) {
             Set<String> vms = new HashSet<>(vmNames);
@@ -80,9 +81,11 @@
     }
 
     /**
-     * Starts a request of an organisation.
+     * Starts a request of an organisation if its limits allow it.
      *
-     * @return empty where it may start, and must then be ended once; otherwise {@code RATE_LIMITED}
+     * @return empty if the request was started, in which case {@link #onEnded} must be called once;
+     *     otherwise {@code RATE_LIMITED}, or {@code NOT_PERMITTED} if the organisation is not
+     *     configured
      */
     public Optional<Failure> tryStart(long nowMs, OrganisationId organisation) {
         synchronized (mLock) {
@@ -99,11 +102,11 @@
                     >= concurrencyShare(organisation, usage, terms.get().maxConcurrent())) {
                 return Optional.of(rateLimited("requests in progress", 1_000));
             }
-            double perMs = terms.get().requestsPerSecond() / 1_000.0 / mVms.size();
-            refill(nowMs, usage, perMs);
+            double tokensPerMs = terms.get().requestsPerSecond() / 1_000.0 / mVms.size();
+            refill(nowMs, usage, tokensPerMs);
             if (usage.mTokens < 1) {
                 double missing = 1 - usage.mTokens;
-                long waitMs = perMs > 0 ? (long) Math.ceil(missing / perMs) : 60_000;
+                long waitMs = tokensPerMs > 0 ? (long) Math.ceil(missing / tokensPerMs) : 60_000;
                 return Optional.of(rateLimited("requests per second", waitMs));
             }
             usage.mTokens--;
@@ -112,12 +115,13 @@
         }
     }
 
-    /** Ends a request that was started. */
+    /** Records the end of a request that was started. */
     public void onEnded(OrganisationId organisation) {
         synchronized (mLock) {
             Usage usage = mUsages.get(organisation);
             if (usage == null || usage.mInProgress == 0) {
-                throw new IllegalStateException(organisation + " ended more often than started");
+                throw new IllegalStateException(
+                        organisation + " has more requests ended than started");
             }
             usage.mInProgress--;
         }
@@ -135,12 +139,12 @@
     private int rank(OrganisationId organisation) {
         long key = Rendezvous.hash(organisation.value());
         long own = Rendezvous.score(key, Rendezvous.hash(mVmName));
-        int before = 0;
+        int higher = 0;
         for (String vm : mVms) {
             long score = Rendezvous.score(key, Rendezvous.hash(vm));
-            before += score > own || (score == own && vm.compareTo(mVmName) < 0) ? 1 : 0;
+            higher += score > own || (score == own && vm.compareTo(mVmName) < 0) ? 1 : 0;
         }
-        return before;
+        return higher;
     }
 
     private void setVms(Set<String> vms) {
@@ -154,13 +158,13 @@
         }
     }
 
-    private static void refill(long nowMs, Usage usage, double perMs) {
-        double most = Math.max(1, perMs * 1_000);
+    private static void refill(long nowMs, Usage usage, double tokensPerMs) {
+        double maxTokens = Math.max(1, tokensPerMs * 1_000);
         if (usage.mRefilledAtMs == Long.MIN_VALUE) {
-            usage.mTokens = most;
+            usage.mTokens = maxTokens;
         } else {
-            double credit = usage.mTokens + Math.max(0, nowMs - usage.mRefilledAtMs) * perMs;
-            usage.mTokens = Math.min(most, credit);
+            double tokens = usage.mTokens + Math.max(0, nowMs - usage.mRefilledAtMs) * tokensPerMs;
+            usage.mTokens = Math.min(maxTokens, tokens);
         }
         usage.mRefilledAtMs = nowMs;
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/limit/RetryBudget.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/limit/RetryBudget.java
@@ -1,11 +1,13 @@
 package org.hornbeampass.coordination.limit;
 
 /**
- * Bounds further attempts to a share of first attempts, so that retries can't multiply a failure.
+ * Limits further attempts to a share of the first attempts, so that retries can't amplify an
+ * overload.
  *
- * <p>Each first attempt earns a share of a further one; retries, resumes and hedges each use up a
- * whole one. Invariant: further attempts never exceed the share of first attempts plus the starting
- * balance, and what is saved up never exceeds a bound. One budget for each VM. Thread-safe.
+ * <p>Each first attempt adds a fraction of an attempt to the balance; each retry, resume or hedge
+ * takes a whole one. Invariants: further attempts never exceed the share of first attempts plus the
+ * initial balance, and the balance never exceeds a bound. There is one budget for each VM.
+ * Thread-safe.
  */
 public final class RetryBudget {
     private static final int UNITS_PER_ATTEMPT = 100;
@@ -23,17 +25,17 @@
     /**
      * Creates a budget.
      *
-     * @param percent further attempts per hundred first ones
-     * @param start how many may be made before any is earned
-     * @param most how many may be saved up
+     * @param percent the number of further attempts allowed per hundred first attempts
+     * @param initial the initial balance, in attempts
+     * @param max the largest balance, in attempts
      */
-    public RetryBudget(int percent, int start, int most) {
+    public RetryBudget(int percent, int initial, int max) {
         mPercent = percent;
-        mMaxBalance = most * UNITS_PER_ATTEMPT;
-        mBalance = start * UNITS_PER_ATTEMPT;
+        mMaxBalance = max * UNITS_PER_ATTEMPT;
+        mBalance = initial * UNITS_PER_ATTEMPT;
     }
 
-    /** Returns a budget of one further attempt for ten first ones. */
+    /** Returns a budget of one further attempt per ten first attempts. */
     public static RetryBudget defaults() {
         return new RetryBudget(DEFAULT_PERCENT, DEFAULT_INITIAL, DEFAULT_MAX);
     }
@@ -44,7 +46,7 @@
         mBalance = Math.max(mBalance, Math.min(mMaxBalance, mBalance + mPercent));
     }
 
-    /** Takes one further attempt out of the budget; returns whether it was there. */
+    /** Takes one further attempt out of the budget; returns whether the balance allowed it. */
     public synchronized boolean tryTake() {
         if (mBalance < UNITS_PER_ATTEMPT) {
             mRefused++;
@@ -55,22 +57,22 @@
         return true;
     }
 
-    /** Returns whether more than half of what may be saved up is there. */
+    /** Returns whether the balance is more than half of its bound. */
     public synchronized boolean isMoreThanHalfFull() {
         return mBalance * 2 > mMaxBalance;
     }
 
-    /** Returns how many first attempts were counted. */
+    /** Returns the number of first attempts. */
     public synchronized long firstAttempts() {
         return mFirstAttempts;
     }
 
-    /** Returns how many further attempts were taken. */
+    /** Returns the number of further attempts taken out of the budget. */
     public synchronized long furtherAttempts() {
         return mFurtherAttempts;
     }
 
-    /** Returns how many further attempts were refused. */
+    /** Returns the number of further attempts refused. */
     public synchronized long refused() {
         return mRefused;
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/limit/RetryPolicy.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/limit/RetryPolicy.java
@@ -7,12 +7,12 @@
 import org.hornbeampass.state.Failure;
 
 /**
- * Decides what follows a failed attempt.
+ * Decides the next step after a failed attempt.
  *
  * <p>Invariants: a request that may not be repeated is never sent again once a byte of it may have
- * been sent; an answer of which a part was delivered is resumed at its exact offset or fails, never
- * begun anew; each further attempt comes out of the budget; {@code NOT_RUN} kinds are answered only
- * where no attempt sent a byte. Stateless; thread-safe.
+ * been sent; an answer that was partly delivered is resumed at its exact offset or fails, and is
+ * never restarted; each further attempt is taken out of the budget; a failure whose run state is
+ * {@code NOT_RUN} is returned only if no attempt may have sent a byte. Stateless; thread-safe.
  */
 public final class RetryPolicy {
     private static final int MAX_ATTEMPTS = 3;
@@ -20,11 +20,11 @@
     private static final long SECOND_RETRY_DELAY_MS = 100;
 
     /**
-     * Decides on one failed attempt.
+     * Decides the next step after one failed attempt.
      *
-     * @param attempt what is known of it
+     * @param attempt the failed attempt
      * @param sentBefore whether an earlier attempt of the request may have sent a byte
-     * @param budget from which a further attempt is taken
+     * @param budget the budget from which a further attempt is taken
      */
     public RetryDecision decide(
             long nowMs, FailedAttempt attempt, boolean sentBefore, RetryBudget budget) {
@@ -33,7 +33,7 @@
             return new GiveUp(
                     Failure.of(
                             ErrorKind.OUTCOME_UNKNOWN,
-                            "the call was sent and its outcome is not known; ask for it by its"
+                            "the call was sent and its outcome is unknown; query it by its"
                                     + " id"));
         }
         boolean timeLeft = attempt.deadline().remainingMs(nowMs) >= MIN_REMAINING_MS;
@@ -56,7 +56,7 @@
         if (attempt.delivered() > 0) {
             return Failure.of(
                     ErrorKind.STREAM_BROKEN,
-                    "the answer broke off after " + attempt.delivered() + " parts");
+                    "the answer was interrupted after " + attempt.delivered() + " parts");
         }
         if (attempt.deadline().passed(nowMs)) {
             return Failure.of(
@@ -66,6 +66,6 @@
         if (!sent) {
             return Failure.retryAfter(ErrorKind.NO_UPSTREAM, "no upstream could be reached", 1_000);
         }
-        return Failure.of(ErrorKind.UPSTREAM_FAILED, "the upstream failed; ask again later");
+        return Failure.of(ErrorKind.UPSTREAM_FAILED, "the upstream failed; retry later");
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/limit/ServiceRate.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/limit/ServiceRate.java
@@ -3,7 +3,7 @@
 import java.util.OptionalLong;
 
 /**
- * Estimates how long a number of requests take to be served, from recent completions.
+ * Estimates from recent completions how long it takes to serve a number of requests.
  *
  * <p>Not thread-safe: guarded by the queue's lock.
  */
@@ -19,14 +19,14 @@
         mCount++;
     }
 
-    /** Returns the time in milliseconds; empty where too few completions are known. */
+    /** Returns the estimated time in milliseconds; empty if there are too few completions. */
     OptionalLong estimateWaitMs(long nowMs, int requests) {
         int known = Math.min(mCount, SAMPLES);
         if (known < MIN_SAMPLES) {
             return OptionalLong.empty();
         }
         long oldest = mCompletedMs[mCount > SAMPLES ? mCount % SAMPLES : 0];
-        double eachMs = (double) Math.max(1, nowMs - oldest) / known;
-        return OptionalLong.of((long) Math.ceil(eachMs * requests));
+        double perRequestMs = (double) Math.max(1, nowMs - oldest) / known;
+        return OptionalLong.of((long) Math.ceil(perRequestMs * requests));
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/limit/StreamPosition.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/limit/StreamPosition.java
@@ -6,24 +6,24 @@
 import org.hornbeampass.state.Failure;
 
 /**
- * Holds how much of an answer the caller has, and fits each further part to it exactly.
+ * The position up to which an answer was delivered to the caller, and the parts accepted next.
  *
- * <p>Invariant: the caller gets each token once and in order, or the stream fails; a part of
- * another attempt never fits. Immutable; safe for use by any thread.
+ * <p>Invariant: the caller receives each token once and in order, or the stream fails; parts of
+ * other attempts are not accepted. Immutable; safe for use by any thread.
  *
  * @param attempt the attempt whose parts are accepted
- * @param delivered how many tokens the caller has
+ * @param delivered the number of tokens delivered to the caller
  */
 public record StreamPosition(long attempt, long delivered) {
     /**
-     * A part that fits.
+     * A part that continues or overlaps the delivered answer.
      *
-     * @param skip how many of its leading tokens the caller has already
-     * @param next the position after it
+     * @param skip the number of its leading tokens that were already delivered
+     * @param next the position after the part
      */
     public record FittedPart(int skip, StreamPosition next) {}
 
-    /** Returns the start of an attempt's answer. */
+    /** Returns the position at the start of an attempt's answer. */
     public static StreamPosition start(long attempt) {
         return new StreamPosition(attempt, 0);
     }
@@ -33,17 +33,18 @@
         return new StreamPosition(newAttempt, delivered);
     }
 
-    /** Returns whether a part belongs to the present attempt; one that doesn't is dropped. */
+    /** Returns whether a part belongs to the present attempt; other parts must be dropped. */
     public boolean accepts(long fromAttempt) {
         return fromAttempt == attempt;
     }
 
     /**
-     * Fits a part of the present attempt.
+     * Computes which tokens of a part of the present attempt are new.
      *
      * @param offset the number of tokens before the part
      * @param length the number of tokens in it
-     * @return how much of it is new, or {@code STREAM_BROKEN} where tokens are missing before it
+     * @return the tokens to skip and the next position, or {@code STREAM_BROKEN} if tokens before
+     *     the part are missing
      */
     public Either<Failure, FittedPart> fit(long offset, int length) {
         if (offset > delivered) {
@@ -57,7 +58,8 @@
                                     + " of the answer are missing"));
         }
         long skip = Math.min(length, delivered - offset);
-        long reached = Math.max(delivered, offset + length);
-        return Either.right(new FittedPart((int) skip, new StreamPosition(attempt, reached)));
+        long deliveredAfter = Math.max(delivered, offset + length);
+        return Either.right(
+                new FittedPart((int) skip, new StreamPosition(attempt, deliveredAfter)));
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/limit/TokenBucket.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/limit/TokenBucket.java
@@ -1,10 +1,10 @@
 package org.hornbeampass.coordination.limit;
 
 /**
- * A token bucket: allows a rate with a burst.
+ * A token bucket that limits the rate of events and allows a burst.
  *
- * <p>Invariant: between 0 and the burst in tokens; a clock that goes back adds none. Not
- * thread-safe; its owner's lock or thread guards it.
+ * <p>Invariants: the number of tokens is between 0 and the burst; a clock that goes backwards adds
+ * none. Not thread-safe: guarded by the owner's lock or confined to its thread.
  */
 public final class TokenBucket {
     private static final double MS_PER_SECOND = 1_000.0;
@@ -22,29 +22,29 @@
     }
 
     /**
-     * Makes a bucket that holds a whole burst.
+     * Creates a bucket that holds a whole burst.
      *
      * @param perSecond the rate, in tokens a second
-     * @param burst the most that it holds; at least one token
+     * @param burst the largest number of tokens; less than one counts as one
      * @param nowMs the present time in milliseconds
      */
     public static TokenBucket full(double perSecond, double burst, long nowMs) {
-        double most = Math.max(1.0, burst);
-        return new TokenBucket(perSecond, most, most, nowMs);
+        double max = Math.max(1.0, burst);
+        return new TokenBucket(perSecond, max, max, nowMs);
     }
 
     /**
-     * Makes a bucket that holds nothing until a time.
+     * Creates an empty bucket that begins to fill at a given time.
      *
      * @param perSecond the rate, in tokens a second
-     * @param burst the most that it holds; at least one token
-     * @param fromMs when it begins to fill, in milliseconds
+     * @param burst the largest number of tokens; less than one counts as one
+     * @param fromMs when the bucket begins to fill, in milliseconds
      */
     public static TokenBucket empty(double perSecond, double burst, long fromMs) {
         return new TokenBucket(perSecond, Math.max(1.0, burst), 0, fromMs);
     }
 
-    /** Changes rate and burst from now on; tokens beyond the new burst are lost. */
+    /** Changes the rate and the burst from now on; tokens beyond the new burst are discarded. */
     public void setRate(long nowMs, double perSecond, double burst) {
         fill(nowMs);
         mPerSecond = perSecond;
@@ -52,14 +52,15 @@
         mTokens = Math.min(mBurst, mTokens);
     }
 
-    /** Takes one token, if there is one. */
+    /** Takes one token if there is one; returns whether there was. */
     public boolean tryTake(long nowMs) {
         return tryTake(nowMs, 0);
     }
 
     /**
-     * Takes one token, if that leaves at least the reserved share of the burst. A burst too small
-     * to hold both is taken from when it is full.
+     * Takes one token if at least the reserved share of the burst remains afterwards; returns
+     * whether it was taken. If the burst is too small for that, a token is taken when the bucket is
+     * full.
      */
     public boolean tryTake(long nowMs, double reservedShare) {
         fill(nowMs);
@@ -71,7 +72,7 @@
         return true;
     }
 
-    /** Returns when there is a token if none is taken before, in milliseconds from now on. */
+    /** Returns the time until a token is available if none is taken before, in milliseconds. */
     public long untilNextMs(long nowMs) {
         fill(nowMs);
         double missing = Math.max(0, 1.0 - mTokens);
--- a/coordination/src/main/java/org/hornbeampass/coordination/limit/WaitingRequests.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/limit/WaitingRequests.java
@@ -12,12 +12,13 @@
 import java.util.TreeMap;
 
 /**
- * Holds waiting requests by priority and organisation, and decides which is served and which shed.
+ * Holds the waiting requests by priority and organisation, and selects which to serve or shed next.
  *
  * <p>The highest priority is served first, and within it the organisation furthest behind its fair
- * share; each {@value #FAIR_TURN_INTERVAL}th turn goes by fair share alone, so that no priority
- * starves. The lowest priority is shed first, and within it the newest request of the organisation
- * that waits with the most cost for its weight. Not thread-safe: guarded by the queue's lock.
+ * share. Each {@value #FAIR_TURN_INTERVAL}th request is selected by fair share alone, so that no
+ * priority starves. The lowest priority is shed first, and within it the newest request of the
+ * organisation whose waiting requests have the highest cost relative to its weight. Not
+ * thread-safe: guarded by the queue's lock.
  */
 final class WaitingRequests {
     private static final int FAIR_TURN_INTERVAL = 8;
@@ -35,12 +36,12 @@
         return mSize;
     }
 
-    /** Returns how many wait with at least a given priority. */
+    /** Returns the number of waiting requests with at least the given priority. */
     int countAtOrAbove(int priority) {
         int size = 0;
         for (var organisations : mByPriority.tailMap(priority, true).values()) {
-            for (ArrayDeque<WaitingRequest> line : organisations.values()) {
-                size += line.size();
+            for (ArrayDeque<WaitingRequest> queue : organisations.values()) {
+                size += queue.size();
             }
         }
         return size;
@@ -59,12 +60,12 @@
         if (organisations == null) {
             return false;
         }
-        ArrayDeque<WaitingRequest> line = organisations.get(waiting.request().organisation());
-        if (line == null || !line.remove(waiting)) {
+        ArrayDeque<WaitingRequest> queue = organisations.get(waiting.request().organisation());
+        if (queue == null || !queue.remove(waiting)) {
             return false;
         }
         mSize--;
-        if (line.isEmpty()) {
+        if (queue.isEmpty()) {
             organisations.remove(waiting.request().organisation());
         }
         if (organisations.isEmpty()) {
@@ -73,7 +74,7 @@
         return true;
     }
 
-    /** Takes out the request that is served next; empty where none waits. */
+    /** Removes and returns the request to serve next; empty if none waits. */
     Optional<WaitingRequest> takeNext() {
         if (mSize == 0) {
             return Optional.empty();
@@ -86,12 +87,12 @@
         return Optional.of(next);
     }
 
-    /** Counts a request that is served without waiting. */
+    /** Records that a request is served, with or without waiting. */
     void onServed(AdmissionRequest request) {
         mShares.onServed(request);
     }
 
-    /** Returns the request that is shed first; empty where none waits. */
+    /** Returns the request to shed first; empty if none waits. */
     Optional<WaitingRequest> firstToShed() {
         if (mSize == 0) {
             return Optional.empty();
@@ -99,20 +100,22 @@
         return mByPriority.firstEntry().getValue().values().stream()
                 .max(
                         Comparator.comparingDouble(WaitingRequests::costPerWeight)
-                                .thenComparing(line -> line.peekLast().number()))
+                                .thenComparing(queue -> queue.peekLast().number()))
                 .map(ArrayDeque::peekLast);
     }
 
-    /** Returns those whose deadline has passed. */
+    /** Returns the waiting requests whose deadline has passed, in the order of their submission. */
     List<WaitingRequest> expired(long nowMs) {
-        List<WaitingRequest> late = new ArrayList<>();
+        List<WaitingRequest> expired = new ArrayList<>();
         for (var organisations : mByPriority.values()) {
-            for (ArrayDeque<WaitingRequest> line : organisations.values()) {
-                line.stream().filter(w -> w.request().deadline().passed(nowMs)).forEach(late::add);
+            for (ArrayDeque<WaitingRequest> queue : organisations.values()) {
+                queue.stream()
+                        .filter(w -> w.request().deadline().passed(nowMs))
+                        .forEach(expired::add);
             }
         }
-        late.sort(Comparator.comparingLong(WaitingRequest::number));
-        return late;
+        expired.sort(Comparator.comparingLong(WaitingRequest::number));
+        return expired;
     }
 
     private WaitingRequest nextByPriority() {
@@ -123,16 +126,16 @@
     private WaitingRequest nextByFairShare() {
         Map<OrganisationId, WaitingRequest> heads = new HashMap<>();
         for (var organisations : mByPriority.descendingMap().values()) {
-            organisations.forEach((o, line) -> heads.putIfAbsent(o, line.peekFirst()));
+            organisations.forEach((o, queue) -> heads.putIfAbsent(o, queue.peekFirst()));
         }
         return heads.get(mShares.next(heads.keySet()));
     }
 
-    private static double costPerWeight(ArrayDeque<WaitingRequest> line) {
+    private static double costPerWeight(ArrayDeque<WaitingRequest> queue) {
         double cost = 0;
-        for (WaitingRequest waiting : line) {
+        for (WaitingRequest waiting : queue) {
             cost += waiting.request().cost();
         }
-        return cost / line.peekLast().request().weight();
+        return cost / queue.peekLast().request().weight();
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/limit/package-info.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/limit/package-info.java
@@ -1,2 +1,2 @@
-/** Limits on work: deadlines, admission, concurrency, rates, retries and resumes. */
+/** Limits on requests: deadlines, admission, concurrency, rates, retries and resumed streams. */
 package org.hornbeampass.coordination.limit;
--- a/coordination/src/main/java/org/hornbeampass/coordination/quarantine/Quarantine.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/quarantine/Quarantine.java
@@ -17,14 +17,15 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Keeps requests that crash upstreams from running again, anywhere in the fleet.
+ * Blocks requests that crash upstreams from running again anywhere in the fleet.
  *
- * <p>What a VM finds out it tells the others along the paths of the load reports. Quarantines are
- * told again and again, so that a VM that starts or was cut off hears of them, and are kept in the
- * platform's store. Nothing is sent where no upstream crashed. Confined to one thread.
+ * <p>A VM sends the crashes that it sees to the other VMs along the same paths as load reports.
+ * Quarantines are sent repeatedly, so that a VM that has just started or was unreachable receives
+ * them too, and they are kept in the platform's store. While no upstream has crashed, nothing is
+ * sent. Confined to one thread.
  */
 public final class Quarantine {
-    /** How many requests one message tells of at most. */
+    /** The largest number of requests in one message. */
     private static final int MAX_ITEMS = 128;
 
     private final SuspectTable mTable;
@@ -34,47 +35,49 @@
     private final RelayedNews<RequestDigest> mPendingReports;
 
     /**
-     * Makes a quarantine without requests.
+     * Creates a quarantine without requests.
      *
-     * @param platform the store that keeps it
+     * @param platform the store that holds the records of quarantines
      * @param peers sends messages to other VMs
-     * @param paths gives whom to tell now
-     * @param keeper whether this VM is the one that writes to the store first, and allows trials
-     * @param random spreads calls to the store
-     * @param listener hears of verdicts
+     * @param paths returns the VMs to which reports are currently sent
+     * @param ownsRecords returns whether this VM is the record owner, which writes to the store
+     *     first and allows trials
+     * @param random adds jitter to the calls to the store
+     * @param listener notified when requests are quarantined and released
      */
     public Quarantine(
             Platform platform,
             PeerNetwork peers,
             Supplier<FleetPaths> paths,
-            BooleanSupplier keeper,
+            BooleanSupplier ownsRecords,
             RandomGenerator random,
             QuarantineListener listener) {
         mTable = new SuspectTable(listener);
-        mStore = new QuarantineStore(platform, mTable, listener, keeper, random, this::clear);
+        mStore = new QuarantineStore(platform, mTable, listener, ownsRecords, random, this::clear);
         mPeers = peers;
-        mOwnsRecords = keeper;
+        mOwnsRecords = ownsRecords;
         mPendingReports = new RelayedNews<>(paths, this::sendReports);
     }
 
-    /** Returns what is known of requests. */
+    /** Returns the suspected requests that this VM knows. */
     public SuspectTable suspects() {
         return mTable;
     }
 
     /**
-     * Takes a crash that this VM saw.
+     * Records a crash that this VM saw.
      *
      * @param nowMs the present time in milliseconds
-     * @param crash the upstream
-     * @param requests those of this VM that were in progress there
+     * @param crash the upstream that crashed
+     * @param requests the requests of this VM that were in flight there
      */
     public void onCrash(long nowMs, UpstreamIncarnation crash, Collection<RequestDigest> requests) {
         mTable.onCrash(nowMs, crash, requests).forEach(mPendingReports::add);
     }
 
     /**
-     * Clears a request: an upstream answered it whole, or operators lifted its quarantine.
+     * Clears a request because an upstream answered it completely or operators lifted its
+     * quarantine.
      *
      * @param nowMs the present time in milliseconds
      * @param digest the request
@@ -86,28 +89,28 @@
     }
 
     /**
-     * Returns whether a quarantined request may run here as a trial, to tell it from others that
-     * were interrupted by the same crashes. One VM of the fleet allows trials, as far as its VMs
-     * agree on their members.
+     * Returns whether a quarantined request may run on this VM as a trial, which shows whether it
+     * or another request with the same crashes is the cause. Only the record owner allows trials,
+     * so as long as the VMs agree on the members of the fleet, one VM does.
      */
     public boolean isTrialDue(long nowMs, RequestDigest digest) {
         return mTable.isTrialDue(nowMs, digest) && mOwnsRecords.getAsBoolean();
     }
 
     /**
-     * Counts a trial that is about to run; returns whether it may. No other one begins before
-     * {@link #endTrial}.
+     * Starts a trial if one is due; returns whether it was started. No other trial starts on this
+     * VM before {@link #endTrial}.
      */
     public boolean tryStartTrial(long nowMs, RequestDigest digest) {
         return isTrialDue(nowMs, digest) && mTable.tryStartTrial(nowMs, digest);
     }
 
-    /** Ends a trial: the request has left its upstream. */
+    /** Ends a trial once the request is no longer in flight at its upstream. */
     public void endTrial(long nowMs, RequestDigest digest) {
         mTable.endTrial(nowMs, digest);
     }
 
-    /** Takes what another VM tells. */
+    /** Merges a report from another VM and forwards what is new. */
     public void onReport(long nowMs, VmId from, SuspectReport report, Consumer<PeerMessage> reply) {
         mPendingReports.onTold(from.name(), mTable.merge(nowMs, report.items()));
         report.items().stream()
@@ -117,7 +120,7 @@
                 .forEach(mPendingReports::add);
     }
 
-    /** Tells the others what is new, and makes the calls to the store that are due. */
+    /** Sends new reports to the other VMs and makes the calls to the store that are due. */
     public void tick(long nowMs) {
         mTable.tick(nowMs);
         mStore.tick(nowMs);
--- a/coordination/src/main/java/org/hornbeampass/coordination/quarantine/QuarantineListener.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/quarantine/QuarantineListener.java
@@ -5,17 +5,17 @@
 import java.util.List;
 
 /**
- * Hears of the verdicts on requests.
+ * Receives the quarantines and releases of requests, and failed calls to the store.
  *
- * <p>Called on the thread to which the table is confined.
+ * <p>Called on the thread to which the {@link SuspectTable} is confined.
  */
 public interface QuarantineListener {
-    /** A request is kept from upstreams from now on, for the crashes of some. */
+    /** Called when a request is quarantined because upstreams crashed while running it. */
     void onQuarantined(long nowMs, RequestDigest digest, List<UpstreamIncarnation> crashes);
 
-    /** A request may run again. */
+    /** Called when the quarantine of a request ends. */
     void onReleased(long nowMs, RequestDigest digest);
 
-    /** The store's record of a quarantine could not be written or read. */
+    /** Called when the store's record of a quarantine could not be read, written or deleted. */
     void onRecordFailed(long nowMs, String key, String reason);
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/quarantine/QuarantineRecord.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/quarantine/QuarantineRecord.java
@@ -5,12 +5,12 @@
 import java.util.List;
 
 /**
- * What the platform's store holds of one quarantined request, under its digest.
+ * The record of one quarantined request in the platform's store, where its key contains the digest.
  *
  * <p>Immutable; safe for use by any thread.
  *
- * @param crashes the crashes on which the verdict rests
- * @param untilMs until when the request is kept from upstreams, in milliseconds since 1970
+ * @param crashes the crashes for which the request was quarantined
+ * @param untilMs when the quarantine ends, in milliseconds since 1970
  */
 record QuarantineRecord(List<UpstreamIncarnation> crashes, long untilMs) {
     /** Copies the list. */
--- a/coordination/src/main/java/org/hornbeampass/coordination/quarantine/QuarantineStatus.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/quarantine/QuarantineStatus.java
@@ -1,16 +1,16 @@
 package org.hornbeampass.coordination.quarantine;
 
 /**
- * What the crashes known so far say of a request.
+ * Whether a request may run, given the crashes known so far.
  *
  * <p>Immutable; safe for use by any thread.
  */
 public enum QuarantineStatus {
-    /** No upstream crashed under it since it was last answered whole. */
+    /** No upstream crashed while running it since it was last answered completely. */
     UNSUSPECTED(true, true),
-    /** Upstreams crashed under it, though others may have been the cause. */
+    /** Upstreams crashed while running it, but other requests may have been the cause. */
     SUSPECTED(true, false),
-    /** So many upstreams crashed under it that it runs nowhere any more. */
+    /** So many upstreams crashed while running it that it is not sent to any upstream. */
     QUARANTINED(false, false);
 
     private final boolean mMayBeSent;
@@ -21,12 +21,15 @@
         mMayBeRetried = mayBeSentAgain;
     }
 
-    /** Returns whether it may go to an upstream at all. */
+    /** Returns whether the request may be sent to an upstream. */
     public boolean mayBeSent() {
         return mMayBeSent;
     }
 
-    /** Returns whether it may go to another upstream right after it lost one. */
+    /**
+     * Returns whether the request may be sent to another upstream right after an upstream was lost
+     * while running it.
+     */
     public boolean mayBeRetried() {
         return mMayBeRetried;
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/quarantine/QuarantineStore.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/quarantine/QuarantineStore.java
@@ -20,37 +20,38 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Keeps quarantines in the platform's store, so that they outlive the VMs, and lifts those whose
- * records operators delete.
+ * Writes quarantines to the platform's store, so that they survive restarts of the VMs, and lifts
+ * those whose records operators delete.
  *
- * <p>Each VM reads the records once, at its start. One VM, the keeper, writes and reads them later.
- * Where a verdict stays without a record, since the keeper may be cut off or about to end, the VMs
- * that saw its crashes write it within a second, and others after some seconds. So calls depend on
- * verdicts and starts, not on VMs and time. Invariants: one reading is open at a time, and one
- * write for each request; no write waits for another. Confined to one thread.
+ * <p>Each VM reads the records once when it starts. Afterwards one VM, the record owner, reads and
+ * writes them. If a quarantine still has no record, because the record owner may be unreachable or
+ * about to stop, a VM that saw one of the crashes writes it within a second, and any other VM after
+ * some seconds. So the number of calls depends on quarantines and starts of VMs rather than on the
+ * number of VMs or on time. Invariants: at most one read is in progress, and at most one write for
+ * each request; no write waits for another. Confined to one thread.
  */
 final class QuarantineStore {
     static final String PREFIX = "quarantines/";
 
-    /** How often the keeper reads the records while there are any, in milliseconds. */
+    /** How often the record owner reads the records while there are any, in milliseconds. */
     private static final long READ_INTERVAL_MS = 10_000;
 
     /** How long to wait after a call that failed, in milliseconds. */
     private static final long RETRY_DELAY_MS = 1_000;
 
     /**
-     * How long VMs that saw one of the crashes leave the record to the keeper, in milliseconds: the
-     * keeper tells the others of its record within half a second.
+     * How long VMs that saw one of the crashes wait for the record owner to write, in milliseconds:
+     * its report that the record exists arrives within half a second.
      */
     private static final long OBSERVER_WRITE_DELAY_MS = 600;
 
-    /** Over how long the witnesses spread their tries, in milliseconds. */
+    /** The largest random delay that these VMs add, in milliseconds. */
     private static final int OBSERVER_WRITE_JITTER_MS = 400;
 
-    /** How long others leave the record to the keeper, in milliseconds. */
+    /** How long all other VMs wait for the record to be written, in milliseconds. */
     private static final long FALLBACK_WRITE_DELAY_MS = 3_000;
 
-    /** Over how long the others spread their own tries, in milliseconds. */
+    /** The largest random delay that all other VMs add, in milliseconds. */
     private static final int FALLBACK_WRITE_JITTER_MS = 7_000;
 
     private static final int PAGE_SIZE = 500;
@@ -71,26 +72,27 @@
     private long mNextReadMs;
 
     /**
-     * Makes a keeper of records.
+     * Creates a store client that has not read the records yet.
      *
      * @param platform the store
-     * @param table the verdicts
-     * @param listener hears of calls that failed
-     * @param keeper whether this VM is the one that writes first
-     * @param random spreads the tries of the others
-     * @param onLifted takes the present time in milliseconds and a request whose record was deleted
+     * @param table the suspected requests
+     * @param listener notified of failed calls
+     * @param ownsRecords returns whether this VM is the record owner
+     * @param random adds jitter to the writes of the other VMs
+     * @param onLifted receives the present time in milliseconds and a request whose record was
+     *     deleted
      */
     QuarantineStore(
             Platform platform,
             SuspectTable table,
             QuarantineListener listener,
-            BooleanSupplier keeper,
+            BooleanSupplier ownsRecords,
             RandomGenerator random,
             BiConsumer<Long, RequestDigest> onLifted) {
         mPlatform = platform;
         mTable = table;
         mListener = listener;
-        mOwnsRecords = keeper;
+        mOwnsRecords = ownsRecords;
         mRandom = random;
         mOnLifted = onLifted;
     }
@@ -103,12 +105,12 @@
                 .filter(i -> !i.recorded() && !mWritesInProgress.contains(i.digest()))
                 .filter(i -> nowMs >= writeAtMs(nowMs, i.digest()))
                 .forEach(i -> write(nowMs, i));
-        boolean any = mHasRecords || !quarantined.isEmpty();
-        boolean readingDue =
+        boolean anyRecords = mHasRecords || !quarantined.isEmpty();
+        boolean readDue =
                 !mReadInProgress
                         && nowMs >= mNextReadMs
-                        && (!mReadOnce || (any && mOwnsRecords.getAsBoolean()));
-        if (readingDue) {
+                        && (!mReadOnce || (anyRecords && mOwnsRecords.getAsBoolean()));
+        if (readDue) {
             mListed.clear();
             mRecordedBeforeRead = recordedDigests(quarantined);
             read(nowMs, "");
@@ -184,27 +186,31 @@
                 .forEach(d -> mOnLifted.accept(nowMs, d));
     }
 
-    /** A record that another VM has deleted or changed meanwhile is left to the next reading. */
+    /**
+     * Reports a failed deletion; a record that another VM changed meanwhile is left to the next
+     * read.
+     */
     private void onDeleted(long nowMs, String key, PlatformReply reply) {
-        boolean settled =
+        boolean done =
                 reply instanceof PlatformReply.Written || reply instanceof PlatformReply.Conflict;
-        if (!settled) {
+        if (!done) {
             mListener.onRecordFailed(nowMs, key, reply.toString());
         }
     }
 
-    /** Takes a record: its quarantine goes on, or is over and its record is deleted. */
+    /** Merges a record that was read; the record owner deletes it if its quarantine is over. */
     private void onRecord(long nowMs, StoredObject object) {
         Optional<RequestDigest> digest =
                 RequestDigest.parse(object.key().substring(PREFIX.length()));
-        Either<Failure, QuarantineRecord> read =
+        Either<Failure, QuarantineRecord> decoded =
                 Json.decode(object.value(), QuarantineRecord.class);
-        if (digest.isEmpty() || read.isLeft()) {
-            mListener.onRecordFailed(nowMs, object.key(), "it is no record of a quarantine");
+        if (digest.isEmpty() || decoded.isLeft()) {
+            mListener.onRecordFailed(
+                    nowMs, object.key(), "the object is not a valid quarantine record");
             return;
         }
         mListed.add(digest.get());
-        SuspectReport.Item item = read.get().item(nowMs, digest.get());
+        SuspectReport.Item item = decoded.get().item(nowMs, digest.get());
         if (item.quarantineLeftMs() > 0) {
             mTable.merge(nowMs, List.of(item));
         }
--- a/coordination/src/main/java/org/hornbeampass/coordination/quarantine/RequestDigest.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/quarantine/RequestDigest.java
@@ -6,9 +6,9 @@
 import java.util.Optional;
 
 /**
- * Names a request by what it asks, so that its repeats are known for the same request.
+ * Identifies a request by its content, so that repetitions are recognised as the same request.
  *
- * <p>Immutable; safe for use by any thread. Made by {@link RequestHasher}.
+ * <p>Immutable; safe for use by any thread. Computed by {@link RequestHasher}.
  *
  * @param scope a keyed hash of host, path, caller and the length of the body
  * @param content a keyed hash of the body
@@ -18,7 +18,7 @@
     private static final HexFormat HEX = HexFormat.of();
     private static final int HALF_DIGITS = 2 * Long.BYTES;
 
-    /** Reads what {@link #toString} wrote; empty for any other text. */
+    /** Parses the result of {@link #toString}; empty for any other text. */
     public static Optional<RequestDigest> parse(String text) {
         boolean wellFormed =
                 text.length() == 2 * HALF_DIGITS && text.chars().allMatch(HexFormat::isHexDigit);
@@ -31,7 +31,7 @@
                         HexFormat.fromHexDigitsToLong(text, HALF_DIGITS, text.length())));
     }
 
-    /** Returns 32 hexadecimal digits, for logs and for keys of the store. */
+    /** Returns 32 hexadecimal digits, as used in logs and in keys of the store. */
     @Override
     public String toString() {
         return HEX.toHexDigits(scope) + HEX.toHexDigits(content);
--- a/coordination/src/main/java/org/hornbeampass/coordination/quarantine/RequestHasher.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/quarantine/RequestHasher.java
@@ -12,8 +12,8 @@
 /**
  * Computes the digests of requests under a key that all VMs share.
  *
- * <p>Callers that don't know the key can't make a request with the digest of another caller's.
- * Confined to one thread.
+ * <p>A caller that does not know the key can't craft a request with the same digest as another
+ * caller's request. Confined to one thread.
  */
 public final class RequestHasher {
     private static final String ALGORITHM = "HmacSHA256";
@@ -21,10 +21,12 @@
 
     private final byte[] mKey;
 
-    /** Made at the first use: most VMs start without need of it, and loading it delays a start. */
+    /**
+     * Created on first use: most VMs don't need it at startup, and loading it delays the startup.
+     */
     private Optional<Mac> mMac = Optional.empty();
 
-    /** Makes a hasher of a secret key. */
+    /** Creates a hasher that uses a secret key. */
     public RequestHasher(byte[] key) {
         mKey = key.clone();
     }
@@ -42,17 +44,18 @@
             mac.init(new SecretKeySpec(key, ALGORITHM));
             return mac;
         } catch (GeneralSecurityException e) {
-            throw new IllegalStateException("every Java platform has " + ALGORITHM, e);
+            throw new IllegalStateException(
+                    "this Java platform lacks the required algorithm " + ALGORITHM, e);
         }
     }
 
     /**
-     * Returns the hash of what tells most requests apart without their bodies.
+     * Returns a hash of the attributes that distinguish most requests without reading their bodies.
      *
-     * @param host where the request goes
-     * @param path its path, with the query
-     * @param caller who sends it; empty where that is not known
-     * @param bytes how many bytes of the body count
+     * @param host the host to which the request is addressed
+     * @param path the path of the request, with the query
+     * @param caller the name of the caller; empty if unknown
+     * @param bytes the number of bytes of the body that are hashed
      */
     public long hashScope(String host, String path, String caller, long bytes) {
         Mac mac = mac();
@@ -65,10 +68,10 @@
     }
 
     /**
-     * Returns the hash of a body.
+     * Returns a hash of the body.
      *
-     * @param parts the body's parts, whose positions are left as they are
-     * @param maxBytes how many bytes of the body count at most
+     * @param parts the parts of the body; their positions are not changed
+     * @param maxBytes the largest number of bytes that are hashed
      */
     public long hashContent(List<ByteBuffer> parts, long maxBytes) {
         Mac mac = mac();
--- a/coordination/src/main/java/org/hornbeampass/coordination/quarantine/Suspect.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/quarantine/Suspect.java
@@ -11,23 +11,24 @@
 import java.util.stream.Collectors;
 
 /**
- * What is known of one request during which upstreams crashed.
+ * The crashes and the quarantine of one suspected request, during which upstreams crashed.
  *
- * <p>Invariants: a crash that is known to be cleared stays so; the number of crashes is bounded,
- * and those that were cleared are forgotten first. Confined to one thread.
+ * <p>Invariants: a crash that is cleared stays cleared; the number of crashes is bounded, and
+ * cleared ones are evicted first. Confined to one thread.
  */
 final class Suspect {
-    /** How many crashes are kept: more than the verdict needs, so that requests can be compared. */
-    static final int MAX_CRASHES = 16;
-
     /**
-     * How often a request runs to tell it from others; the first time may end without an answer.
+     * The largest number of crashes kept: more than a quarantine requires, so that requests can be
+     * compared by their numbers of crashes.
      */
+    static final int MAX_CRASHES = 16;
+
+    /** The largest number of trials of a request; the first may end without an answer. */
     private static final int MAX_TRIALS = 2;
 
     private final RequestDigest mDigest;
 
-    /** Whether each crash is cleared, in the order in which the crashes became known here. */
+    /** Whether each crash is cleared, in the order in which this VM learned of the crashes. */
     private final Map<UpstreamIncarnation, Boolean> mClearedByCrash = new LinkedHashMap<>();
 
     private long mRetainedUntilMs;
@@ -45,7 +46,7 @@
         return mDigest;
     }
 
-    /** Notes that this VM itself saw one of the crashes. */
+    /** Records that this VM itself saw one of the crashes. */
     void setObservedLocally() {
         mObservedLocally = true;
     }
@@ -54,16 +55,19 @@
         return mObservedLocally;
     }
 
-    /** Adds crashes, and those that the request did not cause; returns whether any was new. */
+    /**
+     * Adds crashes and marks those in {@code cleared} as not caused by the request; returns whether
+     * anything changed.
+     */
     boolean add(Collection<UpstreamIncarnation> crashes, Collection<UpstreamIncarnation> cleared) {
-        boolean any = false;
-        for (UpstreamIncarnation each : crashes) {
-            any |= !cleared.contains(each) && addUncleared(each);
+        boolean changed = false;
+        for (UpstreamIncarnation crash : crashes) {
+            changed |= !cleared.contains(crash) && addUncleared(crash);
         }
-        for (UpstreamIncarnation each : cleared) {
-            any |= addCleared(each);
+        for (UpstreamIncarnation crash : cleared) {
+            changed |= addCleared(crash);
         }
-        return any;
+        return changed;
     }
 
     private boolean addUncleared(UpstreamIncarnation crash) {
@@ -79,19 +83,22 @@
         return fits && !Boolean.TRUE.equals(mClearedByCrash.put(crash, true));
     }
 
-    /** Returns whether there is room for one more crash, for which an old cleared one may go. */
+    /**
+     * Makes room for one more crash, evicting a cleared one if necessary; returns whether there is
+     * room.
+     */
     private boolean tryMakeRoom() {
         return mClearedByCrash.size() < MAX_CRASHES || mClearedByCrash.values().remove(true);
     }
 
-    /** Clears the request of all crashes that are known; returns whether any was open. */
+    /** Clears the request of all known crashes; returns whether any was not cleared yet. */
     boolean clear() {
         boolean any = mClearedByCrash.containsValue(false);
         mClearedByCrash.replaceAll((crash, cleared) -> true);
         return any;
     }
 
-    /** Returns the crashes that it may have caused. */
+    /** Returns the crashes that the request may have caused. */
     Set<UpstreamIncarnation> unclearedCrashes() {
         return crashes(false);
     }
@@ -103,7 +110,7 @@
                 .collect(Collectors.toCollection(LinkedHashSet::new));
     }
 
-    /** Returns whether enough crashes are known for a verdict against it. */
+    /** Returns whether enough crashes are known, cleared ones included, for a quarantine. */
     boolean hasEnoughCrashes() {
         return mClearedByCrash.size() >= SuspectTable.CRASHES_TO_QUARANTINE;
     }
@@ -112,23 +119,25 @@
         return mQuarantined;
     }
 
-    /** Takes a verdict; the first trial may be from a time in milliseconds on. */
-    void setQuarantined(boolean quarantined, long trialFromMs) {
+    /**
+     * Sets whether the request is quarantined, and the earliest time of a trial in milliseconds.
+     */
+    void setQuarantined(boolean quarantined, long earliestTrialMs) {
         mQuarantined = quarantined;
-        mNextTrialMs = trialFromMs;
+        mNextTrialMs = earliestTrialMs;
     }
 
-    /** Returns whether it may run to tell it from other requests. */
+    /** Returns whether the request may run as a trial. */
     boolean isTrialDue(long nowMs) {
         return mQuarantined && mTrials < MAX_TRIALS && nowMs >= mNextTrialMs;
     }
 
-    /** Counts a trial. */
+    /** Counts a trial that starts. */
     void onTrialStarted() {
         mTrials++;
     }
 
-    /** Allows no trial before a time in milliseconds. */
+    /** Sets the earliest time of the next trial, in milliseconds. */
     void deferTrialUntil(long ms) {
         mNextTrialMs = ms;
     }
@@ -145,7 +154,7 @@
         return mRetainedUntilMs;
     }
 
-    /** Keeps what is known until a time in milliseconds at least. */
+    /** Extends the retention of this entry to at least a time in milliseconds. */
     void retainUntil(long untilMs) {
         mRetainedUntilMs = Math.max(mRetainedUntilMs, untilMs);
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/quarantine/SuspectReport.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/quarantine/SuspectReport.java
@@ -8,11 +8,12 @@
 import java.util.List;
 
 /**
- * Tells other VMs under which requests upstreams crashed, and which of them were answered since.
+ * Reports to other VMs the requests during which upstreams crashed, and those that were answered
+ * since.
  *
  * <p>Immutable; safe for use by any thread.
  *
- * @param items what is known of some requests
+ * @param items the state of some requests, as this VM knows it
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record SuspectReport(List<Item> items) implements PeerMessage {
@@ -22,15 +23,15 @@
     }
 
     /**
-     * What is known of one request. Two of them are merged by the unions of their lists, so that
-     * one that comes twice, late or out of order does no harm.
+     * The state of one request. Two items are merged by the union of their lists, so duplicate,
+     * late or reordered items do no harm.
      *
      * @param digest the request
-     * @param crashes the crashes during which it was in progress
-     * @param cleared those of them that it did not cause
-     * @param quarantineLeftMs for how long it is still kept from upstreams, in milliseconds; 0
-     *     where it is not
-     * @param recorded whether the platform's store holds the quarantine
+     * @param crashes the crashes during which it was in flight
+     * @param cleared the crashes that it did not cause
+     * @param quarantineLeftMs the remaining time of the quarantine, in milliseconds; 0 if the
+     *     request is not quarantined
+     * @param recorded whether the platform's store holds a record of the quarantine
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     public record Item(
--- a/coordination/src/main/java/org/hornbeampass/coordination/quarantine/SuspectTable.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/quarantine/SuspectTable.java
@@ -14,78 +14,82 @@
 import java.util.Set;
 
 /**
- * The requests during which upstreams crashed, and the verdict on each.
+ * The requests during which upstreams crashed, and whether each is quarantined.
  *
  * <p>A crash interrupts all requests that the upstream runs, and callers repeat all of them. Two
- * rules keep the others from being taken for the one that causes crashes: a whole answer anywhere
- * clears a request of all crashes before it; and a crash that also interrupted a request with more
- * crashes counts little against one with fewer. Invariants: verdicts depend on which incarnations
- * of upstreams crashed under which requests alone, not on the order or number of messages; at most
- * one trial is under way; the table is bounded. Confined to one thread.
+ * rules distinguish the request that causes the crashes from the others: a complete answer on any
+ * VM clears a request of all earlier crashes; and a crash that also interrupted a request with more
+ * crashes is explained by that request, and explained crashes together count less than a quarantine
+ * requires. Invariants: quarantines depend only on which incarnations of upstreams crashed during
+ * which requests, not on the order or number of messages; at most one trial is in progress; the
+ * table is bounded. Confined to one thread.
  */
 public final class SuspectTable {
-    /** How many upstreams must crash under a request before it is kept from the others. */
+    /** How many upstreams must crash during a request before it is quarantined. */
     static final int CRASHES_TO_QUARANTINE = 3;
 
     /**
-     * How much the crashes count, at most, that a request with more of them explains: one more that
-     * it does not explain then decides.
+     * The largest number of explained crashes that count, explained ones being those that another
+     * request with more crashes shares: one unexplained crash is then enough for a quarantine.
      */
     private static final int MAX_EXPLAINED_COUNT = CRASHES_TO_QUARANTINE - 1;
 
-    /** For how long a crash counts against a request, and a quarantine lasts, in milliseconds. */
+    /**
+     * How long a crash counts against a request and how long a quarantine lasts, in milliseconds.
+     */
     static final long RETENTION_MS = 600_000;
 
     /**
-     * By how much the end of a quarantine must differ to be taken over, in milliseconds: the time
-     * that a message takes must not prolong it each time that it is told.
+     * How much later the end in a report must be to be adopted, in milliseconds: otherwise the
+     * transit time of each report would prolong the quarantine.
      */
     private static final long END_TOLERANCE_MS = 1_000;
 
     /**
-     * How long after a verdict, or after a trial that told nothing, a trial of the same request may
-     * be, in milliseconds: all crashes are known by then.
+     * How long after the start of a quarantine or the end of a trial the same request may run as a
+     * trial, in milliseconds: all crashes are known by then.
      */
     static final long TRIAL_DELAY_MS = 2_000;
 
-    /** How many requests are kept; an upstream that crashes may have run some hundred. */
+    /** The largest number of requests kept; an upstream may run some hundred when it crashes. */
     static final int MAX_SUSPECTS = 4_096;
 
     /**
-     * How many are forgotten at once where the table is full, since each time costs a look at all.
+     * How many entries are evicted at once when the table is full, since each eviction scans the
+     * whole table.
      */
     private static final int EVICTION_BATCH = MAX_SUSPECTS / 8;
 
     private final Map<RequestDigest, Suspect> mByDigest = new HashMap<>();
 
-    /** Those with enough crashes for a verdict: few among many. */
+    /** The entries with enough crashes for a quarantine, a small part of the table. */
     private final Map<RequestDigest, Suspect> mCandidates = new HashMap<>();
 
     private final Set<Long> mScopes = new HashSet<>();
     private final QuarantineListener mListener;
     private Optional<RequestDigest> mTrial = Optional.empty();
 
-    /** Makes an empty table. */
+    /** Creates an empty table. */
     public SuspectTable(QuarantineListener listener) {
         mListener = listener;
     }
 
-    /** Returns whether any request is known whose digest has a scope. */
+    /** Returns whether the table holds any request whose digest has the given scope. */
     public boolean containsScope(long scope) {
         return mScopes.contains(scope);
     }
 
-    /** Returns whether no request is known. */
+    /** Returns whether the table holds no request. */
     public boolean isEmpty() {
         return mByDigest.isEmpty();
     }
 
-    /** Returns how many requests are known. */
+    /** Returns the number of requests in the table. */
     public int size() {
         return mByDigest.size();
     }
 
-    /** Returns the verdict on a request. */
+    /** Returns the status of a request. */
     public QuarantineStatus status(RequestDigest digest) {
         Suspect suspect = mByDigest.get(digest);
         if (suspect == null || suspect.unclearedCrashes().isEmpty()) {
@@ -95,7 +99,8 @@
     }
 
     /**
-     * Returns for how long a request is still kept from upstreams, in milliseconds; 0 if it is not.
+     * Returns the remaining time of a request's quarantine in milliseconds; 0 if it is not
+     * quarantined.
      */
     public long quarantineLeftMs(long nowMs, RequestDigest digest) {
         return Optional.ofNullable(mByDigest.get(digest))
@@ -105,10 +110,10 @@
     }
 
     /**
-     * Returns whether a quarantined request may run as a trial: where other quarantined requests
-     * were interrupted by the same crashes, one of them may cause none. An answer clears it; one
-     * more crash explains the crashes of the others. Two trials at the same time could end in one
-     * crash, and tell nothing.
+     * Returns whether a quarantined request may run as a trial. Where several quarantined requests
+     * were interrupted by the same crashes, some of them may not cause any. An answer to the trial
+     * clears the request; one more crash explains the crashes of the others. Two trials at the same
+     * time could be interrupted by the same crash and would then prove nothing.
      */
     boolean isTrialDue(long nowMs, RequestDigest digest) {
         Suspect suspect = mByDigest.get(digest);
@@ -118,7 +123,10 @@
                 && sharesCrashes(suspect);
     }
 
-    /** Counts a trial where one is due; returns whether it is. It lasts until {@link #endTrial}. */
+    /**
+     * Starts a trial if one is due; returns whether it was started. It lasts until {@link
+     * #endTrial}.
+     */
     boolean tryStartTrial(long nowMs, RequestDigest digest) {
         boolean due = isTrialDue(nowMs, digest);
         if (due) {
@@ -128,7 +136,7 @@
         return due;
     }
 
-    /** Ends a trial, whatever it told. */
+    /** Ends a trial, whatever its outcome, and delays the next one. */
     void endTrial(long nowMs, RequestDigest digest) {
         if (mTrial.equals(Optional.of(digest))) {
             mTrial = Optional.empty();
@@ -138,23 +146,23 @@
     }
 
     /**
-     * Returns after what time a quarantined request may be asked for again, in milliseconds: when
-     * its quarantine ends, or sooner where a trial may still clear it.
+     * Returns how long a caller should wait before it repeats a quarantined request, in
+     * milliseconds: until the quarantine ends, or less where a trial may still clear the request.
      */
     public long retryAfterMs(long nowMs, RequestDigest digest) {
         long leftMs = quarantineLeftMs(nowMs, digest);
-        boolean open = leftMs > 0 && sharesCrashes(mByDigest.get(digest));
-        return open ? Math.min(leftMs, TRIAL_DELAY_MS) : leftMs;
+        boolean mayBeCleared = leftMs > 0 && sharesCrashes(mByDigest.get(digest));
+        return mayBeCleared ? Math.min(leftMs, TRIAL_DELAY_MS) : leftMs;
     }
 
     private boolean sharesCrashes(Suspect suspect) {
-        Set<UpstreamIncarnation> open = suspect.unclearedCrashes();
+        Set<UpstreamIncarnation> uncleared = suspect.unclearedCrashes();
         return mCandidates.values().stream()
                 .filter(s -> s != suspect && s.isQuarantined())
-                .anyMatch(s -> !Collections.disjoint(s.unclearedCrashes(), open));
+                .anyMatch(s -> !Collections.disjoint(s.unclearedCrashes(), uncleared));
     }
 
-    /** Returns what is known of the quarantined requests. */
+    /** Returns the state of the quarantined requests for a report. */
     List<SuspectReport.Item> quarantinedItems(long nowMs) {
         return mCandidates.values().stream()
                 .filter(Suspect::isQuarantined)
@@ -162,18 +170,18 @@
                 .toList();
     }
 
-    /** Returns what is known of a request. */
+    /** Returns the state of a request for a report; empty if it is not in the table. */
     Optional<SuspectReport.Item> item(long nowMs, RequestDigest digest) {
         return Optional.ofNullable(mByDigest.get(digest)).map(s -> s.item(nowMs));
     }
 
     /**
-     * Takes a crash of an upstream.
+     * Records a crash that this VM saw.
      *
      * @param nowMs the present time in milliseconds
-     * @param crash the upstream
-     * @param requests those that were in progress there
-     * @return the requests of which something new is known
+     * @param crash the upstream that crashed
+     * @param requests the requests that were in flight there
+     * @return the requests whose entries changed
      */
     List<RequestDigest> onCrash(
             long nowMs, UpstreamIncarnation crash, Collection<RequestDigest> requests) {
@@ -190,7 +198,7 @@
         return changed;
     }
 
-    /** Clears a request of all crashes before; returns whether there were any. */
+    /** Clears a request of all earlier crashes; returns whether there were any. */
     boolean clear(long nowMs, RequestDigest digest) {
         Suspect suspect = mByDigest.get(digest);
         if (suspect == null || !suspect.clear()) {
@@ -201,7 +209,7 @@
     }
 
     /**
-     * Takes what another VM or the store tells; returns the requests of which it told anything new.
+     * Merges items from another VM or from the store; returns the requests whose entries changed.
      */
     List<RequestDigest> merge(long nowMs, List<SuspectReport.Item> items) {
         List<RequestDigest> changed = new ArrayList<>();
@@ -232,14 +240,14 @@
         return changed;
     }
 
-    /** Returns whether this VM itself saw a crash under a request. */
+    /** Returns whether this VM itself saw a crash during a request. */
     boolean isObservedLocally(RequestDigest digest) {
         return Optional.ofNullable(mByDigest.get(digest))
                 .filter(Suspect::isObservedLocally)
                 .isPresent();
     }
 
-    /** Notes that the store holds the quarantine of a request. */
+    /** Records that the store holds the quarantine of a request. */
     void onRecorded(RequestDigest digest) {
         Optional.ofNullable(mByDigest.get(digest)).ifPresent(Suspect::setRecorded);
     }
@@ -258,7 +266,7 @@
         return added;
     }
 
-    /** Forgets the requests that are known for longest, quarantined ones last. */
+    /** Evicts the entries that expire soonest, quarantined ones last. */
     private void evictOldest() {
         mByDigest.values().stream()
                 .sorted(
@@ -267,11 +275,13 @@
                 .limit(EVICTION_BATCH)
                 .map(Suspect::digest)
                 .toList()
-                .forEach(this::remove);
+                .forEach(this::removeSuspect);
         updateScopes();
     }
 
-    /** Judges the requests of which something new is known, and those that this touches. */
+    /**
+     * Updates the quarantines after the entries of some requests changed, which may affect others.
+     */
     private void updateQuarantines(long nowMs, List<RequestDigest> changed) {
         for (RequestDigest digest : changed) {
             Suspect suspect = mByDigest.get(digest);
@@ -298,38 +308,38 @@
         }
     }
 
-    /** Returns how many crashes count against a request. */
+    /** Returns how many crashes count against a request, explained ones only up to a bound. */
     private int effectiveCrashCount(Suspect suspect) {
-        Set<UpstreamIncarnation> open = suspect.unclearedCrashes();
-        if (open.size() < CRASHES_TO_QUARANTINE) {
-            return open.size();
+        Set<UpstreamIncarnation> uncleared = suspect.unclearedCrashes();
+        if (uncleared.size() < CRASHES_TO_QUARANTINE) {
+            return uncleared.size();
         }
-        Set<UpstreamIncarnation> unexplained = new HashSet<>(open);
+        Set<UpstreamIncarnation> unexplained = new HashSet<>(uncleared);
         for (Suspect other : mCandidates.values()) {
             Set<UpstreamIncarnation> others = other.unclearedCrashes();
-            if (others.size() > open.size()) {
+            if (others.size() > uncleared.size()) {
                 unexplained.removeAll(others);
             }
         }
-        int explained = open.size() - unexplained.size();
+        int explained = uncleared.size() - unexplained.size();
         return unexplained.size() + Math.min(MAX_EXPLAINED_COUNT, explained);
     }
 
-    /** Forgets what is too old. */
+    /** Removes entries that have expired. */
     void tick(long nowMs) {
-        List<Suspect> over =
+        List<Suspect> expired =
                 mByDigest.values().stream().filter(s -> nowMs >= s.retainedUntilMs()).toList();
-        if (over.isEmpty()) {
+        if (expired.isEmpty()) {
             return;
         }
-        over.forEach(s -> remove(s.digest()));
+        expired.forEach(s -> removeSuspect(s.digest()));
         updateScopes();
-        over.stream()
+        expired.stream()
                 .filter(Suspect::isQuarantined)
                 .forEach(s -> mListener.onReleased(nowMs, s.digest()));
     }
 
-    private void remove(RequestDigest digest) {
+    private void removeSuspect(RequestDigest digest) {
         mByDigest.remove(digest);
         mCandidates.remove(digest);
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/quarantine/package-info.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/quarantine/package-info.java
@@ -1,2 +1,2 @@
-/** Finds requests that crash the upstreams that run them, and keeps them from running again. */
+/** Detects requests that crash the upstreams that run them, and quarantines them. */
 package org.hornbeampass.coordination.quarantine;
--- a/coordination/src/main/java/org/hornbeampass/coordination/ratelimit/PermitCounts.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/ratelimit/PermitCounts.java
@@ -1,7 +1,7 @@
 package org.hornbeampass.coordination.ratelimit;
 
 /**
- * Counts what became of the permits for which one VM asked.
+ * Counts the outcomes of the permits that one VM requested.
  *
  * <p>Confined to one thread.
  */
@@ -32,27 +32,27 @@
         mExpired++;
     }
 
-    /** Returns how many were granted. */
+    /** Returns the number of permits granted. */
     public long granted() {
         return mGranted;
     }
 
-    /** Returns how many were denied. */
+    /** Returns the number of permits denied. */
     public long denied() {
         return mDenied;
     }
 
-    /** Returns how often the home did not answer in time. */
+    /** Returns the number of requests that the home did not answer in time. */
     public long unanswered() {
         return mUnanswered;
     }
 
-    /** Returns how many were used by a request. */
+    /** Returns the number of permits used to send a request. */
     public long used() {
         return mUsed;
     }
 
-    /** Returns how many were granted and not used in time. */
+    /** Returns the number of permits that expired before they were used. */
     public long expired() {
         return mExpired;
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/ratelimit/PermitHomeResolver.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/ratelimit/PermitHomeResolver.java
@@ -3,14 +3,15 @@
 import java.util.Optional;
 
 /**
- * Tells which VM gives out the permits of an upstream, as one VM believes it.
+ * Determines which VM is the home of an upstream, which issues its permits, according to one VM's
+ * view of the fleet.
  *
- * <p>VMs that know the same members choose alike. Confined to one thread.
+ * <p>VMs that know the same members choose the same home. Confined to one thread.
  */
 public interface PermitHomeResolver {
     /**
-     * Returns the name of the VM that gives out an upstream's permits; empty while this VM knows
-     * too little of the fleet to tell.
+     * Returns the name of the VM that issues an upstream's permits; empty while this VM does not
+     * know enough members of the fleet.
      */
     Optional<String> homeOf(String upstream);
 
--- a/coordination/src/main/java/org/hornbeampass/coordination/ratelimit/PermitIssuer.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/ratelimit/PermitIssuer.java
@@ -8,33 +8,39 @@
 import java.util.Map;
 
 /**
- * Gives out the permits of the upstreams whose home this VM is.
+ * Issues the permits of the upstreams whose home is this VM.
  *
- * <p>Invariant: what it gives out for an upstream in any span is at most the upstream's rate over
- * that span and one burst. A home that takes over from another waits until the other's permits have
- * expired. Confined to one thread.
+ * <p>Invariant: the permits issued for an upstream in any interval are at most its rate times the
+ * interval plus one burst. A home that takes over from another VM waits until the permits of the
+ * previous home have expired. Confined to one thread.
  */
 final class PermitIssuer {
-    /** How many permits an idle upstream saves up, beside those of {@link #BURST_SECONDS}. */
+    /** The fixed part of the burst in permits, to which {@link #BURST_SECONDS} adds. */
     private static final double BASE_BURST_PERMITS = 2;
 
-    /** For how long an idle upstream saves up permits, in seconds. */
+    /** The part of the burst that grows with the rate, in seconds of the rate. */
     private static final double BURST_SECONDS = 0.25;
 
-    /** The rate at which an upstream that takes less is asked whether that still holds. */
+    /**
+     * The lowest rate of permits: an upstream with a lower limit still receives requests at this
+     * rate, whose answers show whether the limit has changed.
+     */
     private static final double MIN_PER_SECOND = 0.2;
 
-    /** How long a home that takes over waits, in milliseconds: longer than a permit is valid. */
+    /**
+     * How long a new home waits before it issues permits, in milliseconds: longer than a permit is
+     * valid.
+     */
     static final long TAKEOVER_DELAY_MS = 1_000;
 
-    /** For how long a bucket is kept that nobody asks for, in milliseconds. */
+    /** How long an unused bucket is kept, in milliseconds. */
     private static final long BUCKET_IDLE_MS = 10_000;
 
     /**
-     * The permits of one upstream.
+     * The bucket from which the permits of one upstream are issued.
      *
-     * @param bucket its rate
-     * @param lastRequestMs when one was asked for last, in milliseconds
+     * @param bucket the bucket, with the upstream's rate
+     * @param lastRequestMs when a permit was last requested, in milliseconds
      */
     private record UpstreamBucket(TokenBucket bucket, long lastRequestMs) {}
 
@@ -65,13 +71,16 @@
                 : PermitReply.denied(bucket.untilNextMs(nowMs));
     }
 
-    /** A limit that has been known for a while may have had another home before. */
+    /**
+     * Returns when a new bucket begins to fill: a limit that is not new may have had another home
+     * before.
+     */
     private long fillFromMs(long nowMs, UpstreamIncarnation upstream) {
-        boolean takesOver = mSignals.limitKnownForMs(nowMs, upstream) >= TAKEOVER_DELAY_MS;
-        return takesOver ? nowMs + TAKEOVER_DELAY_MS : nowMs;
+        boolean mayTakeOver = mSignals.limitKnownForMs(nowMs, upstream) >= TAKEOVER_DELAY_MS;
+        return mayTakeOver ? nowMs + TAKEOVER_DELAY_MS : nowMs;
     }
 
-    /** Forgets what is over. */
+    /** Removes the buckets that are unused or whose upstream has no limit any more. */
     void tick(long nowMs) {
         mBuckets.entrySet()
                 .removeIf(
--- a/coordination/src/main/java/org/hornbeampass/coordination/ratelimit/PermitListener.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/ratelimit/PermitListener.java
@@ -3,17 +3,17 @@
 import java.util.Optional;
 
 /**
- * Hears whether a request may be sent.
+ * Receives the result of a request for a permit.
  *
  * <p>Called on the limiter's thread, exactly once.
  */
 @FunctionalInterface
 public interface PermitListener {
     /**
-     * Takes the answer.
+     * Called with the result.
      *
      * @param nowMs the present time in milliseconds
-     * @param permit the permit; empty where the upstream takes no more requests for now
+     * @param permit the permit; empty if no request may be sent to the upstream at present
      */
     void onAnswer(long nowMs, Optional<SendPermit> permit);
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/ratelimit/PermitReply.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/ratelimit/PermitReply.java
@@ -10,15 +10,15 @@
  * <p>Immutable; safe for use by any thread.
  *
  * @param granted whether the request may be sent
- * @param retryAfterMs when there may be a permit, in milliseconds from now on; 0 where one was
- *     granted
+ * @param retryAfterMs how long to wait before another request for a permit, in milliseconds; 0 if
+ *     the permit is granted
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record PermitReply(boolean granted, long retryAfterMs) implements PeerMessage {
-    /** The permit is granted. */
+    /** The reply that grants a permit. */
     static final PermitReply GRANTED = new PermitReply(true, 0);
 
-    /** The permit is denied. */
+    /** Returns a reply that denies a permit. */
     static PermitReply denied(long retryAfterMs) {
         return new PermitReply(false, retryAfterMs);
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/ratelimit/PermitRequest.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/ratelimit/PermitRequest.java
@@ -6,11 +6,12 @@
 import org.hornbeampass.coordination.service.SignalReport;
 
 /**
- * Asks the home of an upstream for a permit to send one request there.
+ * Requests from the home of an upstream a permit to send one request to the upstream.
  *
  * <p>Immutable; safe for use by any thread.
  *
- * @param known what the asking VM knows of the upstream, which its home may not have heard yet
+ * @param known the last signals of the upstream that the requesting VM received, which the home may
+ *     not have yet
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record PermitRequest(SignalReport.Item known) implements PeerMessage {}
--- a/coordination/src/main/java/org/hornbeampass/coordination/ratelimit/RateLimiter.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/ratelimit/RateLimiter.java
@@ -23,34 +23,41 @@
 import java.util.function.Supplier;
 
 /**
- * Keeps the fleet's requests to each upstream within the rate that the upstream has named.
+ * Keeps the fleet's requests to each upstream within the rate limit that the upstream announced.
  *
- * <p>Each send to an upstream with a rate limit needs a permit, which one VM, the upstream's home,
- * gives out for all. Invariants: a permit is used once, and not later than {@link
- * #PERMIT_VALIDITY_MS} after it was asked for, so that no clock is compared with another VM's; a VM
- * that reaches no home sends nothing there. Confined to one thread: the network must reply on it.
+ * <p>Each request sent to an upstream with a rate limit needs a permit, which one VM, the
+ * upstream's home, issues for the whole fleet. Invariants: a permit is used once, and at most
+ * {@link #PERMIT_VALIDITY_MS} after it was requested, as measured by the requesting VM, so no
+ * clocks of different VMs are compared; a VM that can't reach the home sends nothing to the
+ * upstream. Confined to one thread, on which the network must deliver replies.
  */
 public final class RateLimiter implements SendGate {
-    /** For how long a permit is valid after it was asked for, in milliseconds. */
+    /** How long a permit is valid after it was requested, in milliseconds. */
     static final long PERMIT_VALIDITY_MS = 500;
 
-    /** How long a home may take to answer, in milliseconds; it answers within a few. */
+    /**
+     * The timeout of a request to a home, in milliseconds; a home normally answers within a few.
+     */
     private static final long REQUEST_TIMEOUT_MS = 150;
 
-    /** For how long a home that did not answer is not asked again, in milliseconds. */
+    /** How long no permit is requested after the home did not answer, in milliseconds. */
     private static final long UNANSWERED_WAIT_MS = 500;
 
-    /** For how long another VM is not asked that is not the home by its own view. */
+    /**
+     * How long no permit is requested after the asked VM did not consider itself the home or no
+     * home was known, in milliseconds.
+     */
     private static final long NOT_HOME_WAIT_MS = 200;
 
-    /** For how long a home is not asked again after it denied a permit, at the least. */
+    /** The shortest time for which no permit is requested after a denial, in milliseconds. */
     private static final long MIN_WAIT_MS = 20;
 
     /**
-     * Why an upstream is not asked for.
+     * Blocks requests for permits for an upstream for a while.
      *
-     * @param untilMs until when, in milliseconds
-     * @param perSecond the limit under which the permit was denied; a new one may allow more
+     * @param untilMs when the block ends, in milliseconds
+     * @param perSecond the limit under which the permit was denied; the block ends when the limit
+     *     changes
      */
     private record Denial(long untilMs, OptionalDouble perSecond) {}
 
@@ -64,12 +71,13 @@
     private final Map<UpstreamIncarnation, Deque<SendPermit>> mUnused = new HashMap<>();
 
     /**
-     * Makes a limiter without permits.
+     * Creates a limiter without permits.
      *
-     * @param signals what is known of rate limits
-     * @param exchange takes what other VMs know of them; asked for once there is a limit
+     * @param signals the known signals of upstreams, with their rate limits
+     * @param exchange returns the exchange that receives signals from other VMs; called only once
+     *     there is a limit
      * @param peers sends messages to other VMs
-     * @param homes tells who gives out permits
+     * @param homes determines the home of each upstream
      */
     public RateLimiter(
             SignalTable signals,
@@ -90,7 +98,7 @@
         return mSignals.get(upstream).rateLimit().perSecond();
     }
 
-    /** Returns whether each send to an upstream needs a permit. */
+    /** Returns whether each request sent to an upstream needs a permit. */
     public boolean isLimited(UpstreamIncarnation upstream) {
         return limit(upstream).isPresent();
     }
@@ -101,20 +109,21 @@
             return 0;
         }
         Denial denial = mDenials.get(upstream);
-        boolean open =
+        boolean denialOver =
                 denial == null
                         || nowMs >= denial.untilMs()
                         || !denial.perSecond().equals(limit(upstream));
-        return open || mUnused.containsKey(upstream) ? 0 : denial.untilMs() - nowMs;
+        return denialOver || mUnused.containsKey(upstream) ? 0 : denial.untilMs() - nowMs;
     }
 
     /**
-     * Asks for the right to send one request to an upstream.
+     * Requests a permit to send one request to an upstream.
      *
      * @param nowMs the present time in milliseconds
      * @param upstream the upstream
-     * @param done told at once where the upstream has no limit or this VM is its home; else once
-     *     the home has answered, or did not in time
+     * @param done called at once if the upstream has no limit, an unused permit is available, or no
+     *     message to another VM is needed; otherwise when the home has answered or the request has
+     *     timed out
      */
     public void acquire(long nowMs, UpstreamIncarnation upstream, PermitListener done) {
         if (!isLimited(upstream)) {
@@ -145,12 +154,12 @@
 
     private void onReply(
             long nowMs,
-            long askedMs,
+            long requestedMs,
             UpstreamIncarnation upstream,
             Either<Failure, PeerMessage> reply,
             PermitListener done) {
         if (reply.isRight() && reply.get() instanceof PermitReply answer) {
-            onPermitReply(nowMs, askedMs, upstream, answer, done);
+            onPermitReply(nowMs, requestedMs, upstream, answer, done);
             return;
         }
         mCounts.onUnanswered();
@@ -159,7 +168,7 @@
 
     private void onPermitReply(
             long nowMs,
-            long askedMs,
+            long requestedMs,
             UpstreamIncarnation upstream,
             PermitReply answer,
             PermitListener done) {
@@ -169,7 +178,8 @@
             return;
         }
         mCounts.onGranted();
-        done.onAnswer(nowMs, Optional.of(new SendPermit(upstream, askedMs + PERMIT_VALIDITY_MS)));
+        done.onAnswer(
+                nowMs, Optional.of(new SendPermit(upstream, requestedMs + PERMIT_VALIDITY_MS)));
     }
 
     private void deny(long nowMs, UpstreamIncarnation upstream, long waitMs, PermitListener done) {
@@ -193,10 +203,10 @@
 
     private void removeExpired(long nowMs, UpstreamIncarnation upstream) {
         Deque<SendPermit> unused = mUnused.getOrDefault(upstream, new ArrayDeque<>());
-        Iterator<SendPermit> each = unused.iterator();
-        while (each.hasNext()) {
-            if (!each.next().valid(nowMs)) {
-                each.remove();
+        Iterator<SendPermit> iterator = unused.iterator();
+        while (iterator.hasNext()) {
+            if (!iterator.next().valid(nowMs)) {
+                iterator.remove();
                 mCounts.onExpired();
             }
         }
@@ -206,10 +216,10 @@
     }
 
     /**
-     * Uses a permit up, right before the request is sent.
+     * Uses up a permit right before the request is sent.
      *
-     * @return whether the request may be sent; not where the permit has expired, or the upstream
-     *     has named a limit since
+     * @return whether the request may be sent; false if the permit has expired or the upstream has
+     *     announced its first limit since
      */
     public boolean redeem(long nowMs, SendPermit permit) {
         if (!isLimited(permit.upstream())) {
@@ -224,7 +234,7 @@
         return redeemed;
     }
 
-    /** Takes a permit back that was not used, for another request of this VM. */
+    /** Returns an unused permit, so that another request of this VM can use it. */
     public void returnUnused(long nowMs, SendPermit permit) {
         if (permit.limited() && permit.valid(nowMs)) {
             mUnused.computeIfAbsent(permit.upstream(), u -> new ArrayDeque<>()).add(permit);
@@ -233,7 +243,7 @@
         }
     }
 
-    /** Answers another VM, which takes this one for the home. */
+    /** Answers another VM that considers this VM the home. */
     public void onRequest(
             long nowMs, VmId from, PermitRequest request, Consumer<PeerMessage> reply) {
         UpstreamIncarnation upstream = request.known().upstream();
@@ -242,14 +252,14 @@
         reply.accept(home ? mIssuer.issue(nowMs, upstream) : PermitReply.denied(NOT_HOME_WAIT_MS));
     }
 
-    /** Forgets what is over. */
+    /** Removes expired permits, denials and buckets. */
     public void tick(long nowMs) {
         mIssuer.tick(nowMs);
         mDenials.values().removeIf(d -> nowMs >= d.untilMs());
         Map.copyOf(mUnused).keySet().forEach(u -> removeExpired(nowMs, u));
     }
 
-    /** Returns what became of the permits for which this VM asked. */
+    /** Returns the outcomes of the permits that this VM requested. */
     public PermitCounts counts() {
         return mCounts;
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/ratelimit/SendPermit.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/ratelimit/SendPermit.java
@@ -3,13 +3,13 @@
 import org.hornbeampass.coordination.service.UpstreamIncarnation;
 
 /**
- * The right to send one request to an upstream.
+ * A permit to send one request to an upstream.
  *
  * <p>Immutable; safe for use by any thread.
  *
  * @param upstream the upstream
- * @param validUntilMs until when it may be used, in milliseconds of its holder's clock; {@link
- *     #NEVER_EXPIRES} where the upstream had no rate limit
+ * @param validUntilMs when the permit expires, in milliseconds of its holder's clock; {@link
+ *     #NEVER_EXPIRES} if the upstream had no rate limit
  */
 public record SendPermit(UpstreamIncarnation upstream, long validUntilMs) {
     private static final long NEVER_EXPIRES = Long.MAX_VALUE;
@@ -19,12 +19,12 @@
         return new SendPermit(upstream, NEVER_EXPIRES);
     }
 
-    /** Returns whether it was given out within a rate limit. */
+    /** Returns whether the permit was issued under a rate limit. */
     boolean limited() {
         return validUntilMs != NEVER_EXPIRES;
     }
 
-    /** Returns whether it may still be used. */
+    /** Returns whether the permit has not expired. */
     boolean valid(long nowMs) {
         return nowMs < validUntilMs;
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/ratelimit/package-info.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/ratelimit/package-info.java
@@ -1,2 +1,4 @@
-/** Keeps the fleet's requests to each upstream within the rate that the upstream has named. */
+/**
+ * Keeps the fleet's requests to each upstream within the rate limit that the upstream announced.
+ */
 package org.hornbeampass.coordination.ratelimit;
--- a/coordination/src/test/java/org/hornbeampass/coordination/limit/AdmissionProperties.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/limit/AdmissionProperties.java
@@ -16,23 +16,26 @@
 import java.util.SplittableRandom;
 import java.util.stream.LongStream;
 
-/** Schedules of arrivals, ends, give-ups and changes of capacity: bounds and order of shedding. */
+/**
+ * Checks random schedules of submissions, releases, abandoned requests and changes of capacity
+ * against the bounds of the queue and the order of shedding.
+ */
 class AdmissionProperties {
     private static final int EVENTS = 300;
     private static final int MAX_WAITING = 6;
 
-    /** How requests reach the queue; mutants distort them. */
+    /** Faults put between the schedule and the queue, which the checks must detect. */
     private enum Mutant {
         NONE,
-        /** As if the lowest priority were the last to be shed. */
+        /** Inverts the priorities, so that the highest is shed first. */
         SHEDS_HIGHEST_FIRST,
-        /** As if a given-up request stayed in the queue. */
+        /** Leaves abandoned requests in the queue. */
         IGNORES_ABANDON,
-        /** As if the capacity were one more. */
+        /** Raises the capacity by one. */
         CAPACITY_PLUS_ONE
     }
 
-    /** One schedule with a plain model of the queue. */
+    /** One random schedule with a simple model of the queue. */
     private static final class Schedule {
         private final SplittableRandom mRandom;
         private final Mutant mMutant;
@@ -81,15 +84,15 @@
             Deadline deadline = new Deadline(nowMs + 1 + mRandom.nextInt(100));
             OrganisationId org = new OrganisationId("o" + mRandom.nextInt(3));
             AdmissionRequest request = new AdmissionRequest(org, priority, 1, 1, deadline);
-            boolean flip = mMutant == Mutant.SHEDS_HIGHEST_FIRST;
-            AdmissionRequest given =
-                    new AdmissionRequest(org, flip ? 9 - priority : priority, 1, 1, deadline);
+            boolean inverted = mMutant == Mutant.SHEDS_HIGHEST_FIRST;
+            AdmissionRequest submitted =
+                    new AdmissionRequest(org, inverted ? 9 - priority : priority, 1, 1, deadline);
             long[] number = new long[1];
             boolean[] answered = new boolean[1];
             number[0] =
                     mQueue.submit(
                             nowMs,
-                            given,
+                            submitted,
                             (now, failure) -> {
                                 answered[0] = true;
                                 onAnswer(now, number[0], request, failure);
@@ -103,15 +106,15 @@
                 long nowMs, long number, AdmissionRequest request, Optional<Failure> failure) {
             boolean waited = number != 0 && mWaiting.remove(number) != null;
             if (number != 0 && !waited) {
-                reportViolation("an answer for a request that was answered or given up");
+                reportViolation("an answer to a request that was already answered or abandoned");
             }
             if (failure.isEmpty()) {
                 mAdmitted++;
                 if (mAdmitted > mCapacity) {
-                    reportViolation("more admitted than the capacity");
+                    reportViolation("more requests admitted than the capacity");
                 }
                 if (request.deadline().passed(nowMs)) {
-                    reportViolation("admitted after its deadline");
+                    reportViolation("a request admitted after its deadline");
                 }
             } else if (failure.get().kind() == ErrorKind.OVERLOADED) {
                 checkShed(request, failure.get());
@@ -120,22 +123,23 @@
 
         private void checkShed(AdmissionRequest request, Failure failure) {
             if (failure.retryAfterMs().isEmpty()) {
-                reportViolation("shed without a time to retry");
+                reportViolation("a request shed without a time to retry");
             }
             boolean byPriority = failure.message().contains("priority");
             boolean lowerWaits =
                     mWaiting.values().stream().anyMatch(w -> w.priority() < request.priority());
             if (byPriority && lowerWaits) {
-                reportViolation("shed while a lower priority waits");
+                reportViolation("a request shed while one of lower priority waits");
             }
         }
 
         private void check(int nowMs) {
             if (mQueue.waiting() != mWaiting.size() || mWaiting.size() > MAX_WAITING) {
-                reportViolation("waiting " + mQueue.waiting() + " instead of " + mWaiting.size());
+                reportViolation(
+                        "waiting requests: " + mQueue.waiting() + ", expected " + mWaiting.size());
             }
             if (mWaiting.values().stream().anyMatch(w -> w.deadline().passed(nowMs))) {
-                reportViolation("a late request still waits");
+                reportViolation("a request past its deadline still waits");
             }
         }
 
--- a/coordination/src/test/java/org/hornbeampass/coordination/limit/AdmissionQueueTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/limit/AdmissionQueueTest.java
@@ -11,7 +11,10 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Tests {@link AdmissionQueue}. */
+/**
+ * Guards {@link AdmissionQueue} against a wrong order of admission or shedding and against requests
+ * that wait past their deadline.
+ */
 class AdmissionQueueTest {
     private final List<String> mAnswers = new ArrayList<>();
     private final List<Failure> mFailures = new ArrayList<>();
--- a/coordination/src/test/java/org/hornbeampass/coordination/limit/AttemptIdleMonitorTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/limit/AttemptIdleMonitorTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Tests {@link AttemptIdleMonitor}: parts and pauses → when the attempt is given up. */
+/** Tests when {@link AttemptIdleMonitor} gives an attempt up, depending on parts and pauses. */
 class AttemptIdleMonitorTest {
     private static final long NEVER = Long.MIN_VALUE;
 
@@ -17,14 +17,14 @@
     }
 
     @Test
-    void frozenInStream_isGivenUpAfterIdleTimeout() {
+    void frozenInStream_isGivenUpAfterSilence() {
         mMonitor.onPart(500);
 
         assertThat(mMonitor.nextCheckMs(600, 500)).isEqualTo(1_500);
     }
 
     @Test
-    void slowButProgressing_isNeverGivenUp() {
+    void slowButAlive_isNeverGivenUp() {
         for (long nowMs = 900; nowMs < 100_000; nowMs += 900) {
             assertThat(mMonitor.nextCheckMs(nowMs, NEVER)).isGreaterThan(nowMs);
             mMonitor.onPart(nowMs);
--- a/coordination/src/test/java/org/hornbeampass/coordination/limit/AttemptTimeoutsTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/limit/AttemptTimeoutsTest.java
@@ -6,13 +6,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Tests {@link AttemptTimeouts}: what is known → patience. */
+/** Tests the timeouts that {@link AttemptTimeouts} computes from its estimates. */
 class AttemptTimeoutsTest {
     private static final long NEVER = Long.MIN_VALUE;
 
     @ParameterizedTest
     @CsvSource({
-        // first ms, gap ms, round trip ms, prompt, deadline ms -> connect, first, silence
+        // first ms, gap ms, round trip ms, prompt, deadline ms -> connect, first part, idle
         "0,    0,    3,   0,       60000, 300,  4800,  2000",
         "20,   10,   3,   0,       60000, 300,  1000,  1000",
         "400,  10,   3,   0,       60000, 300,  3200,  1000",
@@ -28,16 +28,16 @@
             long promptTokens,
             long remainingMs,
             long expectedConnectMs,
-            long expectedFirstMs,
-            long expectedSilenceMs) {
-        var known = new AttemptTimeouts.Estimates(firstMs, gapMs, roundTripMs, promptTokens);
+            long expectedFirstPartMs,
+            long expectedIdleMs) {
+        var estimates = new AttemptTimeouts.Estimates(firstMs, gapMs, roundTripMs, promptTokens);
         AttemptTimeouts timeouts =
                 AttemptTimeouts.decide(
-                        500, known, AnswerKind.STREAM, Deadline.after(500, remainingMs));
+                        500, estimates, AnswerKind.STREAM, Deadline.after(500, remainingMs));
 
         assertThat(timeouts.connectMs()).isEqualTo(expectedConnectMs);
-        assertThat(timeouts.firstPartMs()).isEqualTo(expectedFirstMs);
-        assertThat(timeouts.idleMs()).isEqualTo(expectedSilenceMs);
+        assertThat(timeouts.firstPartMs()).isEqualTo(expectedFirstPartMs);
+        assertThat(timeouts.idleMs()).isEqualTo(expectedIdleMs);
     }
 
     @Test
@@ -55,7 +55,7 @@
 
     @ParameterizedTest
     @CsvSource({
-        // quiet since, begun, progress elsewhere at the upstream -> given up at
+        // idle since, started, last progress at the upstream -> given up at
         "100, false, -1,    1100",
         "100, true,  -1,    1100",
         "100, false, 50,    1100",
@@ -63,10 +63,10 @@
         "100, true,  900,   1900",
         "100, false, 20000, 20100",
     })
-    void giveUpAtMs(long quietSinceMs, boolean begun, long progressMs, long expectedMs) {
-        long progress = progressMs < 0 ? NEVER : progressMs;
+    void giveUpAtMs(long idleSinceMs, boolean started, long lastProgressMs, long expectedMs) {
+        long lastProgressOrNever = lastProgressMs < 0 ? NEVER : lastProgressMs;
 
-        assertThat(typical(AnswerKind.STREAM).giveUpAtMs(quietSinceMs, begun, progress))
+        assertThat(typical(AnswerKind.STREAM).giveUpAtMs(idleSinceMs, started, lastProgressOrNever))
                 .isEqualTo(expectedMs);
     }
 
--- a/coordination/src/test/java/org/hornbeampass/coordination/limit/OrganisationLimitsTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/limit/OrganisationLimitsTest.java
@@ -16,7 +16,10 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-/** Tests {@link OrganisationLimits}. */
+/**
+ * Guards {@link OrganisationLimits} against shares that exceed the configured limits in sum or
+ * change too early or too late.
+ */
 class OrganisationLimitsTest {
     private static final OrganisationId ORG = new OrganisationId("org");
     private static final Set<String> FLEET =
@@ -95,14 +98,14 @@
                         .count();
     }
 
-    private static OrganisationLimits limits(String vm, int places, int rate) {
+    private static OrganisationLimits limits(String vm, int maxConcurrent, int rate) {
         OrganisationLimits limits = new OrganisationLimits(vm);
-        limits.applyConfig(0, config(places, rate));
+        limits.applyConfig(0, config(maxConcurrent, rate));
         limits.onLiveVms(0, FLEET);
         return limits;
     }
 
-    private static ConfigSnapshot config(int places, int rate) {
+    private static ConfigSnapshot config(int maxConcurrent, int rate) {
         Parameters parameters =
                 new Parameters(
                         Optional.empty(),
@@ -111,7 +114,7 @@
                         Optional.empty(),
                         Optional.empty(),
                         Optional.empty(),
-                        Optional.of(places),
+                        Optional.of(maxConcurrent),
                         Optional.of(rate),
                         Optional.empty());
         return new ConfigSnapshot(
--- a/coordination/src/test/java/org/hornbeampass/coordination/limit/RetryPolicyTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/limit/RetryPolicyTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Tests {@link RetryPolicy}: attempt → decision. */
+/** Tests the decisions of {@link RetryPolicy} and {@link HedgePolicy} on attempts. */
 class RetryPolicyTest {
     private final RetryPolicy mPolicy = new RetryPolicy();
     private RetryBudget mBudget = RetryBudget.defaults();
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void decide_afterEarlierAttemptThatSent_isNeverRetriedWhereNotRepeatable() {
+    void decide_afterEarlierAttemptThatSent_neverRetriesNonRepeatableRequest() {
         FailedAttempt attempt =
                 new FailedAttempt(
                         AttemptOutcome.CONNECT_FAILED, false, 2, 0, false, Deadline.none());
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void hedge_onlyWhereRepeatableAndBudgetAllows() {
+    void tryHedge_hedgesOnlyRepeatableRequestsWithinTheBudget() {
         HedgePolicy hedges = new HedgePolicy();
         RetryBudget full = new RetryBudget(10, 10, 10);
 
@@ -105,7 +105,7 @@
     }
 
     @Test
-    void kind_ofNotRun_isOnlyAnsweredWhereNothingWasSent() {
+    void decide_returnsNotRunKinds_onlyIfNothingWasSent() {
         for (AttemptOutcome outcome : AttemptOutcome.values()) {
             if (outcome.upstreamFailed()) {
                 FailedAttempt attempt =
--- a/coordination/src/test/java/org/hornbeampass/coordination/limit/RetryProperties.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/limit/RetryProperties.java
@@ -15,10 +15,10 @@
 import java.util.SplittableRandom;
 import java.util.stream.LongStream;
 
-/** Schedules of failing attempts: what may be sent again, and how often. */
+/** Checks random sequences of failing attempts: which requests may be sent again, and how often. */
 class RetryProperties {
     private static final int REQUESTS = 400;
-    private static final int START = 5;
+    private static final int INITIAL_BALANCE = 5;
     private static final List<AttemptOutcome> FAILURES =
             List.of(
                     AttemptOutcome.CONNECT_FAILED,
@@ -28,7 +28,7 @@
                     AttemptOutcome.BROKEN_IN_ANSWER,
                     AttemptOutcome.TIMED_OUT);
 
-    /** What decides; the real policy or a mutant of it. */
+    /** The real policy or a faulty variant, which the checks must detect. */
     private interface Policy {
         RetryDecision decide(FailedAttempt attempt, boolean sentBefore, RetryBudget budget);
     }
@@ -68,10 +68,10 @@
                 attempt.deadline());
     }
 
-    /** Runs requests whose attempts fail and returns the first broken rule. */
+    /** Runs requests whose attempts fail and returns the first violation of a rule. */
     private static Optional<String> run(long seed, Policy policy) {
         SplittableRandom random = new SplittableRandom(seed);
-        RetryBudget budget = new RetryBudget(10, START, 50);
+        RetryBudget budget = new RetryBudget(10, INITIAL_BALANCE, 50);
         int further = 0;
         for (int request = 1; request <= REQUESTS; request++) {
             budget.onFirstAttempt();
@@ -94,17 +94,17 @@
                 if (decision instanceof RetryDecision.GiveUp giveUp) {
                     RunState state = giveUp.failure().kind().runState();
                     if (sent && state == RunState.NOT_RUN) {
-                        return Optional.of("answered as not run after a byte was sent");
+                        return Optional.of("reported as not run after a byte was sent");
                     }
                     break;
                 }
                 further++;
-                Optional<String> broken = checkRules(decision, sent, failed);
-                if (broken.isPresent()) {
-                    return broken;
+                Optional<String> violation = checkRules(decision, sent, failed);
+                if (violation.isPresent()) {
+                    return violation;
                 }
-                if (further > START + request / 10.0) {
-                    return Optional.of("more further attempts than a tenth of first ones");
+                if (further > INITIAL_BALANCE + request / 10.0) {
+                    return Optional.of("more further attempts than a tenth of the first attempts");
                 }
             }
         }
@@ -114,16 +114,16 @@
     private static Optional<String> checkRules(
             RetryDecision decision, boolean sent, FailedAttempt failed) {
         if (sent && !failed.repeatable()) {
-            return Optional.of("sent again after a byte was sent");
+            return Optional.of("a non-repeatable request sent again after a byte was sent");
         }
         if (failed.attempts() >= 3) {
             return Optional.of("more than three attempts");
         }
         if (decision instanceof RetryElsewhere && failed.delivered() > 0) {
-            return Optional.of("begun anew after a part was delivered");
+            return Optional.of("an answer restarted after a part was delivered");
         }
         if (decision instanceof Resume resume && resume.offset() != failed.delivered()) {
-            return Optional.of("resumed at another offset");
+            return Optional.of("an answer resumed at a wrong offset");
         }
         return Optional.empty();
     }
--- a/coordination/src/test/java/org/hornbeampass/coordination/limit/StreamPositionTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/limit/StreamPositionTest.java
@@ -5,7 +5,7 @@
 import org.hornbeampass.state.ErrorKind;
 import org.junit.jupiter.api.Test;
 
-/** Tests {@link StreamPosition}: position and part → what is new. */
+/** Tests which tokens of a part {@link StreamPosition} considers new. */
 class StreamPositionTest {
     private final StreamPosition mAtTen = new StreamPosition(3, 10);
 
--- a/coordination/src/test/java/org/hornbeampass/coordination/limit/TokenBucketTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/limit/TokenBucketTest.java
@@ -4,7 +4,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Checks rate, burst and the time of the next token. */
+/**
+ * Guards {@link TokenBucket} against more tokens than the rate and the burst allow, and against a
+ * wrong time of the next token.
+ */
 class TokenBucketTest {
     @Test
     void fullBucket_allowsABurstAndThenTheRate() {
--- a/coordination/src/test/java/org/hornbeampass/coordination/quarantine/CrashingRequestModel.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/quarantine/CrashingRequestModel.java
@@ -7,11 +7,11 @@
 import java.util.Random;
 
 /**
- * Callers, some of whose requests crash the upstreams that run them, and the verdicts on all of
- * them, in virtual time.
+ * Simulates in virtual time callers some of whose requests crash the upstreams that run them,
+ * together with the quarantine of these requests.
  *
- * <p>An upstream runs many requests at once; a crash interrupts them all, and they are sent again,
- * up to a bound. A crashed upstream is back after a time. Not thread-safe.
+ * <p>An upstream runs many requests at once. A crash interrupts them all, and they are sent again a
+ * bounded number of times. A crashed upstream restarts after a fixed time. Not thread-safe.
  */
 final class CrashingRequestModel {
     private static final int UPSTREAMS = 6;
@@ -23,13 +23,13 @@
     private static final int REQUESTS_PER_S = 60;
     private static final int MAX_SENDS = 4;
 
-    /** How long news of a crash take to all VMs, in milliseconds. */
+    /** How long it takes until all VMs know of a crash, in milliseconds. */
     private static final long CRASH_REPORT_DELAY_MS = 200;
 
-    /** One request at an upstream. */
+    /** One request in flight at an upstream. */
     private record Run(RequestDigest digest, boolean crashing, int sends, long endsMs) {}
 
-    /** A crash that is not known yet. */
+    /** A crash that the VMs don't know yet. */
     private record PendingCrash(
             long atMs, UpstreamIncarnation crash, List<RequestDigest> requests) {}
 
@@ -54,14 +54,14 @@
         }
     }
 
-    /** Plays for a time in milliseconds. */
+    /** Simulates a number of milliseconds. */
     void simulate(long ms) {
         for (long nowMs = 0; nowMs < ms; nowMs += STEP_MS) {
             long atMs = nowMs;
             mPendingCrashes.stream()
-                    .filter(n -> n.atMs() <= atMs)
-                    .forEach(n -> mTable.onCrash(atMs, n.crash(), n.requests()));
-            mPendingCrashes.removeIf(n -> n.atMs() <= atMs);
+                    .filter(p -> p.atMs() <= atMs)
+                    .forEach(p -> mTable.onCrash(atMs, p.crash(), p.requests()));
+            mPendingCrashes.removeIf(p -> p.atMs() <= atMs);
             arrive(nowMs);
             for (int i = 0; i < UPSTREAMS; i++) {
                 endRuns(nowMs, i);
@@ -95,9 +95,9 @@
         if (up.isEmpty() || sends >= MAX_SENDS) {
             return;
         }
-        long lastsMs = crashing ? CRASH_AFTER_MS : 1 + mRandom.nextInt((int) MAX_RUN_MS);
+        long durationMs = crashing ? CRASH_AFTER_MS : 1 + mRandom.nextInt((int) MAX_RUN_MS);
         mRunning.get(up.get(mRandom.nextInt(up.size())))
-                .add(new Run(digest, crashing, sends + 1, nowMs + lastsMs));
+                .add(new Run(digest, crashing, sends + 1, nowMs + durationMs));
     }
 
     private void endRuns(long nowMs, int upstream) {
@@ -114,7 +114,7 @@
     }
 
     private void crash(long nowMs, int upstream) {
-        List<Run> lost = mRunning.set(upstream, new ArrayList<>());
+        List<Run> interrupted = mRunning.set(upstream, new ArrayList<>());
         mCrashes++;
         mLastCrashMs = nowMs;
         mUpAtMs[upstream] = nowMs + RESTART_MS;
@@ -122,8 +122,8 @@
                 new PendingCrash(
                         nowMs + CRASH_REPORT_DELAY_MS,
                         new UpstreamIncarnation("i-" + upstream, mIncarnations[upstream]++),
-                        lost.stream().map(Run::digest).toList()));
-        lost.stream()
+                        interrupted.stream().map(Run::digest).toList()));
+        interrupted.stream()
                 .filter(r -> !r.crashing())
                 .forEach(r -> send(nowMs, r.digest(), false, r.sends()));
     }
--- a/coordination/src/test/java/org/hornbeampass/coordination/quarantine/CrashingRequestModelTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/quarantine/CrashingRequestModelTest.java
@@ -5,17 +5,20 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Checks that crashing requests are found soon, and that few others are taken for them. */
+/**
+ * Guards against crashing requests that keep running, and against harmless requests that are
+ * quarantined in their place.
+ */
 class CrashingRequestModelTest {
     private static final long SIMULATED_MS = 60_000;
     private static final int SEEDS = 20;
 
-    /** Within this time, in milliseconds, from the first crash on a crashing request is known. */
+    /** The time allowed for each crashing request until its last crash, in milliseconds. */
     private static final long DETECTION_MS = 3_000;
 
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3})
-    void crashingRequests_areFoundAndTheOthersServed(int crashing) {
+    void crashingRequests_areQuarantinedAndOthersServed(int crashing) {
         double refused = 0;
         for (int seed = 0; seed < SEEDS; seed++) {
             CrashingRequestModel model = new CrashingRequestModel(seed, crashing);
--- a/coordination/src/test/java/org/hornbeampass/coordination/quarantine/QuarantineFleet.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/quarantine/QuarantineFleet.java
@@ -23,8 +23,8 @@
 import java.util.function.Function;
 
 /**
- * The quarantines of a fleet in virtual time, with a store and links that can be cut. Not
- * thread-safe.
+ * Simulates the quarantines of a fleet in virtual time, with failures of the store, of VMs and of
+ * the network. Not thread-safe.
  */
 final class QuarantineFleet {
     private static final long TICK_MS = 100;
@@ -50,7 +50,7 @@
         }
     }
 
-    /** Starts a VM, over its former life if it had one. */
+    /** Starts a VM, replacing an earlier incarnation of the same name. */
     void start(String name, int domain) {
         Member self = TestMembers.live(name, domain);
         mMembers.removeIf(m -> m.name().equals(name));
@@ -73,12 +73,12 @@
         mRecordOwner = RendezvousHash.choose("quarantines", names).orElseThrow();
     }
 
-    /** Ends a VM; the others take it for up until {@link #removeMember}. */
+    /** Ends a VM; the others consider it a member until {@link #removeMember}. */
     void kill(String name) {
         mByVm.remove(name);
     }
 
-    /** Lets the others know that a VM is gone. */
+    /** Removes a VM from the members that the others know. */
     void removeMember(String name) {
         mMembers.removeIf(m -> m.name().equals(name));
         chooseRecordOwner();
@@ -91,38 +91,38 @@
         names.forEach(n -> start(n, Math.floorMod(n.hashCode(), DOMAINS)));
     }
 
-    void setPartitioned(String name, boolean cut) {
-        if (cut) {
+    void setPartitioned(String name, boolean partitioned) {
+        if (partitioned) {
             mPartitioned.add(name);
         } else {
             mPartitioned.remove(name);
         }
     }
 
-    /** Lets the store not answer the next writes. */
+    /** Makes the store leave a number of writes unanswered. */
     void leaveWritesUnanswered(int writes) {
         mWritesToLeaveUnanswered = writes;
     }
 
-    /** Cuts a VM off from the store alone. */
+    /** Makes the store unavailable to one VM. */
     void cutFromStore(String name) {
         mCutFromStore.add(name);
     }
 
-    /** Returns the VM that writes to the store first. */
+    /** Returns the record owner, which writes to the store first. */
     String recordOwner() {
         return mRecordOwner;
     }
 
-    void setStoreUnavailable(boolean away) {
-        mStoreUnavailable = away;
+    void setStoreUnavailable(boolean unavailable) {
+        mStoreUnavailable = unavailable;
     }
 
     void loseMessages(double share) {
         mLossShare = share;
     }
 
-    /** Lets time pass. */
+    /** Advances the time by a number of milliseconds. */
     void run(long ms) {
         for (long until = mNowMs + ms; mNowMs < until; mNowMs += TICK_MS) {
             List.copyOf(mByVm.values()).forEach(q -> q.tick(mNowMs));
@@ -141,19 +141,19 @@
         return mByVm.get(vm).suspects().status(request);
     }
 
-    /** Returns the VMs at which a quarantined request may run once more. */
+    /** Starts a trial of a request on each VM that allows one; returns these VMs. */
     List<String> startTrials(RequestDigest request) {
         return mByVm.keySet().stream()
                 .filter(vm -> mByVm.get(vm).tryStartTrial(mNowMs, request))
                 .toList();
     }
 
-    /** Ends a trial of a request at a VM. */
+    /** Ends a trial of a request on a VM. */
     void endTrial(String vm, RequestDigest request) {
         mByVm.get(vm).endTrial(mNowMs, request);
     }
 
-    /** Returns how many VMs keep a request from upstreams. */
+    /** Returns the number of VMs on which a request is quarantined. */
     long quarantinedVmCount(RequestDigest request) {
         return mByVm.values().stream()
                 .filter(q -> q.suspects().status(request) == QuarantineStatus.QUARANTINED)
@@ -207,7 +207,7 @@
         };
     }
 
-    /** Hands messages straight to VMs that can be reached. */
+    /** Delivers messages at once to the VMs that can be reached. */
     private final class Peers extends OneWayPeers {
         private final VmId mSelf;
 
@@ -230,7 +230,7 @@
         }
     }
 
-    /** Takes verdicts and does nothing with them. */
+    /** Ignores all events. */
     static final class NoOpListener implements QuarantineListener {
         @Override
         public void onQuarantined(
--- a/coordination/src/test/java/org/hornbeampass/coordination/quarantine/QuarantineTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/quarantine/QuarantineTest.java
@@ -8,9 +8,12 @@
 
 import java.util.List;
 
-/** Checks that a whole fleet keeps a request from upstreams, and lets it go, at the same time. */
+/**
+ * Guards against VMs that miss a quarantine or its end because of lost messages, unreachable VMs or
+ * an unavailable store.
+ */
 class QuarantineTest {
-    /** Within this time, in milliseconds, all VMs that can be reached must know a verdict. */
+    /** The time in which all reachable VMs must receive a change, in milliseconds. */
     private static final long PROPAGATION_MS = 3_000;
 
     private static final RequestDigest CRASHING = new RequestDigest(1, 1);
@@ -263,7 +266,7 @@
         int started = fleet.storeCalls();
         reportThreeCrashes(fleet);
         fleet.run(60_000);
-        // One write, and one read in ten seconds of the keeper.
+        // One write, and one read by the record owner every ten seconds.
         assertThat(fleet.storeCalls() - started).isLessThanOrEqualTo(8);
     }
 
--- a/coordination/src/test/java/org/hornbeampass/coordination/quarantine/RequestHasherTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/quarantine/RequestHasherTest.java
@@ -8,7 +8,10 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** Checks what tells requests apart, and what doesn't. */
+/**
+ * Guards against different requests with the same digest, and against repeated requests with
+ * different digests.
+ */
 class RequestHasherTest {
     private final RequestHasher mHasher = hasher("a key");
 
--- a/coordination/src/test/java/org/hornbeampass/coordination/quarantine/SuspectTableTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/quarantine/SuspectTableTest.java
@@ -12,7 +12,10 @@
 import java.util.Random;
 import java.util.Set;
 
-/** Checks the verdicts on requests, and that the order of news does not matter to them. */
+/**
+ * Guards against quarantines of harmless requests, missed crashing requests, and statuses that
+ * depend on the order of reports.
+ */
 class SuspectTableTest {
     private static final RequestDigest CRASHING = new RequestDigest(1, 1);
     private static final RequestDigest HARMLESS = new RequestDigest(2, 2);
@@ -46,8 +49,8 @@
 
     @Test
     void crashesOfLaterIncarnationsOfAnUpstream_countSeparately() {
-        for (long born = 1; born <= 3; born++) {
-            mTable.onCrash(0, new UpstreamIncarnation("i-1", born), List.of(CRASHING));
+        for (long bornMs = 1; bornMs <= 3; bornMs++) {
+            mTable.onCrash(0, new UpstreamIncarnation("i-1", bornMs), List.of(CRASHING));
         }
         assertThat(mTable.status(CRASHING)).isEqualTo(QuarantineStatus.QUARANTINED);
     }
@@ -92,35 +95,39 @@
 
     @Test
     void reportsInAnyOrder_giveTheSameStatuses() {
-        SuspectTable teller = table();
-        List<SuspectReport.Item> news = new ArrayList<>();
-        Set<QuarantineStatus> standings = EnumSet.noneOf(QuarantineStatus.class);
+        SuspectTable sender = table();
+        List<SuspectReport.Item> reports = new ArrayList<>();
+        Set<QuarantineStatus> statuses = EnumSet.noneOf(QuarantineStatus.class);
         Random random = new Random(7);
         for (int i = 0; i < 60; i++) {
             RequestDigest digest = new RequestDigest(0, random.nextInt(8));
             if (random.nextInt(8) == 0) {
-                teller.clear(0, digest);
+                sender.clear(0, digest);
             } else {
-                teller.onCrash(0, crash(random.nextInt(14)), List.of(digest));
+                sender.onCrash(0, crash(random.nextInt(14)), List.of(digest));
             }
-            teller.item(0, digest).ifPresent(news::add);
+            sender.item(0, digest).ifPresent(reports::add);
         }
         for (int seed = 0; seed < 20; seed++) {
-            SuspectTable hearer = table();
-            List<SuspectReport.Item> shuffled = new ArrayList<>(news);
-            shuffled.addAll(news);
+            SuspectTable receiver = table();
+            List<SuspectReport.Item> shuffled = new ArrayList<>(reports);
+            shuffled.addAll(reports);
             Collections.shuffle(shuffled, new Random(seed));
-            shuffled.forEach(i -> hearer.merge(0, List.of(i)));
+            shuffled.forEach(i -> receiver.merge(0, List.of(i)));
             for (int d = 0; d < 8; d++) {
                 RequestDigest digest = new RequestDigest(0, d);
-                assertThat(hearer.status(digest)).isEqualTo(teller.status(digest));
-                standings.add(teller.status(digest));
+                assertThat(receiver.status(digest)).isEqualTo(sender.status(digest));
+                statuses.add(sender.status(digest));
             }
         }
-        assertThat(standings).contains(QuarantineStatus.SUSPECTED, QuarantineStatus.QUARANTINED);
+        assertThat(statuses).contains(QuarantineStatus.SUSPECTED, QuarantineStatus.QUARANTINED);
     }
 
-    /** Three requests, each of which was interrupted by the crashes of the next and one more. */
+    /**
+     * Checks three requests whose crashes include each other: the largest has all crashes of the
+     * middle one, and the middle one has all of the smallest. After the largest is cleared, the
+     * middle one explains the crashes of the smallest.
+     */
     private static void assertMiddleExplainsSmallest(
             RequestDigest smallest, RequestDigest middle, RequestDigest largest) {
         SuspectTable table = table();
--- a/coordination/src/test/java/org/hornbeampass/coordination/ratelimit/LimitedUpstream.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/ratelimit/LimitedUpstream.java
@@ -8,9 +8,10 @@
 import java.util.Random;
 
 /**
- * An upstream that names a rate limit, and what it gets, judged by the terms of the limit: from
- * some time after it first named one, the VMs that have been told for half a second send it in any
- * four seconds at most one and a half times as much, and five requests. Not thread-safe.
+ * An upstream that announces a rate limit and checks the requests that it receives. Starting some
+ * time after the first announcement, the VMs that received the limit at least half a second ago may
+ * send, in any four seconds, at most one and a half times the limit plus five requests. Not
+ * thread-safe.
  */
 final class LimitedUpstream {
     static final long WINDOW_MS = 4_000;
@@ -21,10 +22,10 @@
     private static final long PROPAGATION_MS = 3_000;
 
     /**
-     * A request that reached it.
+     * A request that reached the upstream.
      *
-     * @param atMs when, in milliseconds
-     * @param informed whether its VM had been told for long enough
+     * @param atMs when the request arrived, in milliseconds
+     * @param informed whether its VM had received the limit long enough before
      */
     private record Arrival(long atMs, boolean informed) {}
 
@@ -34,14 +35,14 @@
     private long mAnnouncedMs = Long.MAX_VALUE;
     private double mHighestLimit;
 
-    /** Names a limit from now on. */
+    /** Announces a limit from now on. */
     void announceLimit(long nowMs, double perSecond) {
         mLimit = OptionalDouble.of(perSecond);
         mHighestLimit = Math.max(mHighestLimit, perSecond);
         mAnnouncedMs = Math.min(mAnnouncedMs, nowMs);
     }
 
-    /** Names none any more. */
+    /** Announces no limit any more. */
     void withdrawLimit() {
         mLimit = OptionalDouble.empty();
         mAnnouncedMs = Long.MAX_VALUE;
@@ -61,32 +62,38 @@
         mAnnouncedToVmMs.putIfAbsent(vm, nowMs);
     }
 
-    /** Notes that a VM has ended or was cut off, which excuses it until it is told anew. */
+    /**
+     * Records that a VM ended or was partitioned; it does not count as informed until it receives
+     * the limit again.
+     */
     void onVmInterrupted(String vm) {
         mAnnouncedToVmMs.remove(vm);
     }
 
     void onArrival(long nowMs, String vm) {
-        Long toldMs = mAnnouncedToVmMs.get(vm);
-        mArrivals.add(new Arrival(nowMs, toldMs != null && nowMs >= toldMs + REACTION_MS));
+        Long informedAtMs = mAnnouncedToVmMs.get(vm);
+        mArrivals.add(
+                new Arrival(nowMs, informedAtMs != null && nowMs >= informedAtMs + REACTION_MS));
     }
 
-    /** Returns how many requests came from a time on. */
+    /** Returns the number of requests that arrived from a time on. */
     long arrivalsSince(long fromMs) {
         return mArrivals.stream().filter(a -> a.atMs() >= fromMs).count();
     }
 
-    /** Returns the largest count of requests of all VMs in a window that begins after a time. */
+    /**
+     * Returns the largest number of requests of all VMs in a window that begins at a time or later.
+     */
     long largestWindowOfAllVms(long fromMs) {
         return largestWindow(mArrivals.stream().filter(a -> a.atMs() >= fromMs).toList());
     }
 
-    /** Returns the largest count of a window that is judged. */
+    /** Returns the largest number of requests of informed VMs in a window that is checked. */
     long largestWindowOfInformedVms() {
         List<Arrival> counted = mArrivals.stream().filter(Arrival::informed).toList();
-        long judgedFromMs = mAnnouncedMs + PROPAGATION_MS;
+        long checkedFromMs = mAnnouncedMs + PROPAGATION_MS;
         return largestWindow(
-                counted.stream().filter(a -> a.atMs() >= judgedFromMs - WINDOW_MS).toList());
+                counted.stream().filter(a -> a.atMs() >= checkedFromMs - WINDOW_MS).toList());
     }
 
     private static long largestWindow(List<Arrival> arrivals) {
@@ -101,7 +108,7 @@
         return largest;
     }
 
-    /** Returns the most that a window may hold. */
+    /** Returns the largest number of requests allowed in a window. */
     double allowed() {
         return ALLOWED_RATIO * mHighestLimit * WINDOW_MS / 1_000 + ALLOWED_EXTRA;
     }
--- a/coordination/src/test/java/org/hornbeampass/coordination/ratelimit/RateLimitFleet.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/ratelimit/RateLimitFleet.java
@@ -41,8 +41,8 @@
 import java.util.function.BiConsumer;
 
 /**
- * A fleet in virtual time before upstreams that name rate limits, with VMs and links that fail. Not
- * thread-safe.
+ * Simulates in virtual time a fleet that sends requests to upstreams that announce rate limits,
+ * with failures of VMs and of the network. Not thread-safe.
  */
 final class RateLimitFleet {
     static final String SERVICE_NAME = "s";
@@ -54,10 +54,12 @@
     private static final long ONE_WAY_MS = 2;
     private static final ServiceSpec SERVICE = new ServiceSpec(SERVICE_NAME, 100, Optional.empty());
 
-    /** Something that happens at a time; of the same time, in the order in which it was planned. */
+    /**
+     * An event at a time; events of the same time run in the order in which they were scheduled.
+     */
     private record Event(long atMs, long number, Runnable action) {}
 
-    /** One VM in one of its lives. */
+    /** One incarnation of a VM. */
     private final class Vm implements PeerNetwork, PermitHomeResolver, SignalListener {
         private final Member mSelf;
         private final long mStartedMs;
@@ -87,8 +89,8 @@
 
         @Override
         public Optional<String> homeOf(String upstream) {
-            boolean newcomer = mStartedMs > 0 && mNowMs - mStartedMs < WARM_UP_MS;
-            return newcomer ? Optional.empty() : RendezvousHash.choose(upstream, mKnownVms);
+            boolean warmingUp = mStartedMs > 0 && mNowMs - mStartedMs < WARM_UP_MS;
+            return warmingUp ? Optional.empty() : RendezvousHash.choose(upstream, mKnownVms);
         }
 
         @Override
@@ -155,13 +157,13 @@
                 long nowMs, UpstreamIncarnation upstream, OptionalDouble limit, String toldBy) {}
     }
 
-    /** One request in progress at an upstream. */
+    /** One request in flight at an upstream. */
     private static final class InFlightRequest implements IncarnationListener {
         @Override
         public void onEnded(long nowMs) {}
     }
 
-    /** What a VM does with a message. */
+    /** Handles a message on the receiving VM. */
     private interface MessageHandler {
         void handle(Vm to);
     }
@@ -237,22 +239,22 @@
         mLossShare = share;
     }
 
-    /** Cuts a VM off from the others and from the upstreams, or ends that. */
-    void setPartitioned(String vm, boolean cut) {
+    /** Partitions a VM from the others and from the upstreams, or reconnects it. */
+    void setPartitioned(String vm, boolean partitioned) {
         mUpstreams.values().forEach(u -> u.onVmInterrupted(vm));
-        if (cut) {
+        if (partitioned) {
             mPartitioned.add(vm);
         } else {
             mPartitioned.remove(vm);
         }
     }
 
-    /** Returns the VM that gives out an upstream's permits. */
+    /** Returns the VM that issues an upstream's permits. */
     String homeOf(int upstream) {
         return mVms.values().iterator().next().homeOf("i-" + upstream).orElseThrow();
     }
 
-    /** Kills a VM; each of the others notices after a time of its own up to a bound. */
+    /** Ends a VM; each of the others notices after a random time up to a bound. */
     void kill(String vm, long noticedWithinMs) {
         mVms.remove(vm);
         mUpstreams.values().forEach(u -> u.onVmInterrupted(vm));
@@ -267,7 +269,7 @@
         }
     }
 
-    /** Starts a VM again; each of the others hears of it after a time of its own up to a bound. */
+    /** Starts a VM again; each of the others notices after a random time up to a bound. */
     void start(String vm, long noticedWithinMs) {
         Member member =
                 mMembers.stream().filter(m -> m.name().equals(vm)).findFirst().orElseThrow();
@@ -277,12 +279,12 @@
         }
     }
 
-    /** Sends requests to all VMs at random, at a rate of the whole fleet, for some time. */
+    /** Sends requests to random VMs for some time, at a rate for the whole fleet. */
     void load(double perSecond, long forMs) {
         long untilMs = mNowMs + forMs;
         double gapMs = 1_000 / perSecond;
         for (double t = nextGapMs(gapMs); t < forMs; t += nextGapMs(gapMs)) {
-            schedule((long) t, this::onRequest);
+            schedule((long) t, this::onRequestArrival);
         }
         runUntil(untilMs);
     }
@@ -291,7 +293,7 @@
         return -meanMs * Math.log(1 - mRandom.nextDouble());
     }
 
-    /** Plans an action, in milliseconds from now on. */
+    /** Schedules an action after a number of milliseconds. */
     void schedule(long ms, Runnable action) {
         mEvents.add(new Event(mNowMs + ms, mNumber++, action));
     }
@@ -318,29 +320,29 @@
         return mVms.get(vm.self()) == vm;
     }
 
-    private void deliver(Vm from, String to, MessageHandler receipt) {
+    private void deliver(Vm from, String to, MessageHandler handler) {
         boolean lost = mPartitioned.contains(from.self()) || mRandom.nextDouble() < mLossShare;
         schedule(
                 ONE_WAY_MS + mRandom.nextInt(2),
                 () -> {
                     Vm receiver = mVms.get(to);
                     if (!lost && receiver != null && !mPartitioned.contains(to)) {
-                        receipt.handle(receiver);
+                        handler.handle(receiver);
                     }
                 });
     }
 
-    private void onRequest() {
+    private void onRequestArrival() {
         List<Vm> up = List.copyOf(mVms.values());
         if (!up.isEmpty()) {
             attempt(up.get(mRandom.nextInt(up.size())), 0);
         }
     }
 
-    /** Chooses and asks for a permit as the relay does. */
-    private void attempt(Vm vm, int denied) {
-        Set<String> leftOut = denied >= MAX_DENIALS ? vm.mBoard.rateLimited() : Set.of();
-        var chosen = vm.mBoard.choose(mNowMs, SERVICE, Prompt.NONE, leftOut);
+    /** Chooses an upstream and requests a permit, as the relay does. */
+    private void attempt(Vm vm, int denials) {
+        Set<String> excluded = denials >= MAX_DENIALS ? vm.mBoard.rateLimited() : Set.of();
+        var chosen = vm.mBoard.choose(mNowMs, SERVICE, Prompt.NONE, excluded);
         if (chosen.isEmpty()) {
             mRefused++;
             return;
@@ -353,7 +355,7 @@
                     if (permit.isPresent() && vm.mLimiter.redeem(t, permit.get())) {
                         send(vm, instance);
                     } else {
-                        attempt(vm, denied + 1);
+                        attempt(vm, denials + 1);
                     }
                 });
     }
@@ -363,36 +365,38 @@
             return;
         }
         mServed++;
-        long askedMs = mNowMs;
-        IncarnationListener use = new InFlightRequest();
-        instance.onSent(0, use);
+        long sentMs = mNowMs;
+        IncarnationListener inFlight = new InFlightRequest();
+        instance.onSent(0, inFlight);
         LimitedUpstream upstream = mUpstreams.get(instance.id());
         schedule(
                 ONE_WAY_MS,
                 () -> {
                     upstream.onArrival(mNowMs, vm.self());
-                    schedule(upstream.workMs(mRandom), () -> answer(vm, instance, use, askedMs));
+                    schedule(
+                            upstream.workMs(mRandom), () -> answer(vm, instance, inFlight, sentMs));
                 });
     }
 
-    private void answer(Vm vm, UpstreamInstance instance, IncarnationListener use, long askedMs) {
+    private void answer(
+            Vm vm, UpstreamInstance instance, IncarnationListener inFlight, long sentMs) {
         LimitedUpstream upstream = mUpstreams.get(instance.id());
         OptionalDouble limit = upstream.limit();
         schedule(
                 ONE_WAY_MS + mRandom.nextInt(20),
                 () -> {
-                    instance.onEnded(use);
+                    instance.onEnded(inFlight);
                     if (!isUp(vm) || mPartitioned.contains(vm.self())) {
                         return;
                     }
                     if (limit.isPresent()) {
                         upstream.onLimitReceived(mNowMs, vm.self());
                     }
-                    instance.onGood(mNowMs, (double) (mNowMs - askedMs));
+                    instance.onGood(mNowMs, (double) (mNowMs - sentMs));
                     vm.mExchange.onAnswer(
                             mNowMs,
                             instance,
-                            new UpstreamSignals(false, new RateLimit(limit, askedMs, mNowMs)));
+                            new UpstreamSignals(false, new RateLimit(limit, sentMs, mNowMs)));
                 });
     }
 }
--- a/coordination/src/test/java/org/hornbeampass/coordination/ratelimit/RateLimiterTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/ratelimit/RateLimiterTest.java
@@ -7,19 +7,22 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Plays fleets in virtual time before upstreams that name rate limits. */
+/**
+ * Guards against fleets that exceed the rate limit of an upstream or leave a part of it unused, in
+ * virtual time and with failures of VMs and of the network.
+ */
 class RateLimiterTest {
     private static final int UPSTREAMS = 6;
     private static final long SETTLE_MS = 2_000;
     private static final long MEASURED_MS = 40_000;
     private static final double USED_SHARE = 0.9;
 
-    /** Far above each limit, so that demand stands above it all the time. */
+    /** Far above each limit, so that the demand always exceeds it. */
     private static final double LOAD_SHARE = 3;
 
     private static final double OTHER_LOAD = 40;
 
-    /** Enough that each upstream has requests in progress at each VM of eight. */
+    /** Enough that each of eight VMs has requests in flight at each upstream. */
     private static final double HEAVY_LOAD = 360;
 
     private static RateLimitFleet limitedFleet(int vms, double perSecond, long seed) {
@@ -39,7 +42,10 @@
                 .isLessThanOrEqualTo(upstream.allowed());
     }
 
-    /** Judges what all VMs send from a time on, told by an answer or by another VM. */
+    /**
+     * Checks the requests that all VMs send from a time on, whether a VM received the limit from an
+     * answer or from another VM.
+     */
     private static void assertKeptByAllVms(RateLimitFleet fleet, long fromMs) {
         LimitedUpstream upstream = fleet.upstream(0);
         assertThat(upstream.largestWindowOfAllVms(fromMs)).isPositive();
