--- a/cli/src/test/java/org/hornbeampass/cli/RouterFixture.java
+++ b/cli/src/test/java/org/hornbeampass/cli/RouterFixture.java
@@ -2,7 +2,7 @@
 
 import io.vavr.control.Either;
 
-import org.hornbeampass.coordination.budget.BudgetAccounts;
+import org.hornbeampass.coordination.budget.BudgetAdmin;
 import org.hornbeampass.coordination.config.ConfigSettings;
 import org.hornbeampass.coordination.config.ConfigStore;
 import org.hornbeampass.coordination.membership.Membership;
@@ -84,7 +84,7 @@
             mStore.tick(NOW_MS);
         }
         StoredConfiguration configuration = new StoredConfiguration(mStore, 120_000);
-        BudgetAccounts accounts = new BudgetAccounts(vm, platform);
+        BudgetAdmin accounts = new BudgetAdmin(vm, platform);
         AdminPorts ports =
                 new AdminPorts(
                         configuration,
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/Admission.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/Admission.java
@@ -31,7 +31,7 @@
     }
 
     /** Reserves where enough is free. */
-    Optional<Reservation> take(Account account, RequestId request, long tokens) {
+    Optional<Reservation> take(BudgetAccount account, RequestId request, long tokens) {
         if (account.holding().free() < tokens) {
             return Optional.empty();
         }
@@ -39,7 +39,7 @@
     }
 
     /** Gives waiters what is free, in their order; a large one does not hold up smaller ones. */
-    void serve(long nowMs, Account account, Effects effects) {
+    void serve(long nowMs, BudgetAccount account, DeferredActions effects) {
         if (account.waiters().isEmpty()) {
             return;
         }
@@ -55,7 +55,7 @@
     }
 
     /** Refuses waiters whose time is over, or whom waiting can't help. */
-    void expire(long nowMs, Account account, Effects effects) {
+    void expire(long nowMs, BudgetAccount account, DeferredActions effects) {
         Iterator<Waiter> each = account.waiters().iterator();
         while (each.hasNext()) {
             Waiter waiter = each.next();
@@ -66,7 +66,7 @@
         }
     }
 
-    private boolean hopeless(long nowMs, Account account, Waiter waiter) {
+    private boolean hopeless(long nowMs, BudgetAccount account, Waiter waiter) {
         if (knownExhausted(nowMs, account, waiter.tokens())) {
             return true;
         }
@@ -75,33 +75,33 @@
         }
         boolean platformLater = mSync.unreachable() && mSync.nextMs() > waiter.deadlineMs();
         boolean nothingThere =
-                mSync.freshWithin(nowMs, mSettings.freshMs())
+                mSync.freshWithin(nowMs, mSettings.maxRecordAgeMs())
                         && mSync.base().get().budget(account.key().budget()).available() <= 0;
         return platformLater || nothingThere;
     }
 
-    void refuse(long nowMs, Account account, Waiter waiter, Effects effects) {
+    void refuse(long nowMs, BudgetAccount account, Waiter waiter, DeferredActions effects) {
         Failure failure = refusal(nowMs, account, waiter.tokens());
         effects.add(() -> waiter.done().accept(nowMs, Either.left(failure)));
     }
 
-    void refuseAll(long nowMs, Account account, Failure failure, Effects effects) {
+    void refuseAll(long nowMs, BudgetAccount account, Failure failure, DeferredActions effects) {
         for (Waiter waiter : account.waiters()) {
             effects.add(() -> waiter.done().accept(nowMs, Either.left(failure)));
         }
         account.waiters().clear();
     }
 
-    Failure refusal(long nowMs, Account account, long tokens) {
+    Failure refusal(long nowMs, BudgetAccount account, long tokens) {
         if (knownExhausted(nowMs, account, tokens)) {
             return BudgetFailures.exhausted(account.key(), tokens);
         }
-        long wait = Math.max(mSettings.freshMs(), mSync.nextMs() - nowMs);
+        long wait = Math.max(mSettings.maxRecordAgeMs(), mSync.nextMs() - nowMs);
         return BudgetFailures.unreachable(account.key(), wait);
     }
 
-    boolean knownExhausted(long nowMs, Account account, long tokens) {
-        if (!mSync.freshWithin(nowMs, mSettings.freshMs())) {
+    boolean knownExhausted(long nowMs, BudgetAccount account, long tokens) {
+        if (!mSync.freshWithin(nowMs, mSettings.maxRecordAgeMs())) {
             return false;
         }
         BudgetRecord record = mSync.base().get().budget(account.key().budget());
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/AskCandidates.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/AskCandidates.java
@@ -24,7 +24,10 @@
      * @param record the organisation's record, where it is known
      */
     static List<VmId> of(
-            BudgetContext context, Account account, boolean direct, Optional<LedgerRecord> record) {
+            BudgetContext context,
+            BudgetAccount account,
+            boolean direct,
+            Optional<LedgerRecord> record) {
         List<VmId> live = context.homes().live();
         Set<VmId> order = new LinkedHashSet<>();
         order.addAll(
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/Account.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/BudgetAccount.java
@@ -13,14 +13,14 @@
  *
  * <p>Not thread-safe; guarded by its organisation's lock.
  */
-final class Account {
+final class BudgetAccount {
     private final Holding mHolding;
     private final PeerMoves mMoves;
     private final Deque<Waiter> mWaiters = new ArrayDeque<>();
     private final AskRound mAsks;
     private final Deque<DeferredAsk> mDeferred = new ArrayDeque<>();
 
-    Account(BudgetKey key, VmId self, Set<VmId> silentPeers) {
+    BudgetAccount(BudgetKey key, VmId self, Set<VmId> silentPeers) {
         mAsks = new AskRound(silentPeers);
         mHolding = new Holding(key, new HolderId(self, 0));
         mMoves = new PeerMoves(key, self);
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/BudgetAccounts.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/BudgetAdmin.java
@@ -31,7 +31,7 @@
  * be repeated as it was. Needs no VM that serves requests. Thread-safe; callbacks run with no lock
  * held.
  */
-public final class BudgetAccounts {
+public final class BudgetAdmin {
     private static final int MAX_TOP_UP_ID = 128;
 
     private final VmId mSelf;
@@ -44,7 +44,7 @@
      * @param self this VM and its incarnation, which marks its changes
      * @param platform the platform
      */
-    public BudgetAccounts(VmId self, Platform platform) {
+    public BudgetAdmin(VmId self, Platform platform) {
         mSelf = self;
         mPlatform = platform;
     }
@@ -132,7 +132,7 @@
      * Lowers what is paid for a budget, never below what is granted; as {@link #setPaid}, but a
      * value that is not lower is refused with {@code FIELD_INVALID}.
      */
-    public void lower(
+    public void lowerPaid(
             long nowMs,
             BudgetKey key,
             long newPaid,
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/BudgetSettings.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/BudgetSettings.java
@@ -8,7 +8,7 @@
  * @param reportIntervalMs how often spending is reported, in milliseconds
  * @param refillIntervalMs how soon after a write the next one may draw though nobody waits
  * @param refreshIntervalMs how often the record of a budget that is held is read anew
- * @param freshMs how old the record may be for a refusal to rest on it
+ * @param maxRecordAgeMs how old the record may be for a refusal to rest on it
  * @param maxWaiters the largest number of requests that wait for one budget's grant
  * @param backoffMinMs the wait after a first failed call, doubled with each further one
  * @param backoffMaxMs the longest wait after a failed call
@@ -19,7 +19,7 @@
         long reportIntervalMs,
         long refillIntervalMs,
         long refreshIntervalMs,
-        long freshMs,
+        long maxRecordAgeMs,
         int maxWaiters,
         long backoffMinMs,
         long backoffMaxMs,
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/Effects.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/DeferredActions.java
@@ -8,7 +8,7 @@
  *
  * <p>Not thread-safe; each belongs to one call.
  */
-final class Effects {
+final class DeferredActions {
     private List<Runnable> mActions = List.of();
 
     /** Adds an action. */
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/Drawing.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/GrantCalculator.java
@@ -15,7 +15,7 @@
  * @param maySplit whether this VM may draw more than its requests wait for
  * @param mayRefill whether this VM may draw though no request waits
  */
-record Drawing(
+record GrantCalculator(
         GrantPolicy policy,
         BudgetPreference preference,
         int sharers,
@@ -23,14 +23,14 @@
         boolean maySplit,
         boolean mayRefill) {
     /** Returns the tokens to draw, at most what is available. */
-    long draw(long nowMs, Account account, BudgetRecord budget) {
+    long draw(long nowMs, BudgetAccount account, BudgetRecord budget) {
         long available = Math.max(0, budget.available());
-        GrantNeed need = need(nowMs, account, budget);
+        GrantPolicyInput need = need(nowMs, account, budget);
         boolean urgent = need.waiting() > need.free();
         if (!urgent && !mayRefill) {
             return 0;
         }
-        long wanted = policy.draw(need);
+        long wanted = policy.tokensToDraw(need);
         if (!maySplit) {
             wanted = Math.min(wanted, account.waitingTokens() - account.holding().free());
         }
@@ -38,8 +38,8 @@
     }
 
     /** Returns the free tokens to give back. */
-    long giveBack(long nowMs, Account account, BudgetRecord budget) {
-        return Math.max(0, policy.giveBack(need(nowMs, account, budget)));
+    long giveBack(long nowMs, BudgetAccount account, BudgetRecord budget) {
+        return Math.max(0, policy.tokensToReturn(need(nowMs, account, budget)));
     }
 
     /** Returns whether what is not needed goes back with no wait for the next report. */
@@ -47,9 +47,9 @@
         return policy == GrantPolicy.WRITE_PER_REQUEST;
     }
 
-    private GrantNeed need(long nowMs, Account account, BudgetRecord budget) {
+    private GrantPolicyInput need(long nowMs, BudgetAccount account, BudgetRecord budget) {
         Holding holding = account.holding();
-        return new GrantNeed(
+        return new GrantPolicyInput(
                 budget.paid(),
                 Math.max(0, budget.available()),
                 holding.drawn(),
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/GrantExchange.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/GrantExchange.java
@@ -34,9 +34,9 @@
     /** Sends moves again that lack their acknowledgement, and passes spending on to a home. */
     void pass(
             long nowMs,
-            Account account,
+            BudgetAccount account,
             boolean direct,
-            Effects effects,
+            DeferredActions effects,
             OrganisationBudgets budgets) {
         PeerMoves moves = account.moves();
         long timeoutMs = mContext.settings().askTimeoutMs();
@@ -60,7 +60,7 @@
         }
     }
 
-    private void passToHome(long nowMs, Account account) {
+    private void passToHome(long nowMs, BudgetAccount account) {
         Holding holding = account.holding();
         for (VmId home : mContext.homes().homes(mOrganisation)) {
             if (home.equals(mContext.self()) || account.moves().pending(home).isPresent()) {
@@ -68,7 +68,8 @@
             }
             boolean idle = holding.demand().perMs(nowMs) <= 0 && account.waiters().isEmpty();
             long free = idle ? holding.free() : 0;
-            Optional<Parcel> parcel = holding.take(new HolderId(home, 0), free, holding.spent());
+            Optional<MovedTokens> parcel =
+                    holding.take(new HolderId(home, 0), free, holding.spent());
             parcel.ifPresent(p -> account.moves().start(home, p));
             return;
         }
@@ -77,10 +78,10 @@
     /** Asks the next peer, where requests wait or little is left. */
     void ask(
             long nowMs,
-            Account account,
+            BudgetAccount account,
             BudgetPreference preference,
             Supplier<List<VmId>> candidates,
-            Effects effects,
+            DeferredActions effects,
             OrganisationBudgets budgets) {
         AskRound round = account.asks();
         Holding holding = account.holding();
@@ -121,10 +122,10 @@
 
     private void send(
             long nowMs,
-            Account account,
+            BudgetAccount account,
             VmId peer,
             AskGrant ask,
-            Effects effects,
+            DeferredActions effects,
             OrganisationBudgets budgets) {
         effects.add(
                 () ->
@@ -144,11 +145,11 @@
      */
     void answer(
             long nowMs,
-            Account account,
+            BudgetAccount account,
             AskGrant ask,
             boolean mayDraw,
             Consumer<PeerMessage> reply,
-            Effects effects) {
+            DeferredActions effects) {
         DeferredAsk deferred =
                 new DeferredAsk(ask, nowMs + mContext.settings().askTimeoutMs() / 2, reply);
         boolean room = account.deferred().size() < mContext.settings().maxWaiters();
@@ -160,7 +161,8 @@
     }
 
     /** Answers the asks that wait, where there is enough by now or their time is over. */
-    void answerDeferred(long nowMs, Account account, boolean mayDraw, Effects effects) {
+    void answerDeferred(
+            long nowMs, BudgetAccount account, boolean mayDraw, DeferredActions effects) {
         Iterator<DeferredAsk> each = account.deferred().iterator();
         while (each.hasNext()) {
             DeferredAsk deferred = each.next();
@@ -172,12 +174,13 @@
         }
     }
 
-    private static boolean canAnswer(Account account, AskGrant ask) {
+    private static boolean canAnswer(BudgetAccount account, AskGrant ask) {
         return account.moves().pending(ask.asker()).isPresent()
                 || (account.waiters().isEmpty() && account.holding().free() >= ask.atLeast());
     }
 
-    private void answer(long nowMs, Account account, DeferredAsk deferred, Effects effects) {
+    private void answer(
+            long nowMs, BudgetAccount account, DeferredAsk deferred, DeferredActions effects) {
         AskGrant ask = deferred.ask();
         PeerMessage message =
                 account.moves()
@@ -188,15 +191,16 @@
         effects.add(() -> deferred.reply().accept(message));
     }
 
-    private Optional<MoveGrant> startMove(long nowMs, Account account, AskGrant ask) {
+    private Optional<MoveGrant> startMove(long nowMs, BudgetAccount account, AskGrant ask) {
         HolderId preferred = new HolderId(ask.asker(), 0);
-        Optional<Parcel> parcel = account.holding().take(preferred, give(nowMs, account, ask), 0);
+        Optional<MovedTokens> parcel =
+                account.holding().take(preferred, give(nowMs, account, ask), 0);
         parcel.ifPresent(
                 p -> account.moves().sent(ask.asker(), nowMs + mContext.settings().askTimeoutMs()));
         return parcel.map(p -> account.moves().start(ask.asker(), p));
     }
 
-    private long give(long nowMs, Account account, AskGrant ask) {
+    private long give(long nowMs, BudgetAccount account, AskGrant ask) {
         if (!account.waiters().isEmpty()) {
             return 0;
         }
@@ -208,7 +212,7 @@
     }
 
     /** Adds a move once, where it is addressed to this incarnation. */
-    MoveAck receive(long nowMs, Account account, MoveGrant move) {
+    MoveAck receive(long nowMs, BudgetAccount account, MoveGrant move) {
         boolean mine = move.receiver().equals(mContext.self());
         if (mine && account.moves().receive(move)) {
             Holding holding = account.holding();
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/GrantNeed.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/GrantPolicyInput.java
@@ -7,28 +7,28 @@
  *
  * @param paid the budget's paid tokens
  * @param available what the platform may still grant
- * @param granted what this VM drew and did not return
+ * @param drawn what this VM drew and did not return
  * @param free what this VM holds and has not reserved
  * @param waiting what requests wait for
- * @param largest the largest reservation seen lately
+ * @param largestReservation the largest reservation seen lately
  * @param demandPerMs the rate at which reservations are asked for
  * @param sharers the number of VMs that draw on the budget, at least 1
  * @param horizonMs the time for which a grant should last
- * @param share the largest share of what is left that may lie on VMs
- * @param chunk the settings' fixed grant
+ * @param maxGrantedShare the largest share of what is left that may lie on VMs
+ * @param chunkTokens the settings' fixed grant
  */
-public record GrantNeed(
+public record GrantPolicyInput(
         long paid,
         long available,
-        long granted,
+        long drawn,
         long free,
         long waiting,
-        long largest,
+        long largestReservation,
         double demandPerMs,
         int sharers,
         long horizonMs,
-        double share,
-        long chunk) {
+        double maxGrantedShare,
+        long chunkTokens) {
     /** Returns the tokens that last for the horizon at the present demand. */
     long horizonTokens() {
         return (long) (demandPerMs * horizonMs);
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/Holding.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/Holding.java
@@ -317,11 +317,11 @@
      *
      * @param preferred the charge that the receiver would like best
      */
-    Optional<Parcel> take(HolderId preferred, long free, long spent) {
+    Optional<MovedTokens> take(HolderId preferred, long free, long spent) {
         if (mRegistered) {
             long given = Math.max(0, Math.min(free, mFree - refundedUnseen()));
             mFree -= given;
-            return given == 0 ? Optional.empty() : Optional.of(new Parcel(mHolder, given, 0));
+            return given == 0 ? Optional.empty() : Optional.of(new MovedTokens(mHolder, given, 0));
         }
         Optional<HolderId> charge = chargeToMove(preferred);
         if (charge.isEmpty()) {
@@ -336,7 +336,7 @@
         mFree -= givenFree;
         mSpent -= givenSpent;
         mForeign.merge(charge.get(), -givenFree - givenSpent, Holding::sumOrNull);
-        return Optional.of(new Parcel(charge.get(), givenFree, givenSpent));
+        return Optional.of(new MovedTokens(charge.get(), givenFree, givenSpent));
     }
 
     /**
@@ -349,7 +349,7 @@
     }
 
     /** Adds what another VM moved here. */
-    void put(Parcel parcel) {
+    void put(MovedTokens parcel) {
         mFree += parcel.free();
         mSpent += parcel.spent();
         if (!parcel.charge().equals(mHolder)) {
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/LedgerPlan.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/LedgerWritePlan.java
@@ -19,8 +19,8 @@
  * is returned is subtracted from the holding while planning, so before the write. Used once, under
  * the organisation's lock.
  */
-final class LedgerPlan {
-    private final Drawing mDrawing;
+final class LedgerWritePlan {
+    private final GrantCalculator mDrawing;
     private final boolean mReportDue;
     private final boolean mClosing;
     private final List<Holding> mWritten = new ArrayList<>();
@@ -35,7 +35,8 @@
      * @param reportDue whether spending is to be reported now
      * @param closing whether this VM shuts down and gives everything back
      */
-    LedgerPlan(LedgerRecord base, Drawing drawing, boolean reportDue, boolean closing) {
+    LedgerWritePlan(
+            LedgerRecord base, GrantCalculator drawing, boolean reportDue, boolean closing) {
         mNext = base;
         mDrawing = drawing;
         mReportDue = reportDue;
@@ -62,7 +63,7 @@
     }
 
     /** Adds one budget's draw, return and report. */
-    void add(long nowMs, Account account) {
+    void add(long nowMs, BudgetAccount account) {
         Holding holding = account.holding();
         BudgetRecord budget = mNext.budget(account.key().budget());
         Optional<HolderRecord> seen = Optional.ofNullable(budget.holders().get(holding.holder()));
@@ -83,7 +84,7 @@
         mNeeded = true;
     }
 
-    private void giveBack(long nowMs, Account account, BudgetRecord budget) {
+    private void giveBack(long nowMs, BudgetAccount account, BudgetRecord budget) {
         Holding holding = account.holding();
         if (mClosing || budget.target().isPresent()) {
             holding.giveBack(holding.free() - account.waitingTokens());
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/MoveGrant.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/MoveGrant.java
@@ -35,7 +35,7 @@
         long spent)
         implements PeerMessage {
     /** Returns what moves. */
-    Parcel parcel() {
-        return new Parcel(charge, free, spent);
+    MovedTokens parcel() {
+        return new MovedTokens(charge, free, spent);
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/Parcel.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/MovedTokens.java
@@ -11,4 +11,4 @@
  * @param free tokens that may be spent
  * @param spent tokens that were spent and are to be reported
  */
-record Parcel(HolderId charge, long free, long spent) {}
+record MovedTokens(HolderId charge, long free, long spent) {}
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/OrganisationBudgets.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/OrganisationBudgets.java
@@ -40,7 +40,8 @@
     private final OrganisationId mOrganisation;
     private final BudgetContext mContext;
     private final Admission mAdmission;
-    private final Object2ObjectHashMap<BudgetId, Account> mAccounts = new Object2ObjectHashMap<>();
+    private final Object2ObjectHashMap<BudgetId, BudgetAccount> mAccounts =
+            new Object2ObjectHashMap<>();
     private final Set<VmId> mGone = new HashSet<>();
     private final LedgerSync mSync;
     private final GrantExchange mExchange;
@@ -67,7 +68,7 @@
                 return Either.left(BudgetFailures.shuttingDown());
             }
             mDirty = true;
-            Account account = account(key);
+            BudgetAccount account = account(key);
             account.holding().demand().add(nowMs, tokens);
             Optional<Reservation> made = mAdmission.take(account, request, tokens);
             if (made.isPresent()) {
@@ -89,7 +90,7 @@
             done.accept(nowMs, now);
             return;
         }
-        Effects effects = new Effects();
+        DeferredActions effects = new DeferredActions();
         synchronized (mLock) {
             enqueue(
                     nowMs,
@@ -100,7 +101,8 @@
         effects.run();
     }
 
-    private void enqueue(long nowMs, Account account, Waiter waiter, Effects effects) {
+    private void enqueue(
+            long nowMs, BudgetAccount account, Waiter waiter, DeferredActions effects) {
         if (mAdmission.knownExhausted(nowMs, account, waiter.tokens())) {
             mAdmission.refuse(nowMs, account, waiter, effects);
             return;
@@ -127,10 +129,10 @@
     }
 
     private void change(long nowMs, BudgetKey key, Consumer<Holding> action) {
-        Effects effects = new Effects();
+        DeferredActions effects = new DeferredActions();
         synchronized (mLock) {
             mDirty = true;
-            Account account = account(key);
+            BudgetAccount account = account(key);
             action.accept(account.holding());
             mAdmission.serve(nowMs, account, effects);
             if (mContext.policy() == GrantPolicy.WRITE_PER_REQUEST) {
@@ -141,7 +143,7 @@
     }
 
     void tick(long nowMs) {
-        Effects effects = new Effects();
+        DeferredActions effects = new DeferredActions();
         synchronized (mLock) {
             if (!mDirty && nowMs < mNextIdleMs) {
                 return;
@@ -154,7 +156,7 @@
     }
 
     private boolean busy() {
-        for (Account account : mAccounts.values()) {
+        for (BudgetAccount account : mAccounts.values()) {
             if (account.busy()) {
                 return true;
             }
@@ -163,10 +165,10 @@
     }
 
     void close(long nowMs) {
-        Effects effects = new Effects();
+        DeferredActions effects = new DeferredActions();
         synchronized (mLock) {
             mClosing = true;
-            for (Account account : mAccounts.values()) {
+            for (BudgetAccount account : mAccounts.values()) {
                 mAdmission.refuseAll(nowMs, account, BudgetFailures.shuttingDown(), effects);
             }
             advance(nowMs, effects);
@@ -182,7 +184,7 @@
 
     boolean handedOver() {
         synchronized (mLock) {
-            for (Account account : mAccounts.values()) {
+            for (BudgetAccount account : mAccounts.values()) {
                 Holding holding = account.holding();
                 boolean empty = holding.free() == 0 && holding.reserved() == 0;
                 boolean moving = account.moves().anyPending();
@@ -198,12 +200,12 @@
     }
 
     void onVmGone(long nowMs, VmId vm) {
-        Effects effects = new Effects();
+        DeferredActions effects = new DeferredActions();
         synchronized (mLock) {
             mDirty = true;
             mGone.add(vm);
             mContext.silentPeers().remove(vm);
-            for (Account account : mAccounts.values()) {
+            for (BudgetAccount account : mAccounts.values()) {
                 account.moves().forget(vm);
             }
             mSync.expire();
@@ -219,10 +221,10 @@
     }
 
     void onAsk(long nowMs, AskGrant ask, Consumer<PeerMessage> reply) {
-        Effects effects = new Effects();
+        DeferredActions effects = new DeferredActions();
         synchronized (mLock) {
             mDirty = true;
-            Account account = account(new BudgetKey(ask.organisation(), ask.budget()));
+            BudgetAccount account = account(new BudgetKey(ask.organisation(), ask.budget()));
             boolean later = mayDraw() && !platformCannotHelp(nowMs, account, ask.atLeast());
             mExchange.answer(nowMs, account, ask, later, reply, effects);
             advance(nowMs, effects);
@@ -235,10 +237,10 @@
     }
 
     void onMove(long nowMs, MoveGrant move, Consumer<PeerMessage> reply) {
-        Effects effects = new Effects();
+        DeferredActions effects = new DeferredActions();
         synchronized (mLock) {
             mDirty = true;
-            Account account = account(new BudgetKey(move.organisation(), move.budget()));
+            BudgetAccount account = account(new BudgetKey(move.organisation(), move.budget()));
             MoveAck ack = mExchange.receive(nowMs, account, move);
             effects.add(() -> reply.accept(ack));
             mAdmission.serve(nowMs, account, effects);
@@ -266,32 +268,33 @@
         }
     }
 
-    private Account account(BudgetKey key) {
-        Account account = mAccounts.get(key.budget());
+    private BudgetAccount account(BudgetKey key) {
+        BudgetAccount account = mAccounts.get(key.budget());
         if (account == null) {
-            account = new Account(key, mContext.self(), mContext.silentPeers());
+            account = new BudgetAccount(key, mContext.self(), mContext.silentPeers());
             mAccounts.put(key.budget(), account);
         }
         return account;
     }
 
     /** Does whatever is due: serves and refuses waiters, calls the platform, asks peers. */
-    private void advance(long nowMs, Effects effects) {
+    private void advance(long nowMs, DeferredActions effects) {
         boolean mayDraw = mayDraw();
-        for (Account account : mAccounts.values()) {
+        for (BudgetAccount account : mAccounts.values()) {
             mAdmission.serve(nowMs, account, effects);
             mExchange.answerDeferred(nowMs, account, mayDraw, effects);
         }
         syncIfDue(nowMs, effects);
         boolean direct = mClosing || mContext.isHome(mOrganisation);
-        for (Account account : mAccounts.values()) {
+        for (BudgetAccount account : mAccounts.values()) {
             mExchange.pass(nowMs, account, direct, effects, this);
             askIfNeeded(nowMs, account, direct, effects);
             mAdmission.expire(nowMs, account, effects);
         }
     }
 
-    private void askIfNeeded(long nowMs, Account account, boolean direct, Effects effects) {
+    private void askIfNeeded(
+            long nowMs, BudgetAccount account, boolean direct, DeferredActions effects) {
         long waiting = account.waitingTokens();
         if (direct && (waiting == 0 || !platformCannotHelp(nowMs, account, waiting))) {
             account.asks().endUnneeded(nowMs);
@@ -306,19 +309,19 @@
                 this);
     }
 
-    private boolean platformCannotHelp(long nowMs, Account account, long waiting) {
+    private boolean platformCannotHelp(long nowMs, BudgetAccount account, long waiting) {
         if (mSync.unreachable()) {
             return true;
         }
         long missing = waiting - account.holding().free();
-        return mSync.freshWithin(nowMs, mContext.settings().freshMs())
+        return mSync.freshWithin(nowMs, mContext.settings().maxRecordAgeMs())
                 && mSync.base().get().budget(account.key().budget()).available() < missing;
     }
 
     void onAskReply(long nowMs, BudgetKey key, Either<Failure, PeerMessage> reply) {
-        Effects effects = new Effects();
+        DeferredActions effects = new DeferredActions();
         synchronized (mLock) {
-            Account account = account(key);
+            BudgetAccount account = account(key);
             account.asks().answered(reply.isRight());
             if (reply.isRight() && reply.get() instanceof MoveGrant move) {
                 MoveAck ack = mExchange.receive(nowMs, account, move);
@@ -337,7 +340,7 @@
         }
     }
 
-    private void syncIfDue(long nowMs, Effects effects) {
+    private void syncIfDue(long nowMs, DeferredActions effects) {
         if (!mSync.mayCall(nowMs)) {
             return;
         }
@@ -348,7 +351,7 @@
             }
             return;
         }
-        LedgerPlan plan = plan(nowMs, mSync.base().get(), due);
+        LedgerWritePlan plan = plan(nowMs, mSync.base().get(), due);
         Optional<LedgerRecord> next = plan.result();
         if (next.isPresent()) {
             if (due) {
@@ -363,20 +366,20 @@
         }
     }
 
-    private LedgerPlan plan(long nowMs, LedgerRecord base, boolean due) {
+    private LedgerWritePlan plan(long nowMs, LedgerRecord base, boolean due) {
         boolean home = mContext.isHome(mOrganisation);
         int sharers = mContext.homes().homes(mOrganisation).size();
-        Drawing drawing =
-                new Drawing(
+        GrantCalculator drawing =
+                new GrantCalculator(
                         mContext.policy(),
                         mPreference,
                         sharers,
                         mContext.settings().chunkTokens(),
                         home,
                         nowMs - mWrittenMs >= mContext.settings().refillIntervalMs());
-        LedgerPlan plan = new LedgerPlan(base, drawing, due, mClosing);
+        LedgerWritePlan plan = new LedgerWritePlan(base, drawing, due, mClosing);
         plan.closeGone(this::isGone);
-        for (Account account : mAccounts.values()) {
+        for (BudgetAccount account : mAccounts.values()) {
             if (usesPlatform(account, home)) {
                 plan.add(nowMs, account);
             }
@@ -391,7 +394,7 @@
         return ownPast || mGone.contains(vm);
     }
 
-    private boolean usesPlatform(Account account, boolean home) {
+    private boolean usesPlatform(BudgetAccount account, boolean home) {
         return home
                 || mClosing
                 || account.holding().mayHaveEntry()
@@ -400,7 +403,7 @@
 
     private boolean wantsPlatform(long nowMs) {
         boolean home = mContext.isHome(mOrganisation);
-        for (Account account : mAccounts.values()) {
+        for (BudgetAccount account : mAccounts.values()) {
             boolean wants =
                     !account.waiters().isEmpty()
                             || account.peersWant() > 0
@@ -418,21 +421,22 @@
     private boolean staleFor(long nowMs) {
         boolean waiting = false;
         boolean holding = false;
-        for (Account account : mAccounts.values()) {
+        for (BudgetAccount account : mAccounts.values()) {
             waiting |= !account.waiters().isEmpty() || account.peersWant() > 0;
             holding |= account.holding().registered();
         }
-        if (waiting && !mSync.freshWithin(nowMs, mContext.settings().freshMs())) {
+        if (waiting && !mSync.freshWithin(nowMs, mContext.settings().maxRecordAgeMs())) {
             return wantsPlatform(nowMs);
         }
         return holding && !mSync.freshWithin(nowMs, mContext.settings().refreshIntervalMs());
     }
 
-    private void submit(long nowMs, PlatformCall call, Effects effects) {
+    private void submit(long nowMs, PlatformCall call, DeferredActions effects) {
         effects.add(() -> mContext.platform().submit(nowMs, call, (at, r) -> onRead(nowMs, at, r)));
     }
 
-    private void submitWrite(long nowMs, LedgerPlan plan, LedgerRecord next, Effects effects) {
+    private void submitWrite(
+            long nowMs, LedgerWritePlan plan, LedgerRecord next, DeferredActions effects) {
         PlatformCall call = mSync.write(next);
         effects.add(
                 () ->
@@ -441,7 +445,7 @@
     }
 
     private void onRead(long submittedMs, long nowMs, PlatformReply reply) {
-        Effects effects = new Effects();
+        DeferredActions effects = new DeferredActions();
         synchronized (mLock) {
             if (mSync.readDone(submittedMs, nowMs, reply)) {
                 see();
@@ -454,10 +458,10 @@
     private void onWrite(
             long submittedMs,
             long nowMs,
-            LedgerPlan plan,
+            LedgerWritePlan plan,
             LedgerRecord written,
             PlatformReply reply) {
-        Effects effects = new Effects();
+        DeferredActions effects = new DeferredActions();
         synchronized (mLock) {
             if (reply instanceof PlatformReply.Unavailable) {
                 plan.written().forEach(Holding::noteAmbiguous);
@@ -475,7 +479,7 @@
 
     private void see() {
         LedgerRecord record = mSync.base().orElseThrow();
-        for (Account account : mAccounts.values()) {
+        for (BudgetAccount account : mAccounts.values()) {
             account.holding().see(record.budget(account.key().budget()));
         }
         mGone.removeIf(
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/PeerMoves.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/PeerMoves.java
@@ -52,7 +52,7 @@
     }
 
     /** Starts a move of tokens that the caller has subtracted. */
-    MoveGrant start(VmId receiver, Parcel parcel) {
+    MoveGrant start(VmId receiver, MovedTokens parcel) {
         long sequence = mSent.merge(receiver, 1L, Long::sum);
         MoveGrant move =
                 new MoveGrant(
--- a/coordination/src/test/java/org/hornbeampass/coordination/budget/BudgetTrapsTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/budget/BudgetFaultsTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import org.hornbeampass.coordination.budget.BudgetWorld.PlatformFault;
+import org.hornbeampass.coordination.budget.BudgetSimulation.PlatformFault;
 import org.hornbeampass.coordination.peer.PeerMessage;
 import org.hornbeampass.state.ErrorKind;
 import org.hornbeampass.state.Failure;
@@ -20,14 +20,14 @@
 import java.util.List;
 
 /** Brings about, one by one, the failures that the budgets are built against. */
-class BudgetTrapsTest {
-    private static BudgetWorld world(int vms, int homes) {
-        BudgetWorld world = new BudgetWorld(vms, GrantPolicy.DEMAND_HORIZON, homes);
+class BudgetFaultsTest {
+    private static BudgetSimulation world(int vms, int homes) {
+        BudgetSimulation world = new BudgetSimulation(vms, GrantPolicy.DEMAND_HORIZON, homes);
         world.topUp("first", 1_000);
         return world;
     }
 
-    private static void gone(BudgetWorld world, int vm) {
+    private static void gone(BudgetSimulation world, int vm) {
         for (int i = 0; i < world.size(); i++) {
             if (i != vm) {
                 world.ledger(i).onVmGone(world.nowMs(), world.node(vm).mId);
@@ -39,7 +39,7 @@
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 3, 4, 5, 6})
     void topUp_withAnyOneReplyLost_countsOnce(int lostCall) {
-        BudgetWorld world = world(1, 1);
+        BudgetSimulation world = world(1, 1);
         world.operatorFaultAt(lostCall, PlatformFault.REPLY_LOST);
         world.topUp("second", 500);
         world.topUp("second", 500);
@@ -54,7 +54,7 @@
 
     @Test
     void topUp_beyondTheLargestSum_isRefused() {
-        BudgetWorld world = world(1, 1);
+        BudgetSimulation world = world(1, 1);
         assertThat(world.topUp("huge", BudgetRecord.MAX_TOKENS).getLeft().kind())
                 .isEqualTo(ErrorKind.FIELD_INVALID);
         assertThat(world.topUp("huger", Long.MAX_VALUE).getLeft().kind())
@@ -64,7 +64,7 @@
 
     @Test
     void closedHolder_thatWakes_spendsWhatItHeldAndIsCountedOnce() {
-        BudgetWorld world = world(2, 2);
+        BudgetSimulation world = world(2, 2);
         Reservation made = world.reserve(0, 400).get();
         world.node(0).mPaused = true;
         gone(world, 0);
@@ -79,7 +79,7 @@
 
     @Test
     void router_thatDiesBeforeSettlement_leavesItsReservationWrittenOff() {
-        BudgetWorld world = world(2, 2);
+        BudgetSimulation world = world(2, 2);
         world.reserve(0, 400);
         world.die(0);
         gone(world, 0);
@@ -95,7 +95,7 @@
 
     @Test
     void limit_cutDuringAReservation_isLoweredOnceTheReservationEnds() {
-        BudgetWorld world = world(1, 1);
+        BudgetSimulation world = world(1, 1);
         Reservation made = world.reserve(0, 600).get();
         BudgetStatement cut = world.lower(100).get();
         assertThat(cut.target()).hasValue(100);
@@ -117,7 +117,7 @@
 
     @Test
     void vm_cutOffFromThePlatformOnly_getsTokensFromAPeer() {
-        BudgetWorld world = world(2, 2);
+        BudgetSimulation world = world(2, 2);
         Reservation made = world.reserve(0, 100).get();
         world.ledger(0).cancel(world.nowMs(), made);
         world.node(1).mCutFromPlatform = true;
@@ -126,14 +126,14 @@
 
     @Test
     void vm_cutOffFromItsPeersOnly_drawsFromThePlatformItself() {
-        BudgetWorld world = world(2, 1);
+        BudgetSimulation world = world(2, 1);
         world.node(1).mCutFromPeers = true;
         assertThat(world.reserve(1, 60).isRight()).isTrue();
     }
 
     @Test
     void vm_cutOffFromAll_refusesAsUnreachableWithATimeToRetry() {
-        BudgetWorld world = world(2, 2);
+        BudgetSimulation world = world(2, 2);
         world.node(1).mCutFromPlatform = true;
         world.node(1).mCutFromPeers = true;
         Failure failure = world.reserve(1, 60).getLeft();
@@ -143,26 +143,26 @@
 
     @Test
     void move_whoseReplyIsLost_isAddedOnce() {
-        BudgetWorld world = world(2, 1);
+        BudgetSimulation world = world(2, 1);
         world.reserve(0, 100);
         world.node(0).mDropNextReply = true;
         assertThat(world.reserve(1, 60).isRight()).isTrue();
         world.run(5_000);
         long held = 0;
         for (int i = 0; i < 2; i++) {
-            HoldingView view = world.ledger(i).view(BudgetWorld.KEY).orElseThrow();
+            HoldingView view = world.ledger(i).view(BudgetSimulation.KEY).orElseThrow();
             held += view.free() + view.reserved();
         }
-        assertThat(held).isEqualTo(world.record().budget(BudgetWorld.KEY.budget()).drawn());
+        assertThat(held).isEqualTo(world.record().budget(BudgetSimulation.KEY.budget()).drawn());
     }
 
     @Test
     void grant_whoseReplyIsLost_isFoundAndReturnedAtShutdown() {
-        BudgetWorld world = world(1, 1);
+        BudgetSimulation world = world(1, 1);
         world.ledger(0)
                 .reserve(
                         world.nowMs(),
-                        BudgetWorld.KEY,
+                        BudgetSimulation.KEY,
                         new RequestId("r"),
                         100,
                         100,
@@ -170,38 +170,44 @@
         world.run(4);
         world.node(0).mFault = PlatformFault.REPLY_LOST;
         world.run(3_000);
-        assertThat(world.record().budget(BudgetWorld.KEY.budget()).drawn()).isPositive();
+        assertThat(world.record().budget(BudgetSimulation.KEY.budget()).drawn()).isPositive();
         assertThat(world.handOver(0)).isTrue();
         assertThat(world.statement().available()).isEqualTo(1_000);
     }
 
     @Test
     void refund_duringAnAmbiguousWrite_isNotHandedOnBeforeTheRecordShowsIt() {
-        BudgetWorld world = world(2, 1);
+        BudgetSimulation world = world(2, 1);
         Reservation made = world.reserve(0, 288).get();
         world.run(20_000);
         world.ledger(0).settle(world.nowMs(), made, 231);
         world.node(0).mFault = PlatformFault.REPLY_LOST;
         world.ledger(0).handOver(world.nowMs(), at -> {});
-        world.ledger(0).refund(world.nowMs(), BudgetWorld.KEY, 156);
+        world.ledger(0).refund(world.nowMs(), BudgetSimulation.KEY, 156);
         Reservation other = world.reserve(1, 456).get();
         world.ledger(1).settle(world.nowMs(), other, 0);
         world.handOver(1);
-        assertThat(BudgetAccounts.audit(BudgetWorld.ORGANISATION, world.record())).isEmpty();
+        assertThat(BudgetAdmin.audit(BudgetSimulation.ORGANISATION, world.record())).isEmpty();
     }
 
     @Test
     void ask_namingAnotherAsker_isRefusedAndCounted() {
-        BudgetWorld world = world(2, 2);
+        BudgetSimulation world = world(2, 2);
         world.ledger(0).cancel(world.nowMs(), world.reserve(0, 100).get());
         VmId named = world.node(1).mId;
         AskGrant ask =
-                new AskGrant(BudgetWorld.ORGANISATION, BudgetWorld.KEY.budget(), named, 10, 10);
+                new AskGrant(
+                        BudgetSimulation.ORGANISATION,
+                        BudgetSimulation.KEY.budget(),
+                        named,
+                        10,
+                        10);
         List<PeerMessage> replies = new ArrayList<>();
         world.ledger(0).onAsk(world.nowMs(), new VmId("other", 1), ask, replies::add);
         assertThat(replies)
                 .containsExactly(
-                        new AskRefused(BudgetWorld.ORGANISATION, BudgetWorld.KEY.budget()));
+                        new AskRefused(
+                                BudgetSimulation.ORGANISATION, BudgetSimulation.KEY.budget()));
         assertThat(world.ledger(0).senderMismatches()).isEqualTo(1);
         world.ledger(0).onAsk(world.nowMs(), named, ask, replies::add);
         assertThat(replies.get(1)).isInstanceOf(MoveGrant.class);
@@ -210,12 +216,12 @@
 
     @Test
     void move_namingAnotherGiver_isIgnoredAndCounted() {
-        BudgetWorld world = world(2, 2);
+        BudgetSimulation world = world(2, 2);
         VmId giver = world.node(1).mId;
         MoveGrant move =
                 new MoveGrant(
-                        BudgetWorld.ORGANISATION,
-                        BudgetWorld.KEY.budget(),
+                        BudgetSimulation.ORGANISATION,
+                        BudgetSimulation.KEY.budget(),
                         giver,
                         world.node(0).mId,
                         1,
@@ -226,20 +232,20 @@
         VmId otherIncarnation = new VmId(giver.name(), giver.incarnation() + 1);
         world.ledger(0).onMove(world.nowMs(), otherIncarnation, move, replies::add);
         assertThat(replies).isEmpty();
-        assertThat(world.ledger(0).view(BudgetWorld.KEY)).isEmpty();
+        assertThat(world.ledger(0).view(BudgetSimulation.KEY)).isEmpty();
         assertThat(world.ledger(0).senderMismatches()).isEqualTo(1);
     }
 
     @Test
     void topUp_met390VmsAtOnce_isSharedWithABoundedNumberOfCalls() {
-        BudgetWorld world = new BudgetWorld(390, GrantPolicy.DEMAND_HORIZON, 9);
+        BudgetSimulation world = new BudgetSimulation(390, GrantPolicy.DEMAND_HORIZON, 9);
         world.topUp("large", 100_000_000);
         int[] admitted = new int[1];
         for (int vm = 0; vm < 390; vm++) {
             world.ledger(vm)
                     .reserve(
                             world.nowMs(),
-                            BudgetWorld.KEY,
+                            BudgetSimulation.KEY,
                             new RequestId("r" + vm),
                             1_000,
                             5_000,
--- a/coordination/src/test/java/org/hornbeampass/coordination/budget/BudgetInvariant.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/budget/BudgetInvariant.java
@@ -10,28 +10,28 @@
     /** What was really spent, by the run's own books, never exceeds what was paid. */
     SPENT_WITHIN_PAID {
         @Override
-        boolean holds(BudgetRun run, BudgetRecord record) {
+        boolean holds(ScheduleRun run, BudgetRecord record) {
             return run.spent() <= record.paid();
         }
     },
     /** What is spent and held anywhere, also by dead and paused VMs, was drawn. */
     HELD_AND_SPENT_WITHIN_DRAWN {
         @Override
-        boolean holds(BudgetRun run, BudgetRecord record) {
+        boolean holds(ScheduleRun run, BudgetRecord record) {
             return run.spent() + run.held() <= record.drawn();
         }
     },
     /** The audit of the record finds nothing. */
     AUDIT_FINDS_NOTHING {
         @Override
-        boolean holds(BudgetRun run, BudgetRecord record) {
-            return BudgetAccounts.audit(BudgetWorld.ORGANISATION, run.world().record()).isEmpty();
+        boolean holds(ScheduleRun run, BudgetRecord record) {
+            return BudgetAdmin.audit(BudgetSimulation.ORGANISATION, run.world().record()).isEmpty();
         }
     },
     /** Each top-up counts at most once, and once where the operator was told so. */
     TOP_UP_COUNTS_ONCE {
         @Override
-        boolean holds(BudgetRun run, BudgetRecord record) {
+        boolean holds(ScheduleRun run, BudgetRecord record) {
             boolean once = record.paid() >= run.topUpsDone() && record.paid() <= run.topUpsAsked();
             return run.paidWasSet() || once;
         }
@@ -39,21 +39,21 @@
     /** A request is refused as exhausted only where less is left than it asked for. */
     EXHAUSTED_IS_TRUE {
         @Override
-        boolean holds(BudgetRun run, BudgetRecord record) {
+        boolean holds(ScheduleRun run, BudgetRecord record) {
             return run.wrongRefusals().isEmpty();
         }
     },
     /** Each request has its answer when its wait is over, unless its VM is paused or dead. */
     ANSWERED_IN_TIME {
         @Override
-        boolean holds(BudgetRun run, BudgetRecord record) {
+        boolean holds(ScheduleRun run, BudgetRecord record) {
             return run.overdue() == 0;
         }
     },
     /** Nothing is counted as settled that was not spent; with no deaths, all and no more is. */
     SETTLED_IS_SPENT_AT_THE_END {
         @Override
-        boolean holds(BudgetRun run, BudgetRecord record) {
+        boolean holds(ScheduleRun run, BudgetRecord record) {
             if (run.lossPossible()) {
                 return record.drawn() >= run.spent();
             }
@@ -66,14 +66,14 @@
         }
     };
 
-    abstract boolean holds(BudgetRun run, BudgetRecord record);
+    abstract boolean holds(ScheduleRun run, BudgetRecord record);
 
     boolean onlyAtTheEnd() {
         return false;
     }
 
     /** Returns the invariants that do not hold. */
-    static List<BudgetInvariant> broken(BudgetRun run, boolean atTheEnd) {
+    static List<BudgetInvariant> broken(ScheduleRun run, boolean atTheEnd) {
         BudgetRecord record = run.record();
         return Arrays.stream(values())
                 .filter(i -> atTheEnd || !i.onlyAtTheEnd())
--- a/coordination/src/test/java/org/hornbeampass/coordination/budget/BudgetLedgerTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/budget/BudgetLedgerTest.java
@@ -9,7 +9,7 @@
 
 /** Shows admission on one VM with a platform that works. */
 class BudgetLedgerTest {
-    private final BudgetWorld mWorld = new BudgetWorld(1, GrantPolicy.DEMAND_HORIZON, 1);
+    private final BudgetSimulation mWorld = new BudgetSimulation(1, GrantPolicy.DEMAND_HORIZON, 1);
 
     @Test
     void reserve_drawsAndAdmits() {
@@ -28,7 +28,7 @@
         mWorld.topUp("t1", 1_000);
         assertThat(
                         mWorld.ledger(0)
-                                .tryReserve(0, BudgetWorld.KEY, new RequestId("r"), 1)
+                                .tryReserve(0, BudgetSimulation.KEY, new RequestId("r"), 1)
                                 .getLeft()
                                 .kind())
                 .isEqualTo(ErrorKind.BUDGET_UNREACHABLE);
@@ -47,7 +47,7 @@
         mWorld.topUp("t1", 1_000);
         Reservation made = mWorld.reserve(0, 600).get();
         mWorld.ledger(0).settle(mWorld.nowMs(), made, 900);
-        HoldingView view = mWorld.ledger(0).view(BudgetWorld.KEY).orElseThrow();
+        HoldingView view = mWorld.ledger(0).view(BudgetSimulation.KEY).orElseThrow();
         assertThat(view.overrun()).isEqualTo(300);
         assertThat(mWorld.settle(20_000).settled()).isEqualTo(600);
     }
@@ -67,7 +67,7 @@
         Reservation made = mWorld.reserve(0, 1_000).get();
         mWorld.ledger(0).settle(mWorld.nowMs(), made, 1_000);
         mWorld.settle(20_000);
-        mWorld.ledger(0).refund(mWorld.nowMs(), BudgetWorld.KEY, 1_000);
+        mWorld.ledger(0).refund(mWorld.nowMs(), BudgetSimulation.KEY, 1_000);
         assertThat(mWorld.reserve(0, 1_000).isRight()).isTrue();
     }
 
--- a/coordination/src/test/java/org/hornbeampass/coordination/budget/BudgetProperties.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/budget/BudgetProperties.java
@@ -20,29 +20,29 @@
 class BudgetProperties {
     @Property(seed = "20261202", edgeCases = EdgeCasesMode.NONE)
     void invariants_hold_whereAllDraw(
-            @ForAll("schedules") List<BudgetStep> steps, @ForAll long latencies) {
-        BudgetRun run = new BudgetRun(3, BudgetMutant.NONE, latencies);
+            @ForAll("schedules") List<ScheduleStep> steps, @ForAll long latencies) {
+        ScheduleRun run = new ScheduleRun(3, BudgetMutant.NONE, latencies);
         assertThat(run.run(steps)).as(run::toString).isEmpty();
     }
 
     @Property(seed = "20261203", edgeCases = EdgeCasesMode.NONE)
     void invariants_hold_whereOneDrawsForAll(
-            @ForAll("schedules") List<BudgetStep> steps, @ForAll long latencies) {
-        BudgetRun run = new BudgetRun(1, BudgetMutant.NONE, latencies);
+            @ForAll("schedules") List<ScheduleStep> steps, @ForAll long latencies) {
+        ScheduleRun run = new ScheduleRun(1, BudgetMutant.NONE, latencies);
         assertThat(run.run(steps)).as(run::toString).isEmpty();
     }
 
     @Provide
-    Arbitrary<List<BudgetStep>> schedules() {
+    Arbitrary<List<ScheduleStep>> schedules() {
         return steps().list().ofMinSize(10).ofMaxSize(60);
     }
 
-    private static Arbitrary<BudgetStep> steps() {
-        Arbitrary<BudgetStep.Kind> kinds = Arbitraries.of(BudgetSchedules.KINDS);
+    private static Arbitrary<ScheduleStep> steps() {
+        Arbitrary<ScheduleStep.Kind> kinds = Arbitraries.of(BudgetSchedules.KINDS);
         return Combinators.combine(
                         kinds,
                         Arbitraries.integers().between(0, 20),
                         Arbitraries.integers().between(0, 999))
-                .as(BudgetStep::new);
+                .as(ScheduleStep::new);
     }
 }
--- a/coordination/src/test/java/org/hornbeampass/coordination/budget/BudgetSchedules.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/budget/BudgetSchedules.java
@@ -12,36 +12,36 @@
  */
 final class BudgetSchedules {
     /** The kinds of step, each as often as its weight. */
-    static final List<BudgetStep.Kind> KINDS = weighted();
+    static final List<ScheduleStep.Kind> KINDS = weighted();
 
     private static final int MIN_STEPS = 10;
     private static final int MAX_STEPS = 60;
 
     private BudgetSchedules() {}
 
-    private static List<BudgetStep.Kind> weighted() {
-        List<BudgetStep.Kind> kinds = new ArrayList<>();
-        for (BudgetStep.Kind kind : BudgetStep.Kind.values()) {
+    private static List<ScheduleStep.Kind> weighted() {
+        List<ScheduleStep.Kind> kinds = new ArrayList<>();
+        for (ScheduleStep.Kind kind : ScheduleStep.Kind.values()) {
             kinds.addAll(Collections.nCopies(kind.weight(), kind));
         }
         return List.copyOf(kinds);
     }
 
     /** Returns the schedule of a seed. */
-    static List<BudgetStep> of(long seed) {
+    static List<ScheduleStep> of(long seed) {
         Random random = new Random(seed);
-        List<BudgetStep> steps = new ArrayList<>();
+        List<ScheduleStep> steps = new ArrayList<>();
         int count = MIN_STEPS + random.nextInt(MAX_STEPS - MIN_STEPS + 1);
         for (int i = 0; i < count; i++) {
-            BudgetStep.Kind kind = KINDS.get(random.nextInt(KINDS.size()));
-            steps.add(new BudgetStep(kind, random.nextInt(21), random.nextInt(1_000)));
+            ScheduleStep.Kind kind = KINDS.get(random.nextInt(KINDS.size()));
+            steps.add(new ScheduleStep(kind, random.nextInt(21), random.nextInt(1_000)));
         }
         return steps;
     }
 
     /** Returns the run of a seed's schedule, not yet begun; every second one has a single home. */
-    static BudgetRun run(long seed, BudgetMutant mutant) {
-        return new BudgetRun(seed % 2 == 0 ? 3 : 1, mutant, seed);
+    static ScheduleRun run(long seed, BudgetMutant mutant) {
+        return new ScheduleRun(seed % 2 == 0 ? 3 : 1, mutant, seed);
     }
 
     /** Runs the schedules of the seeds from the first argument up to, not including, the second. */
@@ -51,7 +51,7 @@
         long broken = 0;
         long spent = 0;
         for (long seed = from; seed < to; seed++) {
-            BudgetRun run = run(seed, BudgetMutant.NONE);
+            ScheduleRun run = run(seed, BudgetMutant.NONE);
             List<BudgetInvariant> found = run.run(of(seed));
             spent += run.spent();
             if (!found.isEmpty()) {
--- a/coordination/src/test/java/org/hornbeampass/coordination/budget/BudgetWorld.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/budget/BudgetSimulation.java
@@ -40,7 +40,7 @@
  * <p>Everything that happens is an event in one queue, run in the order of time; so a run depends
  * on nothing but what the test does. Not thread-safe.
  */
-final class BudgetWorld implements BudgetHomes {
+final class BudgetSimulation implements BudgetHomes {
     static final OrganisationId ORGANISATION = new OrganisationId("flights");
     static final BudgetKey KEY = new BudgetKey(ORGANISATION, new BudgetId("main"));
 
@@ -63,10 +63,10 @@
 
     private final MemoryPlatform mStore = new MemoryPlatform();
     private final PriorityQueue<Event> mEvents = new PriorityQueue<>();
-    private final List<Node> mNodes = new ArrayList<>();
+    private final List<SimulatedRouter> mNodes = new ArrayList<>();
     private final GrantPolicy mPolicy;
     private final int mHomes;
-    private final BudgetAccounts mAccounts;
+    private final BudgetAdmin mAccounts;
     private final BudgetMutant mMutant;
     private final Random mRandom;
     private PlatformFault mOperatorFault = PlatformFault.NONE;
@@ -98,7 +98,7 @@
     }
 
     /** One VM: its ledger and its links. */
-    static final class Node {
+    static final class SimulatedRouter {
         final BudgetLedger mLedger;
         final VmId mId;
         PlatformFault mFault = PlatformFault.NONE;
@@ -109,23 +109,23 @@
         boolean mDead;
         final List<Runnable> mHeld = new ArrayList<>();
 
-        Node(VmId id, BudgetLedger ledger) {
+        SimulatedRouter(VmId id, BudgetLedger ledger) {
             mId = id;
             mLedger = ledger;
         }
     }
 
-    BudgetWorld(int vms, GrantPolicy policy, int homes) {
+    BudgetSimulation(int vms, GrantPolicy policy, int homes) {
         this(vms, policy, homes, BudgetMutant.NONE, 0);
     }
 
     /** Creates a world in which one rule may be broken, with latencies drawn from a seed. */
-    BudgetWorld(int vms, GrantPolicy policy, int homes, BudgetMutant mutant, long seed) {
+    BudgetSimulation(int vms, GrantPolicy policy, int homes, BudgetMutant mutant, long seed) {
         mPolicy = policy;
         mHomes = homes;
         mMutant = mutant;
         mRandom = new Random(seed);
-        mAccounts = new BudgetAccounts(new VmId("operator", 1), operatorPlatform());
+        mAccounts = new BudgetAdmin(new VmId("operator", 1), operatorPlatform());
         for (int i = 0; i < vms; i++) {
             start("vm" + i, 1);
         }
@@ -150,7 +150,7 @@
                         BudgetSettings.defaults(),
                         mPolicy);
         ledger.onConfig(mNowMs, CONFIG);
-        mNodes.add(new Node(id, ledger));
+        mNodes.add(new SimulatedRouter(id, ledger));
         mLive = Optional.empty();
         scheduleTick(index);
         return index;
@@ -172,7 +172,7 @@
         mOperatorCallsLater = callsLater;
     }
 
-    Node node(int vm) {
+    SimulatedRouter node(int vm) {
         return mNodes.get(vm);
     }
 
@@ -188,7 +188,7 @@
         return mNodes.size();
     }
 
-    BudgetAccounts accounts() {
+    BudgetAdmin accounts() {
         return mAccounts;
     }
 
@@ -224,7 +224,7 @@
 
     /** Runs an action on a VM: now, once it wakes, or never. */
     void at(int vm, Runnable action) {
-        Node node = mNodes.get(vm);
+        SimulatedRouter node = mNodes.get(vm);
         if (node.mDead) {
             return;
         }
@@ -236,7 +236,7 @@
     }
 
     void wake(int vm) {
-        Node node = mNodes.get(vm);
+        SimulatedRouter node = mNodes.get(vm);
         node.mPaused = false;
         List<Runnable> held = List.copyOf(node.mHeld);
         node.mHeld.clear();
@@ -291,7 +291,7 @@
     }
 
     Either<Failure, BudgetStatement> lower(long tokens) {
-        return await(done -> mAccounts.lower(mNowMs, KEY, tokens, done));
+        return await(done -> mAccounts.lowerPaid(mNowMs, KEY, tokens, done));
     }
 
     /** Starts something and runs until its outcome is there. */
@@ -327,7 +327,7 @@
 
     private Platform platformOf(int vm) {
         return (nowMs, call, done) -> {
-            Node node = mNodes.get(vm);
+            SimulatedRouter node = mNodes.get(vm);
             PlatformFault fault = node.mCutFromPlatform ? PlatformFault.LOST : node.mFault;
             node.mFault = PlatformFault.NONE;
             call(fault, call, r -> at(vm, () -> done.accept(mNowMs, r)));
--- a/coordination/src/test/java/org/hornbeampass/coordination/budget/BudgetSteps.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/budget/BudgetSteps.java
@@ -17,13 +17,13 @@
 /** Steps of the budgets' scenarios; VMs are numbered from 1. */
 public final class BudgetSteps {
     private final Map<Integer, Reservation> mReservations = new HashMap<>();
-    private BudgetWorld mWorld;
+    private BudgetSimulation mWorld;
     private Either<Failure, Reservation> mLast;
 
     /** Starts VMs that all draw on one budget. */
     @Given("{int} VMs and a budget of {long} tokens")
     public void start(int vms, long tokens) {
-        mWorld = new BudgetWorld(vms, GrantPolicy.DEMAND_HORIZON, vms);
+        mWorld = new BudgetSimulation(vms, GrantPolicy.DEMAND_HORIZON, vms);
         mWorld.topUp("opening", tokens);
     }
 
@@ -57,7 +57,7 @@
     /** Adds tokens, whose first reply is lost, so that the operator repeats it. */
     @When("an operator tops up by {long} tokens, gets no reply and repeats it")
     public void topUpTwice(long tokens) {
-        mWorld.operatorFaultAt(3, BudgetWorld.PlatformFault.REPLY_LOST);
+        mWorld.operatorFaultAt(3, BudgetSimulation.PlatformFault.REPLY_LOST);
         mWorld.topUp("during", tokens);
         mWorld.topUp("during", tokens);
     }
@@ -142,6 +142,6 @@
     @Then("the statement reconciles to the token and the audit finds nothing")
     public void reconciles() {
         assertThat(mWorld.statement().reconciles()).isTrue();
-        assertThat(BudgetAccounts.audit(BudgetWorld.ORGANISATION, mWorld.record())).isEmpty();
+        assertThat(BudgetAdmin.audit(BudgetSimulation.ORGANISATION, mWorld.record())).isEmpty();
     }
 }
--- a/coordination/src/test/java/org/hornbeampass/coordination/budget/BudgetRun.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/budget/ScheduleRun.java
@@ -20,13 +20,13 @@
  *
  * <p>Not thread-safe.
  */
-final class BudgetRun {
+final class ScheduleRun {
     private static final int MAX_NODES = 7;
     private static final long FRESH_MS = 2_600;
     private static final long KEEP_MS = 10_000;
     private static final long SLACK_MS = 200;
 
-    private final BudgetWorld mWorld;
+    private final BudgetSimulation mWorld;
     private final List<List<Reservation>> mOpen = new ArrayList<>();
     private final List<Long> mSettledAt = new ArrayList<>();
     private final Map<String, Long> mAsked = new HashMap<>();
@@ -47,18 +47,18 @@
     /** A request that has no answer yet. */
     private record Waiting(int vm, long untilMs) {}
 
-    BudgetRun(int homes, BudgetMutant mutant, long seed) {
-        mWorld = new BudgetWorld(3, GrantPolicy.DEMAND_HORIZON, homes, mutant, seed);
+    ScheduleRun(int homes, BudgetMutant mutant, long seed) {
+        mWorld = new BudgetSimulation(3, GrantPolicy.DEMAND_HORIZON, homes, mutant, seed);
         mWorld.onWrite(this::note);
     }
 
-    BudgetWorld world() {
+    BudgetSimulation world() {
         return mWorld;
     }
 
     /** Runs steps and checks all invariants after each; returns those broken first. */
-    List<BudgetInvariant> run(List<BudgetStep> steps) {
-        for (BudgetStep step : steps) {
+    List<BudgetInvariant> run(List<ScheduleStep> steps) {
+        for (ScheduleStep step : steps) {
             step.kind().run(this, step.vm(), step.amount());
             note();
             List<BudgetInvariant> broken = BudgetInvariant.broken(this, false);
@@ -100,11 +100,11 @@
     /** Heals everything, ends all requests and hands all over. */
     private void end() {
         for (int i = 0; i < mWorld.size(); i++) {
-            BudgetWorld.Node node = mWorld.node(i);
+            BudgetSimulation.SimulatedRouter node = mWorld.node(i);
             node.mCutFromPlatform = false;
             node.mCutFromPeers = false;
             node.mDropNextReply = false;
-            node.mFault = BudgetWorld.PlatformFault.NONE;
+            node.mFault = BudgetSimulation.PlatformFault.NONE;
             mWorld.wake(i);
         }
         mWorld.run(20_000);
@@ -122,14 +122,14 @@
     }
 
     BudgetRecord record() {
-        return mWorld.record().budget(BudgetWorld.KEY.budget());
+        return mWorld.record().budget(BudgetSimulation.KEY.budget());
     }
 
     int index(int vm) {
         return vm % mWorld.size();
     }
 
-    BudgetWorld.Node node(int vm) {
+    BudgetSimulation.SimulatedRouter node(int vm) {
         return mWorld.node(index(vm));
     }
 
@@ -143,7 +143,7 @@
 
     void reserve(int vm, long tokens, long waitMs) {
         int index = index(vm);
-        BudgetWorld.Node node = mWorld.node(index);
+        BudgetSimulation.SimulatedRouter node = mWorld.node(index);
         if (node.mDead || node.mPaused) {
             return;
         }
@@ -153,7 +153,7 @@
         mWaiting.put(id, new Waiting(index, mWorld.nowMs() + waitMs + SLACK_MS));
         node.mLedger.reserve(
                 mWorld.nowMs(),
-                BudgetWorld.KEY,
+                BudgetSimulation.KEY,
                 id,
                 tokens,
                 waitMs,
@@ -209,12 +209,12 @@
     void refund(int vm, long tokens) {
         int index = index(vm);
         open(index);
-        BudgetWorld.Node node = mWorld.node(index);
+        BudgetSimulation.SimulatedRouter node = mWorld.node(index);
         long most = Math.min(tokens, mSettledAt.get(index));
         if (node.mDead || node.mPaused || most == 0) {
             return;
         }
-        node.mLedger.refund(mWorld.nowMs(), BudgetWorld.KEY, most);
+        node.mLedger.refund(mWorld.nowMs(), BudgetSimulation.KEY, most);
         mSettledAt.set(index, mSettledAt.get(index) - most);
         mSpent -= most;
         mRefunded += most;
@@ -226,7 +226,7 @@
         mWorld.accounts()
                 .topUp(
                         mWorld.nowMs(),
-                        BudgetWorld.KEY,
+                        BudgetSimulation.KEY,
                         id,
                         tokens,
                         (at, r) -> r.peek(s -> mTopUpsDone.add(id)));
@@ -234,13 +234,13 @@
 
     void setPaid(long tokens) {
         mPaidWasSet = true;
-        mWorld.accounts().setPaid(mWorld.nowMs(), BudgetWorld.KEY, tokens, (at, r) -> {});
+        mWorld.accounts().setPaid(mWorld.nowMs(), BudgetSimulation.KEY, tokens, (at, r) -> {});
     }
 
     /** Stops a process with all it holds; another incarnation may start. */
     void die(int vm, boolean restart) {
         int index = index(vm);
-        BudgetWorld.Node node = mWorld.node(index);
+        BudgetSimulation.SimulatedRouter node = mWorld.node(index);
         if (node.mDead || mWorld.size() >= MAX_NODES) {
             return;
         }
@@ -278,7 +278,7 @@
     long held() {
         long sum = -mEndedOnDead;
         for (int i = 0; i < mWorld.size(); i++) {
-            HoldingView view = mWorld.ledger(i).view(BudgetWorld.KEY).orElse(null);
+            HoldingView view = mWorld.ledger(i).view(BudgetSimulation.KEY).orElse(null);
             sum += view == null ? 0 : view.free() + view.reserved();
         }
         return sum;
--- a/coordination/src/test/java/org/hornbeampass/coordination/budget/BudgetStep.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/budget/ScheduleStep.java
@@ -1,6 +1,6 @@
 package org.hornbeampass.coordination.budget;
 
-import org.hornbeampass.coordination.budget.BudgetWorld.PlatformFault;
+import org.hornbeampass.coordination.budget.BudgetSimulation.PlatformFault;
 
 import java.util.List;
 
@@ -11,7 +11,7 @@
  * @param vm picks the VM
  * @param amount picks tokens, times or faults, from 0 to 999
  */
-record BudgetStep(Kind kind, int vm, int amount) {
+record ScheduleStep(Kind kind, int vm, int amount) {
     private static final List<PlatformFault> FAULTS =
             List.of(PlatformFault.LOST, PlatformFault.REPLY_LOST, PlatformFault.LATE);
 
@@ -19,103 +19,103 @@
     enum Kind {
         RESERVE(10) {
             @Override
-            void run(BudgetRun run, int vm, int amount) {
+            void run(ScheduleRun run, int vm, int amount) {
                 run.reserve(vm, 1 + amount / 2, 50L * (amount % 30));
             }
         },
         SETTLE(8) {
             @Override
-            void run(BudgetRun run, int vm, int amount) {
+            void run(ScheduleRun run, int vm, int amount) {
                 run.settle(vm, amount);
             }
         },
         REFUND(1) {
             @Override
-            void run(BudgetRun run, int vm, int amount) {
+            void run(ScheduleRun run, int vm, int amount) {
                 run.refund(vm, 1 + amount / 4);
             }
         },
         TOP_UP(3) {
             @Override
-            void run(BudgetRun run, int vm, int amount) {
+            void run(ScheduleRun run, int vm, int amount) {
                 run.topUp("t" + amount % 4, 100 + 300L * (amount % 4));
             }
         },
         SET_PAID(1) {
             @Override
-            void run(BudgetRun run, int vm, int amount) {
+            void run(ScheduleRun run, int vm, int amount) {
                 run.setPaid(amount * 2L);
             }
         },
         PASS_TIME(8) {
             @Override
-            void run(BudgetRun run, int vm, int amount) {
+            void run(ScheduleRun run, int vm, int amount) {
                 run.world().run(amount);
             }
         },
         PASS_LONG_TIME(2) {
             @Override
-            void run(BudgetRun run, int vm, int amount) {
+            void run(ScheduleRun run, int vm, int amount) {
                 run.world().run(10_000 + amount * 30L);
             }
         },
         PLATFORM_FAULT(4) {
             @Override
-            void run(BudgetRun run, int vm, int amount) {
+            void run(ScheduleRun run, int vm, int amount) {
                 run.node(vm).mFault = FAULTS.get(amount % FAULTS.size());
             }
         },
         OPERATOR_FAULT(2) {
             @Override
-            void run(BudgetRun run, int vm, int amount) {
+            void run(ScheduleRun run, int vm, int amount) {
                 run.world().operatorFault(FAULTS.get(amount % FAULTS.size()));
             }
         },
         CUT_OR_HEAL_PLATFORM(2) {
             @Override
-            void run(BudgetRun run, int vm, int amount) {
+            void run(ScheduleRun run, int vm, int amount) {
                 run.node(vm).mCutFromPlatform = amount % 2 == 0;
             }
         },
         CUT_OR_HEAL_PEERS(2) {
             @Override
-            void run(BudgetRun run, int vm, int amount) {
+            void run(ScheduleRun run, int vm, int amount) {
                 run.node(vm).mCutFromPeers = amount % 2 == 0;
             }
         },
         DROP_REPLY(2) {
             @Override
-            void run(BudgetRun run, int vm, int amount) {
+            void run(ScheduleRun run, int vm, int amount) {
                 run.node(vm).mDropNextReply = true;
             }
         },
         PAUSE(2) {
             @Override
-            void run(BudgetRun run, int vm, int amount) {
+            void run(ScheduleRun run, int vm, int amount) {
                 run.node(vm).mPaused = true;
             }
         },
         WAKE(2) {
             @Override
-            void run(BudgetRun run, int vm, int amount) {
+            void run(ScheduleRun run, int vm, int amount) {
                 run.world().wake(run.index(vm));
             }
         },
         DIE_AND_RESTART(1) {
             @Override
-            void run(BudgetRun run, int vm, int amount) {
+            void run(ScheduleRun run, int vm, int amount) {
                 run.die(vm, amount % 2 == 0);
             }
         },
         DECLARE_GONE(1) {
             @Override
-            void run(BudgetRun run, int vm, int amount) {
+            void run(ScheduleRun run, int vm, int amount) {
                 run.declareGone(vm);
             }
         },
         HAND_OVER(1) {
             @Override
-            void run(BudgetRun run, int vm, int amount) {
+            void run(ScheduleRun run, int vm, int amount) {
                 run.handOver(vm);
             }
         };
@@ -130,6 +130,6 @@
             return mWeight;
         }
 
-        abstract void run(BudgetRun run, int vm, int amount);
+        abstract void run(ScheduleRun run, int vm, int amount);
     }
 }
--- a/coordination/src/test/java/org/hornbeampass/example/EmbeddedLibraryTest.java
+++ b/coordination/src/test/java/org/hornbeampass/example/EmbeddedLibraryTest.java
@@ -4,7 +4,7 @@
 
 import io.vavr.control.Either;
 
-import org.hornbeampass.coordination.budget.BudgetAccounts;
+import org.hornbeampass.coordination.budget.BudgetAdmin;
 import org.hornbeampass.coordination.budget.BudgetHomes;
 import org.hornbeampass.coordination.budget.BudgetLedger;
 import org.hornbeampass.coordination.budget.BudgetSettings;
@@ -162,7 +162,7 @@
 
     private void topUp(String id, long tokens) {
         AtomicReference<Either<Failure, BudgetStatement>> got = new AtomicReference<>();
-        new BudgetAccounts(new VmId("operator", 1), mStore)
+        new BudgetAdmin(new VmId("operator", 1), mStore)
                 .topUp(mNowMs, BUDGET, id, tokens, (atMs, statement) -> got.set(statement));
         assertThat(got.get().isRight()).isTrue();
     }
@@ -170,7 +170,7 @@
     private BudgetStatement statement() {
         AtomicReference<Either<Failure, List<BudgetStatement>>> got = new AtomicReference<>();
         run(20_000);
-        new BudgetAccounts(new VmId("operator", 1), mStore)
+        new BudgetAdmin(new VmId("operator", 1), mStore)
                 .statement(mNowMs, BUDGET.organisation(), (atMs, list) -> got.set(list));
         return got.get().get().get(0);
     }
--- a/experiment/src/main/java/org/hornbeampass/experiment/budget/BudgetRunner.java
+++ b/experiment/src/main/java/org/hornbeampass/experiment/budget/BudgetRunner.java
@@ -1,6 +1,6 @@
 package org.hornbeampass.experiment.budget;
 
-import org.hornbeampass.coordination.budget.BudgetAccounts;
+import org.hornbeampass.coordination.budget.BudgetAdmin;
 import org.hornbeampass.coordination.budget.GrantPolicy;
 import org.hornbeampass.coordination.budget.HoldingView;
 import org.hornbeampass.state.BudgetId;
@@ -45,7 +45,7 @@
     private final int mOrganisations;
     private final int mBudgets;
     private final VirtualFleet mFleet;
-    private final BudgetAccounts mAccounts;
+    private final BudgetAdmin mAccounts;
     private final Random mRandom;
     private final Map<BudgetKey, Long> mPaid = new HashMap<>();
     private final Map<BudgetKey, Long> mSpent = new HashMap<>();
@@ -73,7 +73,7 @@
         mOrganisations = organisations;
         mBudgets = budgets;
         mFleet = new VirtualFleet(vms, 3, 1, policy, config());
-        mAccounts = new BudgetAccounts(new VmId("operator", 1), mFleet.store());
+        mAccounts = new BudgetAdmin(new VmId("operator", 1), mFleet.store());
         mRandom = new Random(seed);
     }
 
--- a/experiment/src/main/java/org/hornbeampass/experiment/jmh/BudgetAdmissionBenchmark.java
+++ b/experiment/src/main/java/org/hornbeampass/experiment/jmh/BudgetAdmissionBenchmark.java
@@ -2,7 +2,7 @@
 
 import io.vavr.control.Either;
 
-import org.hornbeampass.coordination.budget.BudgetAccounts;
+import org.hornbeampass.coordination.budget.BudgetAdmin;
 import org.hornbeampass.coordination.budget.BudgetHomes;
 import org.hornbeampass.coordination.budget.BudgetLedger;
 import org.hornbeampass.coordination.budget.BudgetSettings;
@@ -51,7 +51,7 @@
     public void draw() {
         VmId self = new VmId("vm0", 1);
         MemoryPlatform platform = new MemoryPlatform();
-        new BudgetAccounts(self, platform).topUp(0, KEY, "t", 1_000_000_000L, (at, r) -> {});
+        new BudgetAdmin(self, platform).topUp(0, KEY, "t", 1_000_000_000L, (at, r) -> {});
         BudgetHomes homes =
                 new BudgetHomes() {
                     @Override
--- a/router/src/main/java/org/hornbeampass/router/admin/LedgerAccounts.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/LedgerAccounts.java
@@ -2,7 +2,7 @@
 
 import io.vavr.control.Either;
 
-import org.hornbeampass.coordination.budget.BudgetAccounts;
+import org.hornbeampass.coordination.budget.BudgetAdmin;
 import org.hornbeampass.protocol.admin.BudgetView;
 import org.hornbeampass.state.BudgetKey;
 import org.hornbeampass.state.Failure;
@@ -16,13 +16,13 @@
 /**
  * The budgets' accounts as the platform's ledgers have them.
  *
- * <p>Thread-safe as {@link BudgetAccounts} is.
+ * <p>Thread-safe as {@link BudgetAdmin} is.
  */
 public final class LedgerAccounts implements AccountPort {
-    private final BudgetAccounts mAccounts;
+    private final BudgetAdmin mAccounts;
 
     /** Takes the operators' side of the budgets. */
-    public LedgerAccounts(BudgetAccounts accounts) {
+    public LedgerAccounts(BudgetAdmin accounts) {
         mAccounts = accounts;
     }
 
--- a/router/src/main/java/org/hornbeampass/router/admin/LedgerAudit.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/LedgerAudit.java
@@ -2,7 +2,7 @@
 
 import io.vavr.control.Either;
 
-import org.hornbeampass.coordination.budget.BudgetAccounts;
+import org.hornbeampass.coordination.budget.BudgetAdmin;
 import org.hornbeampass.coordination.budget.LedgerFinding;
 import org.hornbeampass.protocol.admin.AuditView;
 import org.hornbeampass.protocol.admin.AuditView.Breach;
@@ -32,10 +32,10 @@
     private static final String RECORDS = "request_records";
 
     private final ConfigurationPort mConfiguration;
-    private final BudgetAccounts mAccounts;
+    private final BudgetAdmin mAccounts;
 
     /** Takes the organisations and their accounts. */
-    public LedgerAudit(ConfigurationPort configuration, BudgetAccounts accounts) {
+    public LedgerAudit(ConfigurationPort configuration, BudgetAdmin accounts) {
         mConfiguration = configuration;
         mAccounts = accounts;
     }
--- a/router/src/main/java/org/hornbeampass/router/daemon/Coordination.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/Coordination.java
@@ -2,7 +2,7 @@
 
 import org.hornbeampass.coordination.address.AddressBook;
 import org.hornbeampass.coordination.address.AddressSettings;
-import org.hornbeampass.coordination.budget.BudgetAccounts;
+import org.hornbeampass.coordination.budget.BudgetAdmin;
 import org.hornbeampass.coordination.budget.BudgetLedger;
 import org.hornbeampass.coordination.budget.BudgetSettings;
 import org.hornbeampass.coordination.budget.GrantPolicy;
@@ -47,7 +47,7 @@
     private final ConfigStore mConfig;
     private final AddressBook mAddresses;
     private final BudgetLedger mBudgets;
-    private final BudgetAccounts mAccounts;
+    private final BudgetAdmin mAccounts;
     private final RequestLedger mRequests;
     private final UpstreamTable mTable;
     private final UpstreamChooser mChooser;
@@ -103,7 +103,7 @@
                         new MembershipHomes(mMembership, mAddresses),
                         BudgetSettings.defaults(),
                         GrantPolicy.DEMAND_HORIZON);
-        mAccounts = new BudgetAccounts(vm, mCalls.lane(CallPriority.URGENT));
+        mAccounts = new BudgetAdmin(vm, mCalls.lane(CallPriority.URGENT));
         mRequests =
                 new RequestLedger(
                         mCalls.lane(CallPriority.URGENT),
@@ -199,7 +199,7 @@
         return mCalls.lane(CallPriority.BACKGROUND);
     }
 
-    BudgetAccounts accounts() {
+    BudgetAdmin accounts() {
         return mAccounts;
     }
 
--- a/router/src/main/java/org/hornbeampass/router/daemon/RouterDaemon.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/RouterDaemon.java
@@ -2,7 +2,7 @@
 
 import com.codahale.metrics.MetricRegistry;
 
-import org.hornbeampass.coordination.budget.BudgetAccounts;
+import org.hornbeampass.coordination.budget.BudgetAdmin;
 import org.hornbeampass.coordination.config.ConfigStore;
 import org.hornbeampass.coordination.limit.RetryBudget;
 import org.hornbeampass.coordination.limit.RetryPolicy;
@@ -196,7 +196,7 @@
     }
 
     /** Returns the operators' side of the budgets, for embedding programs. */
-    public BudgetAccounts accounts() {
+    public BudgetAdmin accounts() {
         return mParts.accounts();
     }
 
--- a/router/src/test/java/org/hornbeampass/router/daemon/TestFleet.java
+++ b/router/src/test/java/org/hornbeampass/router/daemon/TestFleet.java
@@ -1,6 +1,6 @@
 package org.hornbeampass.router.daemon;
 
-import org.hornbeampass.coordination.budget.BudgetAccounts;
+import org.hornbeampass.coordination.budget.BudgetAdmin;
 import org.hornbeampass.coordination.platform.CallLimits;
 import org.hornbeampass.protocol.settings.Secret;
 import org.hornbeampass.standin.engine.EngineSettings;
@@ -154,7 +154,7 @@
     /** Returns the tokens of the budget that are spent, as the platform's record says. */
     long spent() {
         CompletableFuture<Long> done = new CompletableFuture<>();
-        new BudgetAccounts(new VmId("reader", 1), mPlatform.objects())
+        new BudgetAdmin(new VmId("reader", 1), mPlatform.objects())
                 .statement(
                         0,
                         ORGANISATION,
