--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/Admission.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/Admission.java
@@ -22,81 +22,81 @@
 final class Admission {
     private final BudgetSettings mSettings;
     private final LedgerSync mSync;
-    private final AtomicLong mNumbers;
+    private final AtomicLong mReservationNumbers;
 
-    Admission(BudgetSettings settings, LedgerSync sync, AtomicLong numbers) {
+    Admission(BudgetSettings settings, LedgerSync sync, AtomicLong reservationNumbers) {
         mSettings = settings;
         mSync = sync;
-        mNumbers = numbers;
+        mReservationNumbers = reservationNumbers;
     }
 
     /** Reserves where enough is free. */
-    Optional<Reservation> take(BudgetAccount account, RequestId request, long tokens) {
+    Optional<Reservation> tryReserve(BudgetAccount account, RequestId request, long tokens) {
         if (account.holding().free() < tokens) {
             return Optional.empty();
         }
-        return account.holding().reserve(request, tokens, mNumbers.incrementAndGet());
+        return account.holding().reserve(request, tokens, mReservationNumbers.incrementAndGet());
     }
 
     /** Gives waiters what is free, in their order; a large one does not hold up smaller ones. */
-    void serve(long nowMs, BudgetAccount account, DeferredActions effects) {
+    void admitWaiters(long nowMs, BudgetAccount account, DeferredActions actions) {
         if (account.waiters().isEmpty()) {
             return;
         }
         Iterator<Waiter> each = account.waiters().iterator();
         while (each.hasNext()) {
             Waiter waiter = each.next();
-            Optional<Reservation> made = take(account, waiter.request(), waiter.tokens());
+            Optional<Reservation> made = tryReserve(account, waiter.request(), waiter.tokens());
             if (made.isPresent()) {
                 each.remove();
-                effects.add(() -> waiter.done().accept(nowMs, Either.right(made.get())));
+                actions.add(() -> waiter.done().accept(nowMs, Either.right(made.get())));
             }
         }
     }
 
     /** Refuses waiters whose time is over, or whom waiting can't help. */
-    void expire(long nowMs, BudgetAccount account, DeferredActions effects) {
+    void refuseExpired(long nowMs, BudgetAccount account, DeferredActions actions) {
         Iterator<Waiter> each = account.waiters().iterator();
         while (each.hasNext()) {
             Waiter waiter = each.next();
-            if (nowMs >= waiter.deadlineMs() || hopeless(nowMs, account, waiter)) {
+            if (nowMs >= waiter.deadlineMs() || cannotBeAdmitted(nowMs, account, waiter)) {
                 each.remove();
-                refuse(nowMs, account, waiter, effects);
+                refuse(nowMs, account, waiter, actions);
             }
         }
     }
 
-    private boolean hopeless(long nowMs, BudgetAccount account, Waiter waiter) {
+    private boolean cannotBeAdmitted(long nowMs, BudgetAccount account, Waiter waiter) {
         if (knownExhausted(nowMs, account, waiter.tokens())) {
             return true;
         }
-        if (mSync.inFlight() || account.asks().running() || !account.asks().failed()) {
+        if (mSync.inFlight() || account.askRound().running() || !account.askRound().failed()) {
             return false;
         }
-        boolean platformLater = mSync.unreachable() && mSync.nextMs() > waiter.deadlineMs();
+        boolean platformLater = mSync.unreachable() && mSync.nextCallMs() > waiter.deadlineMs();
         boolean nothingThere =
                 mSync.freshWithin(nowMs, mSettings.maxRecordAgeMs())
-                        && mSync.base().get().budget(account.key().budget()).available() <= 0;
+                        && mSync.record().get().budget(account.key().budget()).available() <= 0;
         return platformLater || nothingThere;
     }
 
-    void refuse(long nowMs, BudgetAccount account, Waiter waiter, DeferredActions effects) {
-        Failure failure = refusal(nowMs, account, waiter.tokens());
-        effects.add(() -> waiter.done().accept(nowMs, Either.left(failure)));
+    void refuse(long nowMs, BudgetAccount account, Waiter waiter, DeferredActions actions) {
+        Failure failure = refusalFailure(nowMs, account, waiter.tokens());
+        actions.add(() -> waiter.done().accept(nowMs, Either.left(failure)));
     }
 
-    void refuseAll(long nowMs, BudgetAccount account, Failure failure, DeferredActions effects) {
+    void refuseAll(long nowMs, BudgetAccount account, Failure failure, DeferredActions actions) {
         for (Waiter waiter : account.waiters()) {
-            effects.add(() -> waiter.done().accept(nowMs, Either.left(failure)));
+            actions.add(() -> waiter.done().accept(nowMs, Either.left(failure)));
         }
         account.waiters().clear();
     }
 
-    Failure refusal(long nowMs, BudgetAccount account, long tokens) {
+    Failure refusalFailure(long nowMs, BudgetAccount account, long tokens) {
         if (knownExhausted(nowMs, account, tokens)) {
             return BudgetFailures.exhausted(account.key(), tokens);
         }
-        long wait = Math.max(mSettings.maxRecordAgeMs(), mSync.nextMs() - nowMs);
+        long wait = Math.max(mSettings.maxRecordAgeMs(), mSync.nextCallMs() - nowMs);
         return BudgetFailures.unreachable(account.key(), wait);
     }
 
@@ -104,7 +104,7 @@
         if (!mSync.freshWithin(nowMs, mSettings.maxRecordAgeMs())) {
             return false;
         }
-        BudgetRecord record = mSync.base().get().budget(account.key().budget());
+        BudgetRecord record = mSync.record().get().budget(account.key().budget());
         HolderRecord own =
                 record.holders().getOrDefault(account.holding().holder(), HolderRecord.NONE);
         return record.unspent() - account.holding().unreportedSpent(own) < tokens;
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/AskRound.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/AskRound.java
@@ -17,22 +17,23 @@
 final class AskRound {
     private static final int MAX_PEERS = 8;
 
-    private final Deque<VmId> mLeft = new ArrayDeque<>();
+    private final Deque<VmId> mRemainingPeers = new ArrayDeque<>();
     private boolean mInFlight;
     private boolean mRunning;
-    private final Set<VmId> mSilent;
-    private VmId mAsked;
-    private boolean mGiven;
+    private final Set<VmId> mUnresponsivePeers;
+    private VmId mAskedPeer;
+    private boolean mTokensReceived;
     private boolean mFailed;
-    private long mNextMs;
+    private long mNextStartMs;
 
     /**
      * Creates a round that is not running.
      *
-     * @param silent the peers that gave no reply last, shared by all rounds of this VM; thread-safe
+     * @param unresponsivePeers the peers that gave no reply last, shared by all rounds of this VM;
+     *     thread-safe
      */
-    AskRound(Set<VmId> silent) {
-        mSilent = silent;
+    AskRound(Set<VmId> unresponsivePeers) {
+        mUnresponsivePeers = unresponsivePeers;
     }
 
     boolean inFlight() {
@@ -49,67 +50,67 @@
     }
 
     boolean mayStart(long nowMs) {
-        return !mRunning && nowMs >= mNextMs;
+        return !mRunning && nowMs >= mNextStartMs;
     }
 
     void start(List<VmId> peers) {
-        mLeft.clear();
+        mRemainingPeers.clear();
         Stream.concat(
-                        peers.stream().filter(p -> !mSilent.contains(p)),
-                        peers.stream().filter(mSilent::contains))
+                        peers.stream().filter(p -> !mUnresponsivePeers.contains(p)),
+                        peers.stream().filter(mUnresponsivePeers::contains))
                 .limit(MAX_PEERS)
-                .forEach(mLeft::add);
+                .forEach(mRemainingPeers::add);
         mRunning = true;
-        mGiven = false;
+        mTokensReceived = false;
     }
 
     /** Takes the next peer to ask; empty at the end of the round. */
-    Optional<VmId> next() {
-        VmId peer = mLeft.poll();
+    Optional<VmId> nextPeer() {
+        VmId peer = mRemainingPeers.poll();
         mInFlight = peer != null;
-        mAsked = peer;
+        mAskedPeer = peer;
         return Optional.ofNullable(peer);
     }
 
     /** Ends an ask; a peer that gave no reply is asked after all others from now on. */
-    void answered(boolean replied) {
+    void onAskEnded(boolean replied) {
         mInFlight = false;
-        if (mAsked == null) {
+        if (mAskedPeer == null) {
             return;
         }
         if (replied) {
-            mSilent.remove(mAsked);
+            mUnresponsivePeers.remove(mAskedPeer);
         } else {
-            mSilent.add(mAsked);
+            mUnresponsivePeers.add(mAskedPeer);
         }
-        mAsked = null;
+        mAskedPeer = null;
     }
 
     /** Notes that a peer gave tokens in this round. */
-    void given() {
-        mGiven = true;
+    void onTokensReceived() {
+        mTokensReceived = true;
     }
 
     /** Returns whether any peer gave tokens in this round. */
-    boolean anyGiven() {
-        return mGiven;
+    boolean anyTokensReceived() {
+        return mTokensReceived;
     }
 
     /**
      * Ends a round between two asks, since nobody waits for it any more; a later need starts with
      * the first peer again.
      */
-    void endUnneeded(long nowMs) {
+    void endIfIdle(long nowMs) {
         if (mRunning && !mInFlight) {
             end(nowMs, false);
         }
     }
 
     void end(long nextMs, boolean failed) {
-        mLeft.clear();
+        mRemainingPeers.clear();
         mInFlight = false;
         mRunning = false;
         mFailed = failed;
-        mNextMs = nextMs;
+        mNextStartMs = nextMs;
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/BudgetAccount.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/BudgetAccount.java
@@ -17,11 +17,11 @@
     private final Holding mHolding;
     private final PeerMoves mMoves;
     private final Deque<Waiter> mWaiters = new ArrayDeque<>();
-    private final AskRound mAsks;
-    private final Deque<DeferredAsk> mDeferred = new ArrayDeque<>();
+    private final AskRound mAskRound;
+    private final Deque<DeferredAsk> mDeferredAsks = new ArrayDeque<>();
 
-    BudgetAccount(BudgetKey key, VmId self, Set<VmId> silentPeers) {
-        mAsks = new AskRound(silentPeers);
+    BudgetAccount(BudgetKey key, VmId self, Set<VmId> unresponsivePeers) {
+        mAskRound = new AskRound(unresponsivePeers);
         mHolding = new Holding(key, new HolderId(self, 0));
         mMoves = new PeerMoves(key, self);
     }
@@ -42,8 +42,8 @@
         return mWaiters;
     }
 
-    AskRound asks() {
-        return mAsks;
+    AskRound askRound() {
+        return mAskRound;
     }
 
     /** Returns the tokens that requests here wait for. */
@@ -56,22 +56,22 @@
     }
 
     /** Returns whether time alone may change something here. */
-    boolean busy() {
+    boolean hasTimedWork() {
         return !mWaiters.isEmpty()
-                || !mDeferred.isEmpty()
-                || mAsks.running()
+                || !mDeferredAsks.isEmpty()
+                || mAskRound.running()
                 || mMoves.anyPending();
     }
 
     /** Returns the asks that wait for this VM's next grant. */
-    Deque<DeferredAsk> deferred() {
-        return mDeferred;
+    Deque<DeferredAsk> deferredAsks() {
+        return mDeferredAsks;
     }
 
     /** Returns the tokens that peers wait for. */
-    long peersWant() {
+    long peerWaitingTokens() {
         long sum = 0;
-        for (DeferredAsk each : mDeferred) {
+        for (DeferredAsk each : mDeferredAsks) {
             sum += each.ask().atLeast();
         }
         return sum;
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/BudgetAdmin.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/BudgetAdmin.java
@@ -36,7 +36,7 @@
 
     private final VmId mSelf;
     private final Platform mPlatform;
-    private final AtomicLong mChanges = new AtomicLong();
+    private final AtomicLong mChangeSequence = new AtomicLong();
 
     /**
      * Creates the operators' side on one VM.
@@ -66,7 +66,8 @@
             String topUpId,
             long tokens,
             BiConsumer<Long, Either<Failure, BudgetStatement>> done) {
-        Optional<Failure> wrong = BudgetFailures.checkTokens(tokens).or(() -> checkId(topUpId));
+        Optional<Failure> wrong =
+                BudgetFailures.checkTokens(tokens).or(() -> checkTopUpId(topUpId));
         if (wrong.isPresent()) {
             done.accept(nowMs, Either.left(wrong.get()));
             return;
@@ -86,7 +87,7 @@
                 .start(nowMs);
     }
 
-    private static Optional<Failure> checkId(String topUpId) {
+    private static Optional<Failure> checkTopUpId(String topUpId) {
         if (topUpId.length() <= MAX_TOP_UP_ID && topUpId.matches("[A-Za-z0-9_.-]+")) {
             return Optional.empty();
         }
@@ -112,7 +113,7 @@
             BudgetKey key,
             long newPaid,
             BiConsumer<Long, Either<Failure, BudgetStatement>> done) {
-        change(nowMs, key, newPaid, false, OptionalLong.empty(), done);
+        changePaid(nowMs, key, newPaid, false, OptionalLong.empty(), done);
     }
 
     /**
@@ -125,7 +126,7 @@
             long newPaid,
             long expectedPaid,
             BiConsumer<Long, Either<Failure, BudgetStatement>> done) {
-        change(nowMs, key, newPaid, false, OptionalLong.of(expectedPaid), done);
+        changePaid(nowMs, key, newPaid, false, OptionalLong.of(expectedPaid), done);
     }
 
     /**
@@ -137,10 +138,10 @@
             BudgetKey key,
             long newPaid,
             BiConsumer<Long, Either<Failure, BudgetStatement>> done) {
-        change(nowMs, key, newPaid, true, OptionalLong.empty(), done);
+        changePaid(nowMs, key, newPaid, true, OptionalLong.empty(), done);
     }
 
-    private void change(
+    private void changePaid(
             long nowMs,
             BudgetKey key,
             long newPaid,
@@ -156,16 +157,16 @@
                                     "paid must be from 0 to " + BudgetRecord.MAX_TOKENS)));
             return;
         }
-        String stamp = mSelf + ":" + mChanges.incrementAndGet();
+        String stamp = mSelf + ":" + mChangeSequence.incrementAndGet();
         new LedgerEdit(
                         mPlatform,
                         key.organisation(),
-                        record -> changed(record, key, newPaid, onlyLower, expectedPaid, stamp),
+                        record -> applyChange(record, key, newPaid, onlyLower, expectedPaid, stamp),
                         (at, record) -> done.accept(at, record.map(r -> statementOf(key, r))))
                 .start(nowMs);
     }
 
-    private static Either<Failure, Optional<LedgerRecord>> changed(
+    private static Either<Failure, Optional<LedgerRecord>> applyChange(
             LedgerRecord record,
             BudgetKey key,
             long newPaid,
@@ -213,7 +214,7 @@
             long nowMs,
             OrganisationId organisation,
             BiConsumer<Long, Either<Failure, List<BudgetStatement>>> done) {
-        read(
+        readRecord(
                 nowMs,
                 organisation,
                 (at, record) -> done.accept(at, record.map(r -> statements(organisation, r))));
@@ -230,7 +231,7 @@
             long nowMs,
             OrganisationId organisation,
             BiConsumer<Long, Either<Failure, List<LedgerFinding>>> done) {
-        read(
+        readRecord(
                 nowMs,
                 organisation,
                 (at, record) -> done.accept(at, record.map(r -> audit(organisation, r))));
@@ -242,7 +243,7 @@
         for (Map.Entry<BudgetId, BudgetRecord> each : record.budgets().entrySet()) {
             BudgetKey key = new BudgetKey(organisation, each.getKey());
             for (LedgerCheck check : LedgerCheck.values()) {
-                check.breach(key, each.getValue())
+                check.findBreach(key, each.getValue())
                         .ifPresent(d -> findings.add(new LedgerFinding(key, check, d)));
             }
         }
@@ -251,19 +252,19 @@
 
     private void statement(
             long nowMs, BudgetKey key, BiConsumer<Long, Either<Failure, BudgetStatement>> done) {
-        read(
+        readRecord(
                 nowMs,
                 key.organisation(),
                 (at, record) -> done.accept(at, record.map(r -> statementOf(key, r))));
     }
 
-    private void read(
+    private void readRecord(
             long nowMs,
             OrganisationId organisation,
             BiConsumer<Long, Either<Failure, LedgerRecord>> done) {
         mPlatform.submit(
                 nowMs,
-                new PlatformCall.Get(LedgerSync.key(organisation)),
+                new PlatformCall.Get(LedgerSync.objectKey(organisation)),
                 (at, reply) -> {
                     if (reply instanceof PlatformReply.Found found) {
                         done.accept(at, Json.decode(found.object().value(), LedgerRecord.class));
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/BudgetContext.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/BudgetContext.java
@@ -18,7 +18,7 @@
  * @param homes who is live, and who draws for whom
  * @param settings times and bounds
  * @param policy how much is drawn
- * @param silentPeers the peers that gave no reply when they were last asked for tokens
+ * @param unresponsivePeers the peers that gave no reply when they were last asked for tokens
  */
 record BudgetContext(
         VmId self,
@@ -27,7 +27,7 @@
         BudgetHomes homes,
         BudgetSettings settings,
         GrantPolicy policy,
-        Set<VmId> silentPeers) {
+        Set<VmId> unresponsivePeers) {
     /** Returns whether this VM draws from the platform for an organisation in the usual case. */
     boolean isHome(OrganisationId organisation) {
         return homes.homes(organisation).contains(self);
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/BudgetLedger.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/BudgetLedger.java
@@ -32,16 +32,16 @@
  * held. Time passes only by {@link #tick}, which is to be called a few times a second.
  */
 public final class BudgetLedger {
-    private static final int CLOSERS = 2;
+    private static final int MAX_CLOSING_VMS = 2;
 
     private final BudgetContext mContext;
-    private final AtomicLong mNumbers = new AtomicLong();
+    private final AtomicLong mReservationNumbers = new AtomicLong();
     private final AtomicLong mSenderMismatches = new AtomicLong();
     private final Map<OrganisationId, OrganisationBudgets> mOrganisations =
             new ConcurrentHashMap<>();
     private final AtomicReference<ConfigSnapshot> mConfig =
             new AtomicReference<>(ConfigSnapshot.empty());
-    private final AtomicReference<Consumer<Long>> mHandOver = new AtomicReference<>();
+    private final AtomicReference<Consumer<Long>> mHandOverDone = new AtomicReference<>();
     private volatile boolean mClosing;
 
     /**
@@ -145,12 +145,12 @@
     /** Does what is due: platform calls, asks and moves, and the refusal of those who waited. */
     public void tick(long nowMs) {
         mOrganisations.values().forEach(o -> o.tick(nowMs));
-        Consumer<Long> done = mHandOver.get();
+        Consumer<Long> done = mHandOverDone.get();
         if (done == null) {
             return;
         }
         boolean over = mOrganisations.values().stream().allMatch(OrganisationBudgets::handedOver);
-        if (over && mHandOver.compareAndSet(done, null)) {
+        if (over && mHandOverDone.compareAndSet(done, null)) {
             done.accept(nowMs);
         }
     }
@@ -162,9 +162,9 @@
      * @param done run once with the time in milliseconds, when nothing is held here any more
      */
     public void handOver(long nowMs, Consumer<Long> done) {
-        mHandOver.set(done);
+        mHandOverDone.set(done);
         mClosing = true;
-        mOrganisations.values().forEach(o -> o.close(nowMs));
+        mOrganisations.values().forEach(o -> o.startHandOver(nowMs));
         tick(nowMs);
     }
 
@@ -176,7 +176,7 @@
      */
     public void onVmGone(long nowMs, VmId vm) {
         for (OrganisationId id : mConfig.get().organisations().keySet()) {
-            if (closesFor(id)) {
+            if (closesEntriesOf(id)) {
                 organisation(id);
             }
         }
@@ -184,9 +184,9 @@
     }
 
     /** Returns whether this VM looks after the entries of an organisation that it does not use. */
-    private boolean closesFor(OrganisationId id) {
+    private boolean closesEntriesOf(OrganisationId id) {
         return mContext.homes().homes(id).stream()
-                .limit(CLOSERS)
+                .limit(MAX_CLOSING_VMS)
                 .anyMatch(vm -> vm.equals(mContext.self()));
     }
 
@@ -237,10 +237,10 @@
     }
 
     private OrganisationBudgets open(OrganisationId id) {
-        OrganisationBudgets opened = new OrganisationBudgets(id, mContext, mNumbers);
+        OrganisationBudgets opened = new OrganisationBudgets(id, mContext, mReservationNumbers);
         opened.onPreference(preference(id));
         if (mClosing) {
-            opened.startClosing();
+            opened.markClosing();
         }
         return opened;
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/DemandRate.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/DemandRate.java
@@ -9,37 +9,37 @@
     private static final double TIME_CONSTANT_MS = 60_000;
     private static final double NEGLIGIBLE_TOKENS = 0.5;
 
-    private double mWeight;
+    private double mDecayedTokens;
     private long mUpdatedMs;
-    private long mLargest;
+    private long mLargestDemand;
     private boolean mStarted;
 
     /** Notes tokens asked for. */
-    void add(long nowMs, long tokens) {
+    void addDemand(long nowMs, long tokens) {
         decay(nowMs);
-        mWeight += tokens;
-        mLargest = Math.max(mLargest, tokens);
+        mDecayedTokens += tokens;
+        mLargestDemand = Math.max(mLargestDemand, tokens);
     }
 
     /** Notes tokens that peers spent from what was lent to them. */
-    void addFlow(long nowMs, long tokens) {
+    void addPeerSpending(long nowMs, long tokens) {
         decay(nowMs);
-        mWeight += tokens;
+        mDecayedTokens += tokens;
     }
 
     /** Returns the present rate in tokens per millisecond. */
-    double perMs(long nowMs) {
+    double tokensPerMs(long nowMs) {
         decay(nowMs);
-        if (mWeight < NEGLIGIBLE_TOKENS) {
-            mLargest = 0;
+        if (mDecayedTokens < NEGLIGIBLE_TOKENS) {
+            mLargestDemand = 0;
             return 0;
         }
-        return mWeight / TIME_CONSTANT_MS;
+        return mDecayedTokens / TIME_CONSTANT_MS;
     }
 
     /** Returns the largest single demand since there last was none. */
-    long largest() {
-        return mLargest;
+    long largestDemand() {
+        return mLargestDemand;
     }
 
     private void decay(long nowMs) {
@@ -50,7 +50,7 @@
         }
         long passed = Math.max(0, nowMs - mUpdatedMs);
         if (passed > 0) {
-            mWeight *= Math.exp(-(double) passed / TIME_CONSTANT_MS);
+            mDecayedTokens *= Math.exp(-(double) passed / TIME_CONSTANT_MS);
             mUpdatedMs = nowMs;
         }
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/GrantCalculator.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/GrantCalculator.java
@@ -10,54 +10,54 @@
  *
  * @param policy the policy
  * @param preference what the organisation weighs more
- * @param sharers the number of VMs that draw on its budgets
+ * @param drawingVms the number of VMs that draw on its budgets
  * @param chunkTokens the settings' fixed grant
- * @param maySplit whether this VM may draw more than its requests wait for
- * @param mayRefill whether this VM may draw though no request waits
+ * @param mayDrawAhead whether this VM may draw more than its requests wait for
+ * @param refillDue whether this VM may draw though no request waits
  */
 record GrantCalculator(
         GrantPolicy policy,
         BudgetPreference preference,
-        int sharers,
+        int drawingVms,
         long chunkTokens,
-        boolean maySplit,
-        boolean mayRefill) {
+        boolean mayDrawAhead,
+        boolean refillDue) {
     /** Returns the tokens to draw, at most what is available. */
-    long draw(long nowMs, BudgetAccount account, BudgetRecord budget) {
+    long tokensToDraw(long nowMs, BudgetAccount account, BudgetRecord budget) {
         long available = Math.max(0, budget.available());
-        GrantPolicyInput need = need(nowMs, account, budget);
+        GrantPolicyInput need = policyInput(nowMs, account, budget);
         boolean urgent = need.waiting() > need.free();
-        if (!urgent && !mayRefill) {
+        if (!urgent && !refillDue) {
             return 0;
         }
         long wanted = policy.tokensToDraw(need);
-        if (!maySplit) {
+        if (!mayDrawAhead) {
             wanted = Math.min(wanted, account.waitingTokens() - account.holding().free());
         }
         return Math.max(0, Math.min(wanted, available));
     }
 
     /** Returns the free tokens to give back. */
-    long giveBack(long nowMs, BudgetAccount account, BudgetRecord budget) {
-        return Math.max(0, policy.tokensToReturn(need(nowMs, account, budget)));
+    long tokensToReturn(long nowMs, BudgetAccount account, BudgetRecord budget) {
+        return Math.max(0, policy.tokensToReturn(policyInput(nowMs, account, budget)));
     }
 
     /** Returns whether what is not needed goes back with no wait for the next report. */
-    boolean returnsAtOnce() {
+    boolean returnsImmediately() {
         return policy == GrantPolicy.WRITE_PER_REQUEST;
     }
 
-    private GrantPolicyInput need(long nowMs, BudgetAccount account, BudgetRecord budget) {
+    private GrantPolicyInput policyInput(long nowMs, BudgetAccount account, BudgetRecord budget) {
         Holding holding = account.holding();
         return new GrantPolicyInput(
                 budget.paid(),
                 Math.max(0, budget.available()),
                 holding.drawn(),
                 holding.free(),
-                account.waitingTokens() + account.peersWant(),
-                holding.demand().largest(),
-                holding.demand().perMs(nowMs),
-                Math.max(1, sharers),
+                account.waitingTokens() + account.peerWaitingTokens(),
+                holding.demand().largestDemand(),
+                holding.demand().tokensPerMs(nowMs),
+                Math.max(1, drawingVms),
                 preference.demandHorizonMs(),
                 preference.grantableShare(),
                 chunkTokens);
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/GrantExchange.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/GrantExchange.java
@@ -21,7 +21,7 @@
 final class GrantExchange {
     private static final double PEER_HORIZON_SHARE = 0.5;
     private static final double REFILL_BELOW = 0.5;
-    private static final long KEEP_MS = 30_000;
+    private static final long KEEP_HORIZON_MS = 30_000;
 
     private final OrganisationId mOrganisation;
     private final BudgetContext mContext;
@@ -32,23 +32,23 @@
     }
 
     /** Sends moves again that lack their acknowledgement, and passes spending on to a home. */
-    void pass(
+    void sendMoves(
             long nowMs,
             BudgetAccount account,
             boolean direct,
-            DeferredActions effects,
+            DeferredActions actions,
             OrganisationBudgets budgets) {
         PeerMoves moves = account.moves();
         long timeoutMs = mContext.settings().askTimeoutMs();
         boolean idle = account.holding().spent() == 0 && account.holding().free() == 0;
         if (!direct && !account.holding().registered() && !idle) {
-            if (moves.passDue(nowMs, mContext.settings().reportIntervalMs())) {
-                passToHome(nowMs, account);
+            if (moves.takeHomeReportDue(nowMs, mContext.settings().reportIntervalMs())) {
+                startMoveToHome(nowMs, account);
             }
         }
-        for (MoveGrant move : moves.due(nowMs, timeoutMs)) {
+        for (MoveGrant move : moves.takeDueMoves(nowMs, timeoutMs)) {
             String receiver = move.receiver().name();
-            effects.add(
+            actions.add(
                     () ->
                             mContext.peers()
                                     .request(
@@ -60,17 +60,17 @@
         }
     }
 
-    private void passToHome(long nowMs, BudgetAccount account) {
+    private void startMoveToHome(long nowMs, BudgetAccount account) {
         Holding holding = account.holding();
         for (VmId home : mContext.homes().homes(mOrganisation)) {
             if (home.equals(mContext.self()) || account.moves().pending(home).isPresent()) {
                 continue;
             }
-            boolean idle = holding.demand().perMs(nowMs) <= 0 && account.waiters().isEmpty();
+            boolean idle = holding.demand().tokensPerMs(nowMs) <= 0 && account.waiters().isEmpty();
             long free = idle ? holding.free() : 0;
-            Optional<MovedTokens> parcel =
-                    holding.take(new HolderId(home, 0), free, holding.spent());
-            parcel.ifPresent(p -> account.moves().start(home, p));
+            Optional<MovedTokens> moved =
+                    holding.takeForMove(new HolderId(home, 0), free, holding.spent());
+            moved.ifPresent(m -> account.moves().start(home, m));
             return;
         }
     }
@@ -81,13 +81,13 @@
             BudgetAccount account,
             BudgetPreference preference,
             Supplier<List<VmId>> candidates,
-            DeferredActions effects,
+            DeferredActions actions,
             OrganisationBudgets budgets) {
-        AskRound round = account.asks();
+        AskRound round = account.askRound();
         Holding holding = account.holding();
         long waiting = account.waitingTokens();
         double horizonMs = preference.demandHorizonMs() * PEER_HORIZON_SHARE;
-        long target = Math.max(waiting, (long) (holding.demand().perMs(nowMs) * horizonMs));
+        long target = Math.max(waiting, (long) (holding.demand().tokensPerMs(nowMs) * horizonMs));
         boolean enough = holding.free() >= Math.max(waiting, (long) (target * REFILL_BELOW));
         if (round.inFlight()) {
             return;
@@ -104,9 +104,9 @@
             }
             round.start(candidates.get());
         }
-        Optional<VmId> peer = round.next();
+        Optional<VmId> peer = round.nextPeer();
         if (peer.isEmpty()) {
-            boolean failed = waiting > 0 && !round.anyGiven();
+            boolean failed = waiting > 0 && !round.anyTokensReceived();
             round.end(nowMs + (failed ? mContext.settings().askTimeoutMs() : 0), failed);
             return;
         }
@@ -117,7 +117,7 @@
                         mContext.self(),
                         Math.max(0, waiting - holding.free()),
                         target - holding.free());
-        send(nowMs, account, peer.get(), ask, effects, budgets);
+        send(nowMs, account, peer.get(), ask, actions, budgets);
     }
 
     private void send(
@@ -125,9 +125,9 @@
             BudgetAccount account,
             VmId peer,
             AskGrant ask,
-            DeferredActions effects,
+            DeferredActions actions,
             OrganisationBudgets budgets) {
-        effects.add(
+        actions.add(
                 () ->
                         mContext.peers()
                                 .request(
@@ -149,27 +149,27 @@
             AskGrant ask,
             boolean mayDraw,
             Consumer<PeerMessage> reply,
-            DeferredActions effects) {
+            DeferredActions actions) {
         DeferredAsk deferred =
                 new DeferredAsk(ask, nowMs + mContext.settings().askTimeoutMs() / 2, reply);
-        boolean room = account.deferred().size() < mContext.settings().maxWaiters();
+        boolean room = account.deferredAsks().size() < mContext.settings().maxWaiters();
         if (mayDraw && room && ask.atLeast() > 0 && !canAnswer(account, ask)) {
-            account.deferred().add(deferred);
+            account.deferredAsks().add(deferred);
             return;
         }
-        answer(nowMs, account, deferred, effects);
+        answer(nowMs, account, deferred, actions);
     }
 
     /** Answers the asks that wait, where there is enough by now or their time is over. */
     void answerDeferred(
-            long nowMs, BudgetAccount account, boolean mayDraw, DeferredActions effects) {
-        Iterator<DeferredAsk> each = account.deferred().iterator();
+            long nowMs, BudgetAccount account, boolean mayDraw, DeferredActions actions) {
+        Iterator<DeferredAsk> each = account.deferredAsks().iterator();
         while (each.hasNext()) {
             DeferredAsk deferred = each.next();
             boolean over = !mayDraw || nowMs >= deferred.untilMs();
             if (over || canAnswer(account, deferred.ask())) {
                 each.remove();
-                answer(nowMs, account, deferred, effects);
+                answer(nowMs, account, deferred, actions);
             }
         }
     }
@@ -180,7 +180,7 @@
     }
 
     private void answer(
-            long nowMs, BudgetAccount account, DeferredAsk deferred, DeferredActions effects) {
+            long nowMs, BudgetAccount account, DeferredAsk deferred, DeferredActions actions) {
         AskGrant ask = deferred.ask();
         PeerMessage message =
                 account.moves()
@@ -188,24 +188,27 @@
                         .or(() -> startMove(nowMs, account, ask))
                         .map(PeerMessage.class::cast)
                         .orElseGet(() -> new AskRefused(ask.organisation(), ask.budget()));
-        effects.add(() -> deferred.reply().accept(message));
+        actions.add(() -> deferred.reply().accept(message));
     }
 
     private Optional<MoveGrant> startMove(long nowMs, BudgetAccount account, AskGrant ask) {
         HolderId preferred = new HolderId(ask.asker(), 0);
-        Optional<MovedTokens> parcel =
-                account.holding().take(preferred, give(nowMs, account, ask), 0);
-        parcel.ifPresent(
-                p -> account.moves().sent(ask.asker(), nowMs + mContext.settings().askTimeoutMs()));
-        return parcel.map(p -> account.moves().start(ask.asker(), p));
+        Optional<MovedTokens> moved =
+                account.holding().takeForMove(preferred, tokensToGive(nowMs, account, ask), 0);
+        moved.ifPresent(
+                p ->
+                        account.moves()
+                                .delayResend(
+                                        ask.asker(), nowMs + mContext.settings().askTimeoutMs()));
+        return moved.map(p -> account.moves().start(ask.asker(), p));
     }
 
-    private long give(long nowMs, BudgetAccount account, AskGrant ask) {
+    private long tokensToGive(long nowMs, BudgetAccount account, AskGrant ask) {
         if (!account.waiters().isEmpty()) {
             return 0;
         }
         Holding holding = account.holding();
-        long keep = (long) (holding.demand().perMs(nowMs) * KEEP_MS);
+        long keep = (long) (holding.demand().tokensPerMs(nowMs) * KEEP_HORIZON_MS);
         long spare = Math.max(holding.free() / 2, holding.free() - keep);
         long wanted = Math.min(Math.max(ask.wanted(), ask.atLeast()), spare);
         return Math.max(wanted, Math.min(ask.atLeast(), holding.free()));
@@ -214,10 +217,10 @@
     /** Adds a move once, where it is addressed to this incarnation. */
     MoveAck receive(long nowMs, BudgetAccount account, MoveGrant move) {
         boolean mine = move.receiver().equals(mContext.self());
-        if (mine && account.moves().receive(move)) {
+        if (mine && account.moves().recordReceived(move)) {
             Holding holding = account.holding();
-            holding.put(move.parcel());
-            holding.demand().addFlow(nowMs, move.spent());
+            holding.addMoved(move.movedTokens());
+            holding.demand().addPeerSpending(nowMs, move.spent());
         }
         return new MoveAck(
                 move.organisation(), move.budget(), move.receiver(), move.sequence(), mine);
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/GrantPolicy.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/GrantPolicy.java
@@ -11,7 +11,7 @@
     EQUAL_SPLIT {
         @Override
         public long tokensToDraw(GrantPolicyInput need) {
-            return need.paid() / need.sharers() - need.drawn();
+            return need.paid() / need.drawingVms() - need.drawn();
         }
 
         @Override
@@ -56,7 +56,7 @@
             if (need.free() >= need.waiting() && need.free() >= target * REFILL_BELOW) {
                 return 0;
             }
-            long step = (long) (need.available() * need.maxGrantedShare() / need.sharers());
+            long step = (long) (need.available() * need.maxGrantedShare() / need.drawingVms());
             long atLeast = need.waiting() - need.free();
             return Math.max(atLeast, Math.min(target - need.free(), step));
         }
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/GrantPolicyInput.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/GrantPolicyInput.java
@@ -12,7 +12,7 @@
  * @param waiting what requests wait for
  * @param largestReservation the largest reservation seen lately
  * @param demandPerMs the rate at which reservations are asked for
- * @param sharers the number of VMs that draw on the budget, at least 1
+ * @param drawingVms the number of VMs that draw on the budget, at least 1
  * @param horizonMs the time for which a grant should last
  * @param maxGrantedShare the largest share of what is left that may lie on VMs
  * @param chunkTokens the settings' fixed grant
@@ -25,7 +25,7 @@
         long waiting,
         long largestReservation,
         double demandPerMs,
-        int sharers,
+        int drawingVms,
         long horizonMs,
         double maxGrantedShare,
         long chunkTokens) {
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/Holding.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/Holding.java
@@ -26,27 +26,27 @@
     private static final long NO_RESERVATION = -1;
 
     private final BudgetKey mKey;
-    private final Long2LongHashMap mOpen = new Long2LongHashMap(NO_RESERVATION);
+    private final Long2LongHashMap mOpenReservations = new Long2LongHashMap(NO_RESERVATION);
     private final DemandRate mDemand = new DemandRate();
-    private final TreeMap<HolderId, Long> mForeign = new TreeMap<>();
-    private final TreeMap<HolderId, Long> mAdopting = new TreeMap<>();
+    private final TreeMap<HolderId, Long> mForeignCharges = new TreeMap<>();
+    private final TreeMap<HolderId, Long> mTransferringCharges = new TreeMap<>();
     private HolderId mHolder;
     private boolean mRegistered;
     private long mFree;
     private long mReserved;
     private long mGranted;
     private long mReturned;
-    private long mReturnedSeen;
-    private long mReturnedAtRisk;
+    private long mReturnedInRecord;
+    private long mReturnedInUnknownWrite;
     private long mSpent;
-    private long mSpentSeen;
-    private long mSpentWritten;
-    private long mSpentHigh;
-    private long mHoldBack;
-    private boolean mWriteAtRisk;
-    private boolean mEverAtRisk;
+    private long mSpentInRecord;
+    private long mSpentInLastWrite;
+    private long mMaxSpentWritten;
+    private long mTokensToWithhold;
+    private boolean mLastWriteUnknown;
+    private boolean mAnyWriteUnknown;
     private long mMovedIn;
-    private long mRefundDue;
+    private long mUnnettedRefund;
     private long mOverrun;
 
     Holding(BudgetKey key, HolderId holder) {
@@ -98,7 +98,7 @@
         }
         mFree -= tokens;
         mReserved += tokens;
-        mOpen.put(number, tokens);
+        mOpenReservations.put(number, tokens);
         return Optional.of(new Reservation(mKey, request, tokens, number));
     }
 
@@ -107,7 +107,7 @@
      * has no effect.
      */
     void settle(long number, long usedTokens) {
-        long tokens = mOpen.remove(number);
+        long tokens = mOpenReservations.remove(number);
         if (tokens == NO_RESERVATION) {
             return;
         }
@@ -115,15 +115,15 @@
         mOverrun += Math.max(0, usedTokens - tokens);
         mReserved -= tokens;
         mFree += tokens - used;
-        spend(used);
-        setAside();
+        addSpending(used);
+        withholdFree();
     }
 
-    private void spend(long used) {
-        long covered = Math.min(used, mHoldBack);
-        mHoldBack -= covered;
-        long netted = Math.min(used - covered, mRefundDue);
-        mRefundDue -= netted;
+    private void addSpending(long used) {
+        long covered = Math.min(used, mTokensToWithhold);
+        mTokensToWithhold -= covered;
+        long netted = Math.min(used - covered, mUnnettedRefund);
+        mUnnettedRefund -= netted;
         mFree += netted;
         mSpent += used - covered - netted;
     }
@@ -133,7 +133,7 @@
         long now = Math.min(tokens, mSpent);
         mSpent -= now;
         mFree += now;
-        mRefundDue += tokens - now;
+        mUnnettedRefund += tokens - now;
     }
 
     /** Subtracts free tokens that the next write returns. */
@@ -144,87 +144,88 @@
     }
 
     /** Returns whether the record lacks anything that this VM should report. */
-    boolean unreported(HolderRecord seen) {
-        return seen.spent() != mSpent
-                || seen.returned() != mReturned
-                || !mForeign.isEmpty()
-                || !mAdopting.isEmpty();
+    boolean hasUnreportedChanges(HolderRecord recorded) {
+        return recorded.spent() != mSpent
+                || recorded.returned() != mReturned
+                || !mForeignCharges.isEmpty()
+                || !mTransferringCharges.isEmpty();
     }
 
     /** Returns what the record does not yet say to be spent. */
-    long unreportedSpent(HolderRecord seen) {
-        return mSpent - seen.spent();
+    long unreportedSpent(HolderRecord recorded) {
+        return mSpent - recorded.spent();
     }
 
     /** Returns whether tokens are subtracted here that the record does not yet say are returned. */
-    boolean returning() {
-        return mReturned != mReturnedSeen;
+    boolean hasUnreportedReturns() {
+        return mReturned != mReturnedInRecord;
     }
 
     /**
      * Takes over what the record says: grants, the end of an adoption, or that this holder was
      * closed while its VM still ran.
      */
-    void see(BudgetRecord record) {
+    void applyRecord(BudgetRecord record) {
         HolderRecord entry = record.holders().get(mHolder);
         if (entry == null) {
             if (mRegistered) {
-                reopen();
+                openNextGeneration();
             }
-            mWriteAtRisk = false;
+            mLastWriteUnknown = false;
             return;
         }
         mRegistered = true;
-        mWriteAtRisk = false;
-        mReturnedSeen = entry.returned();
-        mSpentSeen = entry.spent();
+        mLastWriteUnknown = false;
+        mReturnedInRecord = entry.returned();
+        mSpentInRecord = entry.spent();
         mFree += entry.granted() - mGranted;
         mGranted = entry.granted();
-        if (!mAdopting.isEmpty() && entry.movedIn() != mMovedIn) {
+        if (!mTransferringCharges.isEmpty() && entry.movedIn() != mMovedIn) {
             mMovedIn = entry.movedIn();
-            mAdopting.clear();
+            mTransferringCharges.clear();
         }
     }
 
     /** Returns whether the platform may hold an entry, or a newer one than was seen. */
     boolean mayHaveEntry() {
-        return mRegistered || mWriteAtRisk;
+        return mRegistered || mLastWriteUnknown;
     }
 
     /** Notes that a write with this holding's entry may take effect, now or late. */
-    void noteAmbiguous() {
-        mReturnedAtRisk = mReturned;
-        mWriteAtRisk = true;
-        mEverAtRisk = true;
+    void onWriteOutcomeUnknown() {
+        mReturnedInUnknownWrite = mReturned;
+        mLastWriteUnknown = true;
+        mAnyWriteUnknown = true;
     }
 
     /**
      * Goes on as a new holder. All that the closed entry drew counts as spent in the record, and
      * this VM alone may spend it: so it is kept, and charged to the closed entry until adopted.
      */
-    private void reopen() {
-        mFree += mReturned - Math.max(mReturnedSeen, mReturnedAtRisk);
+    private void openNextGeneration() {
+        mFree += mReturned - Math.max(mReturnedInRecord, mReturnedInUnknownWrite);
         HolderId closed = mHolder;
-        if (!mWriteAtRisk) {
-            mAdopting.forEach((from, tokens) -> mForeign.merge(from, tokens, Long::sum));
+        if (!mLastWriteUnknown) {
+            mTransferringCharges.forEach(
+                    (from, tokens) -> mForeignCharges.merge(from, tokens, Long::sum));
         }
-        mAdopting.clear();
-        carrySpending();
+        mTransferringCharges.clear();
+        carryUnreportedSpending();
         long charged = mFree + mReserved + mSpent - foreignCharge();
         if (charged > 0) {
-            mForeign.merge(closed, charged, Long::sum);
+            mForeignCharges.merge(closed, charged, Long::sum);
         }
         mHolder = closed.next();
         mRegistered = false;
         mGranted = 0;
         mReturned = 0;
-        mReturnedSeen = 0;
-        mReturnedAtRisk = 0;
-        mWriteAtRisk = false;
-        mEverAtRisk = false;
-        mSpentSeen = 0;
-        mSpentHigh = 0;
-        mSpentWritten = 0;
+        mReturnedInRecord = 0;
+        mReturnedInUnknownWrite = 0;
+        mLastWriteUnknown = false;
+        mAnyWriteUnknown = false;
+        mSpentInRecord = 0;
+        mMaxSpentWritten = 0;
+        mSpentInLastWrite = 0;
         mMovedIn = 0;
     }
 
@@ -233,39 +234,39 @@
      * write, the larger figure is taken, and tokens refunded since are set aside until they net
      * with later spending: so they are never counted as settled and given back as well.
      */
-    private void carrySpending() {
-        if (!mEverAtRisk) {
-            mSpent -= mSpentSeen;
+    private void carryUnreportedSpending() {
+        if (!mAnyWriteUnknown) {
+            mSpent -= mSpentInRecord;
             return;
         }
-        mSpent -= mSpentHigh;
+        mSpent -= mMaxSpentWritten;
         if (mSpent < 0) {
-            mHoldBack -= mSpent;
+            mTokensToWithhold -= mSpent;
             mSpent = 0;
-            setAside();
+            withholdFree();
         }
     }
 
     /** Takes free tokens out of use, up to what is to be held back. */
-    private void setAside() {
-        long aside = Math.min(mFree, mHoldBack);
+    private void withholdFree() {
+        long aside = Math.min(mFree, mTokensToWithhold);
         mFree -= aside;
-        mHoldBack -= aside;
-        mRefundDue += aside;
+        mTokensToWithhold -= aside;
+        mUnnettedRefund += aside;
     }
 
     /**
      * Notes that the last write took effect as it was planned: earlier ones of unknown effect
      * expected an older version, so they can't take effect any more.
      */
-    void noteWritten() {
-        mWriteAtRisk = false;
-        mEverAtRisk = false;
-        mSpentSeen = mSpentWritten;
-        mSpentHigh = mSpentWritten;
-        mReturnedSeen = mReturned;
-        mMovedIn += adoptingTotal();
-        mAdopting.clear();
+    void onWritten() {
+        mLastWriteUnknown = false;
+        mAnyWriteUnknown = false;
+        mSpentInRecord = mSpentInLastWrite;
+        mMaxSpentWritten = mSpentInLastWrite;
+        mReturnedInRecord = mReturned;
+        mMovedIn += transferringTotal();
+        mTransferringCharges.clear();
     }
 
     /**
@@ -274,18 +275,18 @@
      * <p>The first entry carries a grant only: if its reply is lost and the entry is closed before
      * it is read, writing it again must not repeat a return.
      */
-    HolderRecord entry(Optional<HolderRecord> seen, long draw) {
-        if (seen.isEmpty()) {
+    HolderRecord nextEntry(Optional<HolderRecord> recorded, long draw) {
+        if (recorded.isEmpty()) {
             return new HolderRecord(draw, 0, 0, 0, 0, 0, 0, 0);
         }
-        HolderRecord now = seen.get();
-        mSpentWritten = mSpent;
-        mSpentHigh = Math.max(mSpentHigh, mSpent);
+        HolderRecord now = recorded.get();
+        mSpentInLastWrite = mSpent;
+        mMaxSpentWritten = Math.max(mMaxSpentWritten, mSpent);
         return new HolderRecord(
                 now.granted() + draw,
                 mReturned,
                 mSpent,
-                mMovedIn + adoptingTotal(),
+                mMovedIn + transferringTotal(),
                 now.movedOut(),
                 mReserved,
                 mFree + draw,
@@ -296,19 +297,19 @@
      * Fixes which foreign charges the next write takes over, and returns those that the record seen
      * does not yet hold; the set stays the same until the record shows it.
      */
-    Map<HolderId, Long> adopt(HolderRecord seen) {
-        if (seen.movedIn() != mMovedIn) {
+    Map<HolderId, Long> transferCharges(HolderRecord recorded) {
+        if (recorded.movedIn() != mMovedIn) {
             return Map.of();
         }
-        if (mAdopting.isEmpty()) {
-            mAdopting.putAll(mForeign);
-            mForeign.clear();
+        if (mTransferringCharges.isEmpty()) {
+            mTransferringCharges.putAll(mForeignCharges);
+            mForeignCharges.clear();
         }
-        return Map.copyOf(mAdopting);
+        return Map.copyOf(mTransferringCharges);
     }
 
-    private long adoptingTotal() {
-        return mAdopting.values().stream().mapToLong(Long::longValue).sum();
+    private long transferringTotal() {
+        return mTransferringCharges.values().stream().mapToLong(Long::longValue).sum();
     }
 
     /**
@@ -317,9 +318,9 @@
      *
      * @param preferred the charge that the receiver would like best
      */
-    Optional<MovedTokens> take(HolderId preferred, long free, long spent) {
+    Optional<MovedTokens> takeForMove(HolderId preferred, long free, long spent) {
         if (mRegistered) {
-            long given = Math.max(0, Math.min(free, mFree - refundedUnseen()));
+            long given = Math.max(0, Math.min(free, mFree - unreportedRefunds()));
             mFree -= given;
             return given == 0 ? Optional.empty() : Optional.of(new MovedTokens(mHolder, given, 0));
         }
@@ -327,15 +328,15 @@
         if (charge.isEmpty()) {
             return Optional.empty();
         }
-        long lot = mForeign.get(charge.get());
-        long givenFree = Math.max(0, Math.min(lot, Math.min(free, mFree)));
-        long givenSpent = Math.max(0, Math.min(lot - givenFree, Math.min(spent, mSpent)));
+        long charged = mForeignCharges.get(charge.get());
+        long givenFree = Math.max(0, Math.min(charged, Math.min(free, mFree)));
+        long givenSpent = Math.max(0, Math.min(charged - givenFree, Math.min(spent, mSpent)));
         if (givenFree + givenSpent == 0) {
             return Optional.empty();
         }
         mFree -= givenFree;
         mSpent -= givenSpent;
-        mForeign.merge(charge.get(), -givenFree - givenSpent, Holding::sumOrNull);
+        mForeignCharges.merge(charge.get(), -givenFree - givenSpent, Holding::sumOrNull);
         return Optional.of(new MovedTokens(charge.get(), givenFree, givenSpent));
     }
 
@@ -344,24 +345,24 @@
      * write is known to have lowered that figure: if the entry is closed first, nobody else may
      * spend or return what it counts as settled.
      */
-    private long refundedUnseen() {
-        return Math.max(0, Math.max(mSpentSeen, mSpentHigh) - mSpent);
+    private long unreportedRefunds() {
+        return Math.max(0, Math.max(mSpentInRecord, mMaxSpentWritten) - mSpent);
     }
 
     /** Adds what another VM moved here. */
-    void put(MovedTokens parcel) {
-        mFree += parcel.free();
-        mSpent += parcel.spent();
-        if (!parcel.charge().equals(mHolder)) {
-            mForeign.merge(parcel.charge(), parcel.free() + parcel.spent(), Long::sum);
+    void addMoved(MovedTokens moved) {
+        mFree += moved.free();
+        mSpent += moved.spent();
+        if (!moved.charge().equals(mHolder)) {
+            mForeignCharges.merge(moved.charge(), moved.free() + moved.spent(), Long::sum);
         }
     }
 
     private Optional<HolderId> chargeToMove(HolderId preferred) {
-        if (mForeign.containsKey(preferred)) {
+        if (mForeignCharges.containsKey(preferred)) {
             return Optional.of(preferred);
         }
-        return mForeign.entrySet().stream()
+        return mForeignCharges.entrySet().stream()
                 .max(Map.Entry.comparingByValue())
                 .map(Map.Entry::getKey);
     }
@@ -372,6 +373,6 @@
     }
 
     private long foreignCharge() {
-        return mForeign.values().stream().mapToLong(Long::longValue).sum();
+        return mForeignCharges.values().stream().mapToLong(Long::longValue).sum();
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/LedgerCheck.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/LedgerCheck.java
@@ -16,8 +16,8 @@
     /** What holders drew and did not return never exceeds what was paid. */
     DRAWN_WITHIN_PAID {
         @Override
-        Optional<String> breach(BudgetKey key, BudgetRecord record) {
-            return when(
+        Optional<String> findBreach(BudgetKey key, BudgetRecord record) {
+            return detailIf(
                     record.drawn() > record.paid(),
                     record.drawn() + " tokens drawn of " + record.paid() + " paid");
         }
@@ -25,8 +25,8 @@
     /** What is settled never exceeds what was drawn. */
     SETTLED_WITHIN_DRAWN {
         @Override
-        Optional<String> breach(BudgetKey key, BudgetRecord record) {
-            return when(
+        Optional<String> findBreach(BudgetKey key, BudgetRecord record) {
+            return detailIf(
                     record.settled() > record.drawn(),
                     record.settled() + " tokens settled of " + record.drawn() + " drawn");
         }
@@ -34,31 +34,34 @@
     /** No counter is negative, but for one holder's spending, from which refunds are taken. */
     COUNTERS_NOT_NEGATIVE {
         @Override
-        Optional<String> breach(BudgetKey key, BudgetRecord record) {
-            boolean below = record.paid() < 0 || record.settled() < 0 || negative(record.closed());
+        Optional<String> findBreach(BudgetKey key, BudgetRecord record) {
+            boolean below =
+                    record.paid() < 0
+                            || record.settled() < 0
+                            || isAnyCounterNegative(record.closed());
             for (HolderRecord holder : record.holders().values()) {
-                below |= negative(holder);
+                below |= isAnyCounterNegative(holder);
             }
-            return when(below, "a counter is below 0");
+            return detailIf(below, "a counter is below 0");
         }
     },
     /** The statement's parts add up to what was paid. */
     STATEMENT_RECONCILES {
         @Override
-        Optional<String> breach(BudgetKey key, BudgetRecord record) {
-            return when(
+        Optional<String> findBreach(BudgetKey key, BudgetRecord record) {
+            return detailIf(
                     !BudgetStatement.of(key, record).reconciles(),
                     "the statement's parts do not add up to " + record.paid() + " paid");
         }
     };
 
-    abstract Optional<String> breach(BudgetKey key, BudgetRecord record);
+    abstract Optional<String> findBreach(BudgetKey key, BudgetRecord record);
 
-    private static Optional<String> when(boolean broken, String detail) {
+    private static Optional<String> detailIf(boolean broken, String detail) {
         return broken ? Optional.of(detail) : Optional.empty();
     }
 
-    private static boolean negative(HolderRecord holder) {
+    private static boolean isAnyCounterNegative(HolderRecord holder) {
         return holder.granted() < 0
                 || holder.returned() < 0
                 || holder.movedIn() < 0
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/LedgerEdit.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/LedgerEdit.java
@@ -45,7 +45,7 @@
             Function<LedgerRecord, Either<Failure, Optional<LedgerRecord>>> change,
             BiConsumer<Long, Either<Failure, LedgerRecord>> done) {
         mPlatform = platform;
-        mKey = LedgerSync.key(organisation);
+        mKey = LedgerSync.objectKey(organisation);
         mChange = change;
         mDone = done;
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/LedgerSync.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/LedgerSync.java
@@ -23,13 +23,13 @@
     private final OrganisationId mOrganisation;
     private final BudgetSettings mSettings;
     private final int mJitterSeed;
-    private Optional<LedgerRecord> mBase = Optional.empty();
+    private Optional<LedgerRecord> mRecord = Optional.empty();
     private long mVersion;
     private long mAsOfMs;
     private boolean mInFlight;
     private int mFailures;
     private int mConflicts;
-    private long mNextMs = Long.MIN_VALUE;
+    private long mNextCallMs = Long.MIN_VALUE;
     private long mReads;
     private long mWrites;
 
@@ -40,16 +40,16 @@
     }
 
     /** Returns the platform's key of an organisation's record. */
-    static String key(OrganisationId organisation) {
+    static String objectKey(OrganisationId organisation) {
         return "budgets/" + organisation.value();
     }
 
-    Optional<LedgerRecord> base() {
-        return mBase;
+    Optional<LedgerRecord> record() {
+        return mRecord;
     }
 
     boolean mayCall(long nowMs) {
-        return !mInFlight && nowMs >= mNextMs;
+        return !mInFlight && nowMs >= mNextCallMs;
     }
 
     boolean inFlight() {
@@ -61,13 +61,13 @@
         return mFailures > 0;
     }
 
-    long nextMs() {
-        return mNextMs;
+    long nextCallMs() {
+        return mNextCallMs;
     }
 
     /** Returns whether the record was read or written no longer ago than a bound. */
     boolean freshWithin(long nowMs, long boundMs) {
-        return mBase.isPresent() && nowMs - mAsOfMs <= boundMs;
+        return mRecord.isPresent() && nowMs - mAsOfMs <= boundMs;
     }
 
     long calls() {
@@ -75,45 +75,45 @@
     }
 
     /** Makes the record known too old to act on, so that the next call is a read. */
-    void expire() {
-        mBase = Optional.empty();
+    void discardRecord() {
+        mRecord = Optional.empty();
     }
 
     /** Starts a read. */
-    PlatformCall read() {
+    PlatformCall startRead() {
         mInFlight = true;
         mReads++;
-        return new PlatformCall.Get(key(mOrganisation));
+        return new PlatformCall.Get(objectKey(mOrganisation));
     }
 
     /** Starts a conditional write over the record known. */
-    PlatformCall write(LedgerRecord next) {
+    PlatformCall startWrite(LedgerRecord next) {
         mInFlight = true;
         mWrites++;
         String value = Json.encode(next);
         return mVersion == 0
-                ? new PlatformCall.Create(key(mOrganisation), value)
-                : new PlatformCall.Update(key(mOrganisation), value, mVersion);
+                ? new PlatformCall.Create(objectKey(mOrganisation), value)
+                : new PlatformCall.Update(objectKey(mOrganisation), value, mVersion);
     }
 
     /** Ends a read; returns whether the record is known now. */
-    boolean readDone(long submittedMs, long nowMs, PlatformReply reply) {
+    boolean onReadReply(long submittedMs, long nowMs, PlatformReply reply) {
         mInFlight = false;
         if (reply instanceof PlatformReply.Found found) {
-            return know(submittedMs, nowMs, Optional.of(found.object()));
+            return setRecord(submittedMs, nowMs, Optional.of(found.object()));
         }
         if (reply instanceof PlatformReply.Missing) {
-            return know(submittedMs, nowMs, Optional.empty());
+            return setRecord(submittedMs, nowMs, Optional.empty());
         }
-        fail(nowMs);
+        onFailure(nowMs);
         return false;
     }
 
     /** Ends a write; returns whether the record as it is now is known. */
-    boolean writeDone(long submittedMs, long nowMs, LedgerRecord written, PlatformReply reply) {
+    boolean onWriteReply(long submittedMs, long nowMs, LedgerRecord written, PlatformReply reply) {
         mInFlight = false;
         if (reply instanceof PlatformReply.Written done) {
-            mBase = Optional.of(written);
+            mRecord = Optional.of(written);
             mVersion = done.version();
             mAsOfMs = submittedMs;
             mFailures = 0;
@@ -122,27 +122,27 @@
         }
         if (reply instanceof PlatformReply.Conflict conflict) {
             mConflicts++;
-            boolean known = know(submittedMs, nowMs, conflict.current());
+            boolean known = setRecord(submittedMs, nowMs, conflict.current());
             if (known && mConflicts > MAX_CONFLICTS_IN_A_ROW) {
-                mNextMs = nowMs + jitter(mConflicts);
+                mNextCallMs = nowMs + jitter(mConflicts);
             }
             return known;
         }
-        fail(nowMs);
+        onFailure(nowMs);
         return false;
     }
 
-    private boolean know(long submittedMs, long nowMs, Optional<StoredObject> object) {
+    private boolean setRecord(long submittedMs, long nowMs, Optional<StoredObject> object) {
         if (object.isEmpty()) {
-            mBase = Optional.of(LedgerRecord.empty());
+            mRecord = Optional.of(LedgerRecord.empty());
             mVersion = 0;
         } else {
             var decoded = Json.decode(object.get().value(), LedgerRecord.class);
             if (decoded.isLeft()) {
-                fail(nowMs);
+                onFailure(nowMs);
                 return false;
             }
-            mBase = Optional.of(decoded.get());
+            mRecord = Optional.of(decoded.get());
             mVersion = object.get().version();
         }
         mAsOfMs = submittedMs;
@@ -150,12 +150,12 @@
         return true;
     }
 
-    private void fail(long nowMs) {
-        mBase = Optional.empty();
+    private void onFailure(long nowMs) {
+        mRecord = Optional.empty();
         mFailures = Math.min(mFailures + 1, 30);
         long doubled = mSettings.backoffMinMs() << Math.min(mFailures - 1, 10);
         long wait = Math.min(mSettings.backoffMaxMs(), doubled);
-        mNextMs = nowMs + wait / 2 + jitter(mFailures) % (wait / 2 + 1);
+        mNextCallMs = nowMs + wait / 2 + jitter(mFailures) % (wait / 2 + 1);
     }
 
     /** Spreads the VMs that lost the same race; the same at each run. */
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/LedgerWritePlan.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/LedgerWritePlan.java
@@ -20,32 +20,32 @@
  * the organisation's lock.
  */
 final class LedgerWritePlan {
-    private final GrantCalculator mDrawing;
+    private final GrantCalculator mCalculator;
     private final boolean mReportDue;
     private final boolean mClosing;
-    private final List<Holding> mWritten = new ArrayList<>();
-    private LedgerRecord mNext;
-    private boolean mNeeded;
+    private final List<Holding> mWrittenHoldings = new ArrayList<>();
+    private LedgerRecord mPlannedRecord;
+    private boolean mWriteNeeded;
 
     /**
      * Creates a plan.
      *
      * @param base the record that the write expects
-     * @param drawing decides how much each budget draws and gives back
+     * @param calculator decides how much each budget draws and gives back
      * @param reportDue whether spending is to be reported now
      * @param closing whether this VM shuts down and gives everything back
      */
     LedgerWritePlan(
-            LedgerRecord base, GrantCalculator drawing, boolean reportDue, boolean closing) {
-        mNext = base;
-        mDrawing = drawing;
+            LedgerRecord base, GrantCalculator calculator, boolean reportDue, boolean closing) {
+        mPlannedRecord = base;
+        mCalculator = calculator;
         mReportDue = reportDue;
         mClosing = closing;
     }
 
     /** Closes the entries of holders that are proved gone: what they did not report is spent. */
-    void closeGone(Predicate<HolderId> gone) {
-        for (var each : Map.copyOf(mNext.budgets()).entrySet()) {
+    void closeGoneHolders(Predicate<HolderId> gone) {
+        for (var each : Map.copyOf(mPlannedRecord.budgets()).entrySet()) {
             BudgetRecord budget = each.getValue();
             Map<HolderId, HolderRecord> open = new TreeMap<>(budget.holders());
             HolderRecord closed = budget.closed();
@@ -56,32 +56,34 @@
                 }
             }
             if (open.size() < budget.holders().size()) {
-                mNext = mNext.with(each.getKey(), budget.withHolders(open, closed));
-                mNeeded = true;
+                mPlannedRecord =
+                        mPlannedRecord.with(each.getKey(), budget.withHolders(open, closed));
+                mWriteNeeded = true;
             }
         }
     }
 
     /** Adds one budget's draw, return and report. */
-    void add(long nowMs, BudgetAccount account) {
+    void addAccount(long nowMs, BudgetAccount account) {
         Holding holding = account.holding();
-        BudgetRecord budget = mNext.budget(account.key().budget());
+        BudgetRecord budget = mPlannedRecord.budget(account.key().budget());
         Optional<HolderRecord> seen = Optional.ofNullable(budget.holders().get(holding.holder()));
-        long draw = mClosing ? 0 : mDrawing.draw(nowMs, account, budget);
+        long draw = mClosing ? 0 : mCalculator.tokensToDraw(nowMs, account, budget);
         if (draw <= 0 && seen.isPresent()) {
             giveBack(nowMs, account, budget);
         }
         HolderRecord known = seen.orElse(HolderRecord.NONE);
         boolean refunded = holding.unreportedSpent(known) < 0;
-        boolean report = mReportDue || mClosing || refunded || holding.returning();
+        boolean report = mReportDue || mClosing || refunded || holding.hasUnreportedReturns();
         if (draw <= 0
-                && !(report && holding.unreported(known))
+                && !(report && holding.hasUnreportedChanges(known))
                 && !(mClosing && seen.isPresent())) {
             return;
         }
-        mNext = mNext.with(account.key().budget(), write(budget, holding, seen, draw));
-        mWritten.add(holding);
-        mNeeded = true;
+        mPlannedRecord =
+                mPlannedRecord.with(account.key().budget(), planEntry(budget, holding, seen, draw));
+        mWrittenHoldings.add(holding);
+        mWriteNeeded = true;
     }
 
     private void giveBack(long nowMs, BudgetAccount account, BudgetRecord budget) {
@@ -90,17 +92,17 @@
             holding.giveBack(holding.free() - account.waitingTokens());
             return;
         }
-        if (mReportDue || mDrawing.returnsAtOnce()) {
-            holding.giveBack(mDrawing.giveBack(nowMs, account, budget));
+        if (mReportDue || mCalculator.returnsImmediately()) {
+            holding.giveBack(mCalculator.tokensToReturn(nowMs, account, budget));
         }
     }
 
-    private BudgetRecord write(
+    private BudgetRecord planEntry(
             BudgetRecord budget, Holding holding, Optional<HolderRecord> seen, long draw) {
         Map<HolderId, HolderRecord> open = new TreeMap<>(budget.holders());
         HolderRecord closed = budget.closed();
         if (seen.isPresent()) {
-            for (var adopted : holding.adopt(seen.get()).entrySet()) {
+            for (var adopted : holding.transferCharges(seen.get()).entrySet()) {
                 HolderRecord from = open.get(adopted.getKey());
                 if (from == null) {
                     closed = closed.withMovedOut(adopted.getValue());
@@ -109,7 +111,7 @@
                 }
             }
         }
-        HolderRecord entry = holding.entry(seen, draw);
+        HolderRecord entry = holding.nextEntry(seen, draw);
         if (mClosing && seen.isPresent() && holding.reserved() == 0) {
             open.remove(holding.holder());
             closed = closed.plusClosed(entry);
@@ -121,11 +123,11 @@
 
     /** Returns the record to write; empty where nothing needs a write. */
     Optional<LedgerRecord> result() {
-        return mNeeded ? Optional.of(mNext) : Optional.empty();
+        return mWriteNeeded ? Optional.of(mPlannedRecord) : Optional.empty();
     }
 
     /** Returns the holdings whose entries the write carries. */
-    List<Holding> written() {
-        return mWritten;
+    List<Holding> writtenHoldings() {
+        return mWrittenHoldings;
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/MoveGrant.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/MoveGrant.java
@@ -35,7 +35,7 @@
         long spent)
         implements PeerMessage {
     /** Returns what moves. */
-    MovedTokens parcel() {
+    MovedTokens movedTokens() {
         return new MovedTokens(charge, free, spent);
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/OrganisationBudgets.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/OrganisationBudgets.java
@@ -42,23 +42,24 @@
     private final Admission mAdmission;
     private final Object2ObjectHashMap<BudgetId, BudgetAccount> mAccounts =
             new Object2ObjectHashMap<>();
-    private final Set<VmId> mGone = new HashSet<>();
+    private final Set<VmId> mGoneVms = new HashSet<>();
     private final LedgerSync mSync;
     private final GrantExchange mExchange;
     private BudgetPreference mPreference = BudgetPreference.AVOID_STRANDING;
     private boolean mClosing;
-    private boolean mDirty;
-    private long mNextIdleMs = Long.MIN_VALUE;
-    private long mReportedMs = Long.MIN_VALUE / 2;
-    private long mWrittenMs = Long.MIN_VALUE / 2;
+    private boolean mTickNeeded;
+    private long mNextIdleTickMs = Long.MIN_VALUE;
+    private long mLastReportMs = Long.MIN_VALUE / 2;
+    private long mLastWriteMs = Long.MIN_VALUE / 2;
 
-    OrganisationBudgets(OrganisationId organisation, BudgetContext context, AtomicLong numbers) {
+    OrganisationBudgets(
+            OrganisationId organisation, BudgetContext context, AtomicLong reservationNumbers) {
         mOrganisation = organisation;
         mContext = context;
         int seed = 31 * context.self().hashCode() + organisation.hashCode();
         mSync = new LedgerSync(organisation, context.settings(), seed);
         mExchange = new GrantExchange(organisation, context);
-        mAdmission = new Admission(context.settings(), mSync, numbers);
+        mAdmission = new Admission(context.settings(), mSync, reservationNumbers);
     }
 
     Either<Failure, Reservation> tryReserve(
@@ -67,14 +68,14 @@
             if (mClosing) {
                 return Either.left(BudgetFailures.shuttingDown());
             }
-            mDirty = true;
+            mTickNeeded = true;
             BudgetAccount account = account(key);
-            account.holding().demand().add(nowMs, tokens);
-            Optional<Reservation> made = mAdmission.take(account, request, tokens);
+            account.holding().demand().addDemand(nowMs, tokens);
+            Optional<Reservation> made = mAdmission.tryReserve(account, request, tokens);
             if (made.isPresent()) {
                 return Either.right(made.get());
             }
-            return Either.left(mAdmission.refusal(nowMs, account, tokens));
+            return Either.left(mAdmission.refusalFailure(nowMs, account, tokens));
         }
     }
 
@@ -90,93 +91,93 @@
             done.accept(nowMs, now);
             return;
         }
-        DeferredActions effects = new DeferredActions();
+        DeferredActions actions = new DeferredActions();
         synchronized (mLock) {
             enqueue(
                     nowMs,
                     account(key),
                     new Waiter(request, tokens, nowMs + waitMs, done),
-                    effects);
+                    actions);
         }
-        effects.run();
+        actions.run();
     }
 
     private void enqueue(
-            long nowMs, BudgetAccount account, Waiter waiter, DeferredActions effects) {
+            long nowMs, BudgetAccount account, Waiter waiter, DeferredActions actions) {
         if (mAdmission.knownExhausted(nowMs, account, waiter.tokens())) {
-            mAdmission.refuse(nowMs, account, waiter, effects);
+            mAdmission.refuse(nowMs, account, waiter, actions);
             return;
         }
         if (account.waiters().size() >= mContext.settings().maxWaiters()) {
             Failure full =
                     BudgetFailures.tooManyWait(account.key(), mContext.settings().backoffMaxMs());
-            effects.add(() -> waiter.done().accept(nowMs, Either.left(full)));
+            actions.add(() -> waiter.done().accept(nowMs, Either.left(full)));
             return;
         }
         account.waiters().add(waiter);
-        advance(nowMs, effects);
+        advance(nowMs, actions);
     }
 
     void settle(long nowMs, Reservation reservation, long usedTokens) {
-        change(
+        changeHolding(
                 nowMs,
                 reservation.key(),
                 holding -> holding.settle(reservation.number(), usedTokens));
     }
 
     void refund(long nowMs, BudgetKey key, long tokens) {
-        change(nowMs, key, holding -> holding.refund(tokens));
+        changeHolding(nowMs, key, holding -> holding.refund(tokens));
     }
 
-    private void change(long nowMs, BudgetKey key, Consumer<Holding> action) {
-        DeferredActions effects = new DeferredActions();
+    private void changeHolding(long nowMs, BudgetKey key, Consumer<Holding> action) {
+        DeferredActions actions = new DeferredActions();
         synchronized (mLock) {
-            mDirty = true;
+            mTickNeeded = true;
             BudgetAccount account = account(key);
             action.accept(account.holding());
-            mAdmission.serve(nowMs, account, effects);
+            mAdmission.admitWaiters(nowMs, account, actions);
             if (mContext.policy() == GrantPolicy.WRITE_PER_REQUEST) {
-                advance(nowMs, effects);
+                advance(nowMs, actions);
             }
         }
-        effects.run();
+        actions.run();
     }
 
     void tick(long nowMs) {
-        DeferredActions effects = new DeferredActions();
+        DeferredActions actions = new DeferredActions();
         synchronized (mLock) {
-            if (!mDirty && nowMs < mNextIdleMs) {
+            if (!mTickNeeded && nowMs < mNextIdleTickMs) {
                 return;
             }
-            mNextIdleMs = nowMs + IDLE_TICK_MS;
-            mDirty = busy();
-            advance(nowMs, effects);
+            mNextIdleTickMs = nowMs + IDLE_TICK_MS;
+            mTickNeeded = hasTimedWork();
+            advance(nowMs, actions);
         }
-        effects.run();
+        actions.run();
     }
 
-    private boolean busy() {
+    private boolean hasTimedWork() {
         for (BudgetAccount account : mAccounts.values()) {
-            if (account.busy()) {
+            if (account.hasTimedWork()) {
                 return true;
             }
         }
         return mClosing;
     }
 
-    void close(long nowMs) {
-        DeferredActions effects = new DeferredActions();
+    void startHandOver(long nowMs) {
+        DeferredActions actions = new DeferredActions();
         synchronized (mLock) {
             mClosing = true;
             for (BudgetAccount account : mAccounts.values()) {
-                mAdmission.refuseAll(nowMs, account, BudgetFailures.shuttingDown(), effects);
+                mAdmission.refuseAll(nowMs, account, BudgetFailures.shuttingDown(), actions);
             }
-            advance(nowMs, effects);
+            advance(nowMs, actions);
         }
-        effects.run();
+        actions.run();
     }
 
-    void startClosing() {
+    void markClosing() {
         synchronized (mLock) {
             mClosing = true;
         }
@@ -191,7 +192,7 @@
                 if (!empty
                         || moving
                         || holding.registered()
-                        || holding.unreported(HolderRecord.NONE)) {
+                        || holding.hasUnreportedChanges(HolderRecord.NONE)) {
                     return false;
                 }
             }
@@ -200,18 +201,18 @@
     }
 
     void onVmGone(long nowMs, VmId vm) {
-        DeferredActions effects = new DeferredActions();
+        DeferredActions actions = new DeferredActions();
         synchronized (mLock) {
-            mDirty = true;
-            mGone.add(vm);
-            mContext.silentPeers().remove(vm);
+            mTickNeeded = true;
+            mGoneVms.add(vm);
+            mContext.unresponsivePeers().remove(vm);
             for (BudgetAccount account : mAccounts.values()) {
-                account.moves().forget(vm);
+                account.moves().removeReceiver(vm);
             }
-            mSync.expire();
-            advance(nowMs, effects);
+            mSync.discardRecord();
+            advance(nowMs, actions);
         }
-        effects.run();
+        actions.run();
     }
 
     void onPreference(BudgetPreference preference) {
@@ -221,15 +222,15 @@
     }
 
     void onAsk(long nowMs, AskGrant ask, Consumer<PeerMessage> reply) {
-        DeferredActions effects = new DeferredActions();
+        DeferredActions actions = new DeferredActions();
         synchronized (mLock) {
-            mDirty = true;
+            mTickNeeded = true;
             BudgetAccount account = account(new BudgetKey(ask.organisation(), ask.budget()));
             boolean later = mayDraw() && !platformCannotHelp(nowMs, account, ask.atLeast());
-            mExchange.answer(nowMs, account, ask, later, reply, effects);
-            advance(nowMs, effects);
+            mExchange.answer(nowMs, account, ask, later, reply, actions);
+            advance(nowMs, actions);
         }
-        effects.run();
+        actions.run();
     }
 
     private boolean mayDraw() {
@@ -237,16 +238,16 @@
     }
 
     void onMove(long nowMs, MoveGrant move, Consumer<PeerMessage> reply) {
-        DeferredActions effects = new DeferredActions();
+        DeferredActions actions = new DeferredActions();
         synchronized (mLock) {
-            mDirty = true;
+            mTickNeeded = true;
             BudgetAccount account = account(new BudgetKey(move.organisation(), move.budget()));
             MoveAck ack = mExchange.receive(nowMs, account, move);
-            effects.add(() -> reply.accept(ack));
-            mAdmission.serve(nowMs, account, effects);
-            advance(nowMs, effects);
+            actions.add(() -> reply.accept(ack));
+            mAdmission.admitWaiters(nowMs, account, actions);
+            advance(nowMs, actions);
         }
-        effects.run();
+        actions.run();
     }
 
     void onAck(MoveAck ack) {
@@ -271,41 +272,41 @@
     private BudgetAccount account(BudgetKey key) {
         BudgetAccount account = mAccounts.get(key.budget());
         if (account == null) {
-            account = new BudgetAccount(key, mContext.self(), mContext.silentPeers());
+            account = new BudgetAccount(key, mContext.self(), mContext.unresponsivePeers());
             mAccounts.put(key.budget(), account);
         }
         return account;
     }
 
     /** Does whatever is due: serves and refuses waiters, calls the platform, asks peers. */
-    private void advance(long nowMs, DeferredActions effects) {
+    private void advance(long nowMs, DeferredActions actions) {
         boolean mayDraw = mayDraw();
         for (BudgetAccount account : mAccounts.values()) {
-            mAdmission.serve(nowMs, account, effects);
-            mExchange.answerDeferred(nowMs, account, mayDraw, effects);
+            mAdmission.admitWaiters(nowMs, account, actions);
+            mExchange.answerDeferred(nowMs, account, mayDraw, actions);
         }
-        syncIfDue(nowMs, effects);
+        syncIfDue(nowMs, actions);
         boolean direct = mClosing || mContext.isHome(mOrganisation);
         for (BudgetAccount account : mAccounts.values()) {
-            mExchange.pass(nowMs, account, direct, effects, this);
-            askIfNeeded(nowMs, account, direct, effects);
-            mAdmission.expire(nowMs, account, effects);
+            mExchange.sendMoves(nowMs, account, direct, actions, this);
+            askIfNeeded(nowMs, account, direct, actions);
+            mAdmission.refuseExpired(nowMs, account, actions);
         }
     }
 
     private void askIfNeeded(
-            long nowMs, BudgetAccount account, boolean direct, DeferredActions effects) {
+            long nowMs, BudgetAccount account, boolean direct, DeferredActions actions) {
         long waiting = account.waitingTokens();
         if (direct && (waiting == 0 || !platformCannotHelp(nowMs, account, waiting))) {
-            account.asks().endUnneeded(nowMs);
+            account.askRound().endIfIdle(nowMs);
             return;
         }
         mExchange.ask(
                 nowMs,
                 account,
                 mPreference,
-                () -> AskCandidates.of(mContext, account, direct, mSync.base()),
-                effects,
+                () -> AskCandidates.of(mContext, account, direct, mSync.record()),
+                actions,
                 this);
     }
 
@@ -315,23 +316,23 @@
         }
         long missing = waiting - account.holding().free();
         return mSync.freshWithin(nowMs, mContext.settings().maxRecordAgeMs())
-                && mSync.base().get().budget(account.key().budget()).available() < missing;
+                && mSync.record().get().budget(account.key().budget()).available() < missing;
     }
 
     void onAskReply(long nowMs, BudgetKey key, Either<Failure, PeerMessage> reply) {
-        DeferredActions effects = new DeferredActions();
+        DeferredActions actions = new DeferredActions();
         synchronized (mLock) {
             BudgetAccount account = account(key);
-            account.asks().answered(reply.isRight());
+            account.askRound().onAskEnded(reply.isRight());
             if (reply.isRight() && reply.get() instanceof MoveGrant move) {
                 MoveAck ack = mExchange.receive(nowMs, account, move);
-                account.asks().given();
+                account.askRound().onTokensReceived();
                 String giver = move.giver().name();
-                effects.add(() -> mContext.peers().send(giver, ack));
+                actions.add(() -> mContext.peers().send(giver, ack));
             }
-            advance(nowMs, effects);
+            advance(nowMs, actions);
         }
-        effects.run();
+        actions.run();
     }
 
     void onMoveReply(Either<Failure, PeerMessage> reply) {
@@ -340,48 +341,48 @@
         }
     }
 
-    private void syncIfDue(long nowMs, DeferredActions effects) {
+    private void syncIfDue(long nowMs, DeferredActions actions) {
         if (!mSync.mayCall(nowMs)) {
             return;
         }
-        boolean due = nowMs - mReportedMs >= mContext.settings().reportIntervalMs();
-        if (mSync.base().isEmpty()) {
-            if (wantsPlatform(nowMs)) {
-                submit(nowMs, mSync.read(), effects);
+        boolean due = nowMs - mLastReportMs >= mContext.settings().reportIntervalMs();
+        if (mSync.record().isEmpty()) {
+            if (needsPlatform(nowMs)) {
+                submitRead(nowMs, mSync.startRead(), actions);
             }
             return;
         }
-        LedgerWritePlan plan = plan(nowMs, mSync.base().get(), due);
+        LedgerWritePlan plan = plan(nowMs, mSync.record().get(), due);
         Optional<LedgerRecord> next = plan.result();
         if (next.isPresent()) {
             if (due) {
-                mReportedMs = nowMs;
+                mLastReportMs = nowMs;
             }
-            mWrittenMs = nowMs;
-            submitWrite(nowMs, plan, next.get(), effects);
+            mLastWriteMs = nowMs;
+            submitWrite(nowMs, plan, next.get(), actions);
             return;
         }
-        if (staleFor(nowMs)) {
-            submit(nowMs, mSync.read(), effects);
+        if (isRefreshDue(nowMs)) {
+            submitRead(nowMs, mSync.startRead(), actions);
         }
     }
 
     private LedgerWritePlan plan(long nowMs, LedgerRecord base, boolean due) {
         boolean home = mContext.isHome(mOrganisation);
         int sharers = mContext.homes().homes(mOrganisation).size();
-        GrantCalculator drawing =
+        GrantCalculator calculator =
                 new GrantCalculator(
                         mContext.policy(),
                         mPreference,
                         sharers,
                         mContext.settings().chunkTokens(),
                         home,
-                        nowMs - mWrittenMs >= mContext.settings().refillIntervalMs());
-        LedgerWritePlan plan = new LedgerWritePlan(base, drawing, due, mClosing);
-        plan.closeGone(this::isGone);
+                        nowMs - mLastWriteMs >= mContext.settings().refillIntervalMs());
+        LedgerWritePlan plan = new LedgerWritePlan(base, calculator, due, mClosing);
+        plan.closeGoneHolders(this::isGone);
         for (BudgetAccount account : mAccounts.values()) {
             if (usesPlatform(account, home)) {
-                plan.add(nowMs, account);
+                plan.addAccount(nowMs, account);
             }
         }
         return plan;
@@ -391,68 +392,68 @@
         VmId vm = holder.vm();
         VmId self = mContext.self();
         boolean ownPast = vm.name().equals(self.name()) && vm.incarnation() < self.incarnation();
-        return ownPast || mGone.contains(vm);
+        return ownPast || mGoneVms.contains(vm);
     }
 
     private boolean usesPlatform(BudgetAccount account, boolean home) {
         return home
                 || mClosing
                 || account.holding().mayHaveEntry()
-                || (!account.waiters().isEmpty() && account.asks().failed());
+                || (!account.waiters().isEmpty() && account.askRound().failed());
     }
 
-    private boolean wantsPlatform(long nowMs) {
+    private boolean needsPlatform(long nowMs) {
         boolean home = mContext.isHome(mOrganisation);
         for (BudgetAccount account : mAccounts.values()) {
             boolean wants =
                     !account.waiters().isEmpty()
-                            || account.peersWant() > 0
+                            || account.peerWaitingTokens() > 0
                             || account.holding().free() > 0
                             || account.holding().mayHaveEntry()
-                            || account.holding().unreported(HolderRecord.NONE)
-                            || account.holding().demand().perMs(nowMs) > 0;
+                            || account.holding().hasUnreportedChanges(HolderRecord.NONE)
+                            || account.holding().demand().tokensPerMs(nowMs) > 0;
             if (wants && usesPlatform(account, home)) {
                 return true;
             }
         }
-        return home && !mGone.isEmpty();
+        return home && !mGoneVms.isEmpty();
     }
 
-    private boolean staleFor(long nowMs) {
+    private boolean isRefreshDue(long nowMs) {
         boolean waiting = false;
         boolean holding = false;
         for (BudgetAccount account : mAccounts.values()) {
-            waiting |= !account.waiters().isEmpty() || account.peersWant() > 0;
+            waiting |= !account.waiters().isEmpty() || account.peerWaitingTokens() > 0;
             holding |= account.holding().registered();
         }
         if (waiting && !mSync.freshWithin(nowMs, mContext.settings().maxRecordAgeMs())) {
-            return wantsPlatform(nowMs);
+            return needsPlatform(nowMs);
         }
         return holding && !mSync.freshWithin(nowMs, mContext.settings().refreshIntervalMs());
     }
 
-    private void submit(long nowMs, PlatformCall call, DeferredActions effects) {
-        effects.add(() -> mContext.platform().submit(nowMs, call, (at, r) -> onRead(nowMs, at, r)));
+    private void submitRead(long nowMs, PlatformCall call, DeferredActions actions) {
+        actions.add(() -> mContext.platform().submit(nowMs, call, (at, r) -> onRead(nowMs, at, r)));
     }
 
     private void submitWrite(
-            long nowMs, LedgerWritePlan plan, LedgerRecord next, DeferredActions effects) {
-        PlatformCall call = mSync.write(next);
-        effects.add(
+            long nowMs, LedgerWritePlan plan, LedgerRecord next, DeferredActions actions) {
+        PlatformCall call = mSync.startWrite(next);
+        actions.add(
                 () ->
                         mContext.platform()
                                 .submit(nowMs, call, (at, r) -> onWrite(nowMs, at, plan, next, r)));
     }
 
     private void onRead(long submittedMs, long nowMs, PlatformReply reply) {
-        DeferredActions effects = new DeferredActions();
+        DeferredActions actions = new DeferredActions();
         synchronized (mLock) {
-            if (mSync.readDone(submittedMs, nowMs, reply)) {
-                see();
+            if (mSync.onReadReply(submittedMs, nowMs, reply)) {
+                applyRecord();
             }
-            advance(nowMs, effects);
+            advance(nowMs, actions);
         }
-        effects.run();
+        actions.run();
     }
 
     private void onWrite(
@@ -461,28 +462,28 @@
             LedgerWritePlan plan,
             LedgerRecord written,
             PlatformReply reply) {
-        DeferredActions effects = new DeferredActions();
+        DeferredActions actions = new DeferredActions();
         synchronized (mLock) {
             if (reply instanceof PlatformReply.Unavailable) {
-                plan.written().forEach(Holding::noteAmbiguous);
+                plan.writtenHoldings().forEach(Holding::onWriteOutcomeUnknown);
             }
             if (reply instanceof PlatformReply.Written) {
-                plan.written().forEach(Holding::noteWritten);
+                plan.writtenHoldings().forEach(Holding::onWritten);
             }
-            if (mSync.writeDone(submittedMs, nowMs, written, reply)) {
-                see();
+            if (mSync.onWriteReply(submittedMs, nowMs, written, reply)) {
+                applyRecord();
             }
-            advance(nowMs, effects);
+            advance(nowMs, actions);
         }
-        effects.run();
+        actions.run();
     }
 
-    private void see() {
-        LedgerRecord record = mSync.base().orElseThrow();
+    private void applyRecord() {
+        LedgerRecord record = mSync.record().orElseThrow();
         for (BudgetAccount account : mAccounts.values()) {
-            account.holding().see(record.budget(account.key().budget()));
+            account.holding().applyRecord(record.budget(account.key().budget()));
         }
-        mGone.removeIf(
+        mGoneVms.removeIf(
                 vm ->
                         record.budgets().values().stream()
                                 .flatMap(b -> b.holders().keySet().stream())
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/PeerMoves.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/PeerMoves.java
@@ -21,9 +21,9 @@
     private final VmId mSelf;
     private final Map<VmId, MoveGrant> mPending = new HashMap<>();
     private final Map<VmId, Long> mRetryAtMs = new HashMap<>();
-    private final Map<VmId, Long> mSent = new HashMap<>();
-    private final Map<VmId, Long> mReceived = new HashMap<>();
-    private long mNextPassMs = Long.MIN_VALUE;
+    private final Map<VmId, Long> mMovesStarted = new HashMap<>();
+    private final Map<VmId, Long> mLastSequenceReceived = new HashMap<>();
+    private long mNextHomeReportMs = Long.MIN_VALUE;
 
     PeerMoves(BudgetKey key, VmId self) {
         mKey = key;
@@ -37,7 +37,7 @@
 
     /** Returns the VMs that tokens were moved to, those with most moves first. */
     List<VmId> receivers() {
-        return mSent.entrySet().stream()
+        return mMovesStarted.entrySet().stream()
                 .sorted(
                         Map.Entry.<VmId, Long>comparingByValue()
                                 .reversed()
@@ -52,8 +52,8 @@
     }
 
     /** Starts a move of tokens that the caller has subtracted. */
-    MoveGrant start(VmId receiver, MovedTokens parcel) {
-        long sequence = mSent.merge(receiver, 1L, Long::sum);
+    MoveGrant start(VmId receiver, MovedTokens moved) {
+        long sequence = mMovesStarted.merge(receiver, 1L, Long::sum);
         MoveGrant move =
                 new MoveGrant(
                         mKey.organisation(),
@@ -61,15 +61,15 @@
                         mSelf,
                         receiver,
                         sequence,
-                        parcel.charge(),
-                        parcel.free(),
-                        parcel.spent());
+                        moved.charge(),
+                        moved.free(),
+                        moved.spent());
         mPending.put(receiver, move);
         return move;
     }
 
     /** Returns the unacknowledged moves whose next sending is due, and puts it off. */
-    List<MoveGrant> due(long nowMs, long retryMs) {
+    List<MoveGrant> takeDueMoves(long nowMs, long retryMs) {
         List<MoveGrant> due = new ArrayList<>();
         for (MoveGrant move : mPending.values()) {
             if (mRetryAtMs.getOrDefault(move.receiver(), Long.MIN_VALUE) <= nowMs) {
@@ -81,7 +81,7 @@
     }
 
     /** Puts off the next sending of a move that was sent just now. */
-    void sent(VmId receiver, long nextMs) {
+    void delayResend(VmId receiver, long nextMs) {
         mRetryAtMs.put(receiver, nextMs);
     }
 
@@ -95,26 +95,26 @@
     }
 
     /** Returns whether a move that came in is to be added; true once for each. */
-    boolean receive(MoveGrant move) {
-        if (move.sequence() <= mReceived.getOrDefault(move.giver(), 0L)) {
+    boolean recordReceived(MoveGrant move) {
+        if (move.sequence() <= mLastSequenceReceived.getOrDefault(move.giver(), 0L)) {
             return false;
         }
-        mReceived.put(move.giver(), move.sequence());
+        mLastSequenceReceived.put(move.giver(), move.sequence());
         return true;
     }
 
     /** Forgets a VM that is proved gone: what was on its way to it stays charged as it was. */
-    void forget(VmId gone) {
+    void removeReceiver(VmId gone) {
         mPending.remove(gone);
         mRetryAtMs.remove(gone);
     }
 
     /** Returns whether it is time to pass spending on, and puts the next time off. */
-    boolean passDue(long nowMs, long intervalMs) {
-        if (nowMs < mNextPassMs) {
+    boolean takeHomeReportDue(long nowMs, long intervalMs) {
+        if (nowMs < mNextHomeReportMs) {
             return false;
         }
-        mNextPassMs = nowMs + intervalMs;
+        mNextHomeReportMs = nowMs + intervalMs;
         return true;
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/TopUp.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/TopUp.java
@@ -28,11 +28,11 @@
  */
 final class TopUp {
     private static final int MAX_ATTEMPTS = 12;
-    private static final int MAX_OPEN = 256;
+    private static final int MAX_OPEN_TOP_UPS = 256;
 
     private final Platform mPlatform;
     private final BudgetKey mKey;
-    private final String mId;
+    private final String mTopUpId;
     private final long mTokens;
     private final String mObjectKey;
     private final BiConsumer<Long, Either<Failure, Boolean>> mDone;
@@ -51,7 +51,7 @@
             BiConsumer<Long, Either<Failure, Boolean>> done) {
         mPlatform = platform;
         mKey = key;
-        mId = id;
+        mTopUpId = id;
         mTokens = tokens;
         mObjectKey = TopUpRecord.key(key, id);
         mDone = done;
@@ -59,14 +59,14 @@
 
     /** Creates the top-up's object, or finds it. */
     void start(long nowMs) {
-        if (exhausted(nowMs)) {
+        if (attemptsExhausted(nowMs)) {
             return;
         }
         String value = Json.encode(new TopUpRecord(mTokens, false));
         mPlatform.submit(nowMs, new PlatformCall.Create(mObjectKey, value), this::onCreated);
     }
 
-    private boolean exhausted(long nowMs) {
+    private boolean attemptsExhausted(long nowMs) {
         if (++mAttempts <= MAX_ATTEMPTS) {
             return false;
         }
@@ -91,10 +91,10 @@
     }
 
     private void readLedger(long nowMs) {
-        if (exhausted(nowMs)) {
+        if (attemptsExhausted(nowMs)) {
             return;
         }
-        PlatformCall get = new PlatformCall.Get(LedgerSync.key(mKey.organisation()));
+        PlatformCall get = new PlatformCall.Get(LedgerSync.objectKey(mKey.organisation()));
         mPlatform.submit(nowMs, get, this::onLedger);
     }
 
@@ -130,7 +130,7 @@
                     Failure.of(
                             ErrorKind.IDEMPOTENCY_KEY_REUSED,
                             "top-up "
-                                    + mId
+                                    + mTopUpId
                                     + " of budget "
                                     + mKey
                                     + " was made with "
@@ -159,17 +159,17 @@
             return;
         }
         BudgetRecord budget = decoded.get().budget(mKey.budget());
-        if (budget.openTopUps().contains(mId)) {
+        if (budget.openTopUps().contains(mTopUpId)) {
             markAdded(nowMs, object, false);
             return;
         }
-        Optional<Failure> wrong = check(budget);
+        Optional<Failure> wrong = checkLimits(budget);
         if (wrong.isPresent()) {
             fail(nowMs, wrong.get());
             return;
         }
-        LedgerRecord next = decoded.get().with(mKey.budget(), budget.withTopUp(mId, mTokens));
-        String ledgerKey = LedgerSync.key(mKey.organisation());
+        LedgerRecord next = decoded.get().with(mKey.budget(), budget.withTopUp(mTopUpId, mTokens));
+        String ledgerKey = LedgerSync.objectKey(mKey.organisation());
         String value = Json.encode(next);
         PlatformCall call =
                 ledger instanceof PlatformReply.Found found
@@ -187,7 +187,7 @@
                 });
     }
 
-    private Optional<Failure> check(BudgetRecord budget) {
+    private Optional<Failure> checkLimits(BudgetRecord budget) {
         if (budget.paid() > BudgetRecord.MAX_TOKENS - mTokens) {
             return Optional.of(
                     Failure.of(
@@ -198,7 +198,7 @@
                                     + BudgetRecord.MAX_TOKENS
                                     + " tokens; top up by less"));
         }
-        if (budget.openTopUps().size() >= MAX_OPEN) {
+        if (budget.openTopUps().size() >= MAX_OPEN_TOP_UPS) {
             return Optional.of(
                     Failure.retryAfter(
                             ErrorKind.OVERLOADED,
@@ -216,27 +216,27 @@
                 new PlatformCall.Update(mObjectKey, value, object.version()),
                 (at, reply) -> {
                     if (reply instanceof PlatformReply.Written) {
-                        forgetId(at, byThisRun);
+                        removeOpenId(at, byThisRun);
                     } else {
                         mDone.accept(at, Either.right(byThisRun));
                     }
                 });
     }
 
-    private void forgetId(long nowMs, boolean byThisRun) {
+    private void removeOpenId(long nowMs, boolean byThisRun) {
         new LedgerEdit(
                         mPlatform,
                         mKey.organisation(),
-                        record -> Either.right(without(record)),
+                        record -> Either.right(withoutOpenId(record)),
                         (at, ignored) -> mDone.accept(at, Either.right(byThisRun)))
                 .start(nowMs);
     }
 
-    private Optional<LedgerRecord> without(LedgerRecord record) {
+    private Optional<LedgerRecord> withoutOpenId(LedgerRecord record) {
         BudgetRecord budget = record.budget(mKey.budget());
-        if (!budget.openTopUps().contains(mId)) {
+        if (!budget.openTopUps().contains(mTopUpId)) {
             return Optional.empty();
         }
-        return Optional.of(record.with(mKey.budget(), budget.withoutTopUps(Set.of(mId))));
+        return Optional.of(record.with(mKey.budget(), budget.withoutTopUps(Set.of(mTopUpId))));
     }
 }
--- a/coordination/src/test/java/org/hornbeampass/coordination/budget/AskRoundTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/budget/AskRoundTest.java
@@ -14,51 +14,51 @@
     private static final VmId A = new VmId("a", 1);
     private static final VmId B = new VmId("b", 1);
 
-    private final Set<VmId> mSilent = new HashSet<>();
-    private final AskRound mRound = new AskRound(mSilent);
+    private final Set<VmId> mUnresponsivePeers = new HashSet<>();
+    private final AskRound mRound = new AskRound(mUnresponsivePeers);
 
     @Test
     void roundNobodyWaitsFor_endsUnfailed_andTheNextBeginsWithTheFirstPeer() {
         mRound.start(List.of(A, B));
-        assertThat(mRound.next()).contains(A);
-        mRound.answered(true);
-        mRound.endUnneeded(5);
+        assertThat(mRound.nextPeer()).contains(A);
+        mRound.onAskEnded(true);
+        mRound.endIfIdle(5);
         assertThat(mRound.running()).isFalse();
         assertThat(mRound.failed()).isFalse();
         assertThat(mRound.mayStart(5)).isTrue();
         mRound.start(List.of(A, B));
-        assertThat(mRound.next()).contains(A);
+        assertThat(mRound.nextPeer()).contains(A);
     }
 
     @Test
     void roundWithAnAskUnderWay_isNotEnded() {
         mRound.start(List.of(A, B));
-        mRound.next();
-        mRound.endUnneeded(5);
+        mRound.nextPeer();
+        mRound.endIfIdle(5);
         assertThat(mRound.running()).isTrue();
     }
 
     @Test
     void silentPeer_isAskedLast_alsoByOtherRounds_untilItReplies() {
         mRound.start(List.of(A, B));
-        mRound.next();
-        mRound.answered(false);
-        AskRound other = new AskRound(mSilent);
+        mRound.nextPeer();
+        mRound.onAskEnded(false);
+        AskRound other = new AskRound(mUnresponsivePeers);
         other.start(List.of(A, B));
-        assertThat(other.next()).contains(B);
-        other.answered(true);
-        assertThat(other.next()).contains(A);
-        other.answered(true);
+        assertThat(other.nextPeer()).contains(B);
+        other.onAskEnded(true);
+        assertThat(other.nextPeer()).contains(A);
+        other.onAskEnded(true);
         other.start(List.of(A, B));
-        assertThat(other.next()).contains(A);
+        assertThat(other.nextPeer()).contains(A);
     }
 
     @Test
     void given_isForgottenByTheNextRound() {
         mRound.start(List.of(A));
-        mRound.given();
-        assertThat(mRound.anyGiven()).isTrue();
+        mRound.onTokensReceived();
+        assertThat(mRound.anyTokensReceived()).isTrue();
         mRound.start(List.of(A));
-        assertThat(mRound.anyGiven()).isFalse();
+        assertThat(mRound.anyTokensReceived()).isFalse();
     }
 }
--- a/coordination/src/test/java/org/hornbeampass/coordination/budget/BudgetFaultsTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/budget/BudgetFaultsTest.java
@@ -21,57 +21,57 @@
 
 /** Brings about, one by one, the failures that the budgets are built against. */
 class BudgetFaultsTest {
-    private static BudgetSimulation world(int vms, int homes) {
-        BudgetSimulation world = new BudgetSimulation(vms, GrantPolicy.DEMAND_HORIZON, homes);
-        world.topUp("first", 1_000);
-        return world;
+    private static BudgetSimulation newSimulation(int vms, int homes) {
+        BudgetSimulation simulation = new BudgetSimulation(vms, GrantPolicy.DEMAND_HORIZON, homes);
+        simulation.topUp("first", 1_000);
+        return simulation;
     }
 
-    private static void gone(BudgetSimulation world, int vm) {
-        for (int i = 0; i < world.size(); i++) {
+    private static void declareGone(BudgetSimulation simulation, int vm) {
+        for (int i = 0; i < simulation.size(); i++) {
             if (i != vm) {
-                world.ledger(i).onVmGone(world.nowMs(), world.node(vm).mId);
+                simulation.ledger(i).onVmGone(simulation.nowMs(), simulation.router(vm).mId);
             }
         }
-        world.run(1_000);
+        simulation.run(1_000);
     }
 
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 3, 4, 5, 6})
     void topUp_withAnyOneReplyLost_countsOnce(int lostCall) {
-        BudgetSimulation world = world(1, 1);
-        world.operatorFaultAt(lostCall, PlatformFault.REPLY_LOST);
-        world.topUp("second", 500);
-        world.topUp("second", 500);
-        assertThat(world.statement().paid()).isEqualTo(1_500);
+        BudgetSimulation simulation = newSimulation(1, 1);
+        simulation.operatorFaultAt(lostCall, PlatformFault.REPLY_LOST);
+        simulation.topUp("second", 500);
+        simulation.topUp("second", 500);
+        assertThat(simulation.statement().paid()).isEqualTo(1_500);
     }
 
     @Test
     void topUp_sameIdOtherTokens_isRefused() {
-        assertThat(world(1, 1).topUp("first", 7).getLeft().kind())
+        assertThat(newSimulation(1, 1).topUp("first", 7).getLeft().kind())
                 .isEqualTo(ErrorKind.IDEMPOTENCY_KEY_REUSED);
     }
 
     @Test
     void topUp_beyondTheLargestSum_isRefused() {
-        BudgetSimulation world = world(1, 1);
-        assertThat(world.topUp("huge", BudgetRecord.MAX_TOKENS).getLeft().kind())
+        BudgetSimulation simulation = newSimulation(1, 1);
+        assertThat(simulation.topUp("huge", BudgetRecord.MAX_TOKENS).getLeft().kind())
                 .isEqualTo(ErrorKind.FIELD_INVALID);
-        assertThat(world.topUp("huger", Long.MAX_VALUE).getLeft().kind())
+        assertThat(simulation.topUp("huger", Long.MAX_VALUE).getLeft().kind())
                 .isEqualTo(ErrorKind.FIELD_INVALID);
-        assertThat(world.statement().paid()).isEqualTo(1_000);
+        assertThat(simulation.statement().paid()).isEqualTo(1_000);
     }
 
     @Test
     void closedHolder_thatWakes_spendsWhatItHeldAndIsCountedOnce() {
-        BudgetSimulation world = world(2, 2);
-        Reservation made = world.reserve(0, 400).get();
-        world.node(0).mPaused = true;
-        gone(world, 0);
-        assertThat(world.statement().writtenOff()).isGreaterThanOrEqualTo(400);
-        world.wake(0);
-        world.ledger(0).settle(world.nowMs(), made, 300);
-        BudgetStatement after = world.settle(30_000);
+        BudgetSimulation simulation = newSimulation(2, 2);
+        Reservation made = simulation.reserve(0, 400).get();
+        simulation.router(0).mPaused = true;
+        declareGone(simulation, 0);
+        assertThat(simulation.statement().writtenOff()).isGreaterThanOrEqualTo(400);
+        simulation.resume(0);
+        simulation.ledger(0).settle(simulation.nowMs(), made, 300);
+        BudgetStatement after = simulation.runAndGetStatement(30_000);
         assertThat(after.settled()).isEqualTo(300);
         assertThat(after.writtenOff()).isZero();
         assertThat(after.reconciles()).isTrue();
@@ -79,32 +79,33 @@
 
     @Test
     void router_thatDiesBeforeSettlement_leavesItsReservationWrittenOff() {
-        BudgetSimulation world = world(2, 2);
-        world.reserve(0, 400);
-        world.die(0);
-        gone(world, 0);
-        BudgetStatement after = world.statement();
+        BudgetSimulation simulation = newSimulation(2, 2);
+        simulation.reserve(0, 400);
+        simulation.crash(0);
+        declareGone(simulation, 0);
+        BudgetStatement after = simulation.statement();
         assertThat(after.writtenOff()).isGreaterThanOrEqualTo(400);
         assertThat(after.settled()).isZero();
         assertThat(after.reconciles()).isTrue();
-        Reservation rest = world.reserve(1, after.available()).get();
-        assertThat(world.reserve(1, 1).getLeft().kind()).isEqualTo(ErrorKind.BUDGET_UNREACHABLE);
-        world.ledger(1).settle(world.nowMs(), rest, rest.tokens());
-        assertThat(world.reserve(1, 1).getLeft().kind()).isEqualTo(ErrorKind.BUDGET_EXHAUSTED);
+        Reservation rest = simulation.reserve(1, after.available()).get();
+        assertThat(simulation.reserve(1, 1).getLeft().kind())
+                .isEqualTo(ErrorKind.BUDGET_UNREACHABLE);
+        simulation.ledger(1).settle(simulation.nowMs(), rest, rest.tokens());
+        assertThat(simulation.reserve(1, 1).getLeft().kind()).isEqualTo(ErrorKind.BUDGET_EXHAUSTED);
     }
 
     @Test
     void limit_cutDuringAReservation_isLoweredOnceTheReservationEnds() {
-        BudgetSimulation world = world(1, 1);
-        Reservation made = world.reserve(0, 600).get();
-        BudgetStatement cut = world.lower(100).get();
+        BudgetSimulation simulation = newSimulation(1, 1);
+        Reservation made = simulation.reserve(0, 600).get();
+        BudgetStatement cut = simulation.lower(100).get();
         assertThat(cut.target()).hasValue(100);
         assertThat(cut.paid()).isGreaterThanOrEqualTo(600);
         assertThat(cut.outstanding()).hasSize(1);
-        world.run(40_000);
-        assertThat(world.reserve(0, 1).isLeft()).isTrue();
-        world.ledger(0).settle(world.nowMs(), made, 50);
-        BudgetStatement after = world.settle(60_000);
+        simulation.run(40_000);
+        assertThat(simulation.reserve(0, 1).isLeft()).isTrue();
+        simulation.ledger(0).settle(simulation.nowMs(), made, 50);
+        BudgetStatement after = simulation.runAndGetStatement(60_000);
         assertThat(after.target()).isEmpty();
         assertThat(after.paid()).isEqualTo(100);
         assertThat(after.settled()).isEqualTo(50);
@@ -112,89 +113,92 @@
 
     @Test
     void lower_toMore_isRefused() {
-        assertThat(world(1, 1).lower(1_000).getLeft().kind()).isEqualTo(ErrorKind.FIELD_INVALID);
+        assertThat(newSimulation(1, 1).lower(1_000).getLeft().kind())
+                .isEqualTo(ErrorKind.FIELD_INVALID);
     }
 
     @Test
     void vm_cutOffFromThePlatformOnly_getsTokensFromAPeer() {
-        BudgetSimulation world = world(2, 2);
-        Reservation made = world.reserve(0, 100).get();
-        world.ledger(0).cancel(world.nowMs(), made);
-        world.node(1).mCutFromPlatform = true;
-        assertThat(world.reserve(1, 60).isRight()).isTrue();
+        BudgetSimulation simulation = newSimulation(2, 2);
+        Reservation made = simulation.reserve(0, 100).get();
+        simulation.ledger(0).cancel(simulation.nowMs(), made);
+        simulation.router(1).mCutFromPlatform = true;
+        assertThat(simulation.reserve(1, 60).isRight()).isTrue();
     }
 
     @Test
     void vm_cutOffFromItsPeersOnly_drawsFromThePlatformItself() {
-        BudgetSimulation world = world(2, 1);
-        world.node(1).mCutFromPeers = true;
-        assertThat(world.reserve(1, 60).isRight()).isTrue();
+        BudgetSimulation simulation = newSimulation(2, 1);
+        simulation.router(1).mCutFromPeers = true;
+        assertThat(simulation.reserve(1, 60).isRight()).isTrue();
     }
 
     @Test
     void vm_cutOffFromAll_refusesAsUnreachableWithATimeToRetry() {
-        BudgetSimulation world = world(2, 2);
-        world.node(1).mCutFromPlatform = true;
-        world.node(1).mCutFromPeers = true;
-        Failure failure = world.reserve(1, 60).getLeft();
+        BudgetSimulation simulation = newSimulation(2, 2);
+        simulation.router(1).mCutFromPlatform = true;
+        simulation.router(1).mCutFromPeers = true;
+        Failure failure = simulation.reserve(1, 60).getLeft();
         assertThat(failure.kind()).isEqualTo(ErrorKind.BUDGET_UNREACHABLE);
         assertThat(failure.retryAfterMs()).isPresent();
     }
 
     @Test
     void move_whoseReplyIsLost_isAddedOnce() {
-        BudgetSimulation world = world(2, 1);
-        world.reserve(0, 100);
-        world.node(0).mDropNextReply = true;
-        assertThat(world.reserve(1, 60).isRight()).isTrue();
-        world.run(5_000);
+        BudgetSimulation simulation = newSimulation(2, 1);
+        simulation.reserve(0, 100);
+        simulation.router(0).mDropNextReply = true;
+        assertThat(simulation.reserve(1, 60).isRight()).isTrue();
+        simulation.run(5_000);
         long held = 0;
         for (int i = 0; i < 2; i++) {
-            HoldingView view = world.ledger(i).view(BudgetSimulation.KEY).orElseThrow();
+            HoldingView view = simulation.ledger(i).view(BudgetSimulation.KEY).orElseThrow();
             held += view.free() + view.reserved();
         }
-        assertThat(held).isEqualTo(world.record().budget(BudgetSimulation.KEY.budget()).drawn());
+        assertThat(held)
+                .isEqualTo(simulation.record().budget(BudgetSimulation.KEY.budget()).drawn());
     }
 
     @Test
     void grant_whoseReplyIsLost_isFoundAndReturnedAtShutdown() {
-        BudgetSimulation world = world(1, 1);
-        world.ledger(0)
+        BudgetSimulation simulation = newSimulation(1, 1);
+        simulation
+                .ledger(0)
                 .reserve(
-                        world.nowMs(),
+                        simulation.nowMs(),
                         BudgetSimulation.KEY,
                         new RequestId("r"),
                         100,
                         100,
-                        (at, r) -> world.node(0).mFault = PlatformFault.NONE);
-        world.run(4);
-        world.node(0).mFault = PlatformFault.REPLY_LOST;
-        world.run(3_000);
-        assertThat(world.record().budget(BudgetSimulation.KEY.budget()).drawn()).isPositive();
-        assertThat(world.handOver(0)).isTrue();
-        assertThat(world.statement().available()).isEqualTo(1_000);
+                        (at, r) -> simulation.router(0).mNextFault = PlatformFault.NONE);
+        simulation.run(4);
+        simulation.router(0).mNextFault = PlatformFault.REPLY_LOST;
+        simulation.run(3_000);
+        assertThat(simulation.record().budget(BudgetSimulation.KEY.budget()).drawn()).isPositive();
+        assertThat(simulation.handOver(0)).isTrue();
+        assertThat(simulation.statement().available()).isEqualTo(1_000);
     }
 
     @Test
     void refund_duringAnAmbiguousWrite_isNotHandedOnBeforeTheRecordShowsIt() {
-        BudgetSimulation world = world(2, 1);
-        Reservation made = world.reserve(0, 288).get();
-        world.run(20_000);
-        world.ledger(0).settle(world.nowMs(), made, 231);
-        world.node(0).mFault = PlatformFault.REPLY_LOST;
-        world.ledger(0).handOver(world.nowMs(), at -> {});
-        world.ledger(0).refund(world.nowMs(), BudgetSimulation.KEY, 156);
-        Reservation other = world.reserve(1, 456).get();
-        world.ledger(1).settle(world.nowMs(), other, 0);
-        world.handOver(1);
-        assertThat(BudgetAdmin.audit(BudgetSimulation.ORGANISATION, world.record())).isEmpty();
+        BudgetSimulation simulation = newSimulation(2, 1);
+        Reservation made = simulation.reserve(0, 288).get();
+        simulation.run(20_000);
+        simulation.ledger(0).settle(simulation.nowMs(), made, 231);
+        simulation.router(0).mNextFault = PlatformFault.REPLY_LOST;
+        simulation.ledger(0).handOver(simulation.nowMs(), at -> {});
+        simulation.ledger(0).refund(simulation.nowMs(), BudgetSimulation.KEY, 156);
+        Reservation other = simulation.reserve(1, 456).get();
+        simulation.ledger(1).settle(simulation.nowMs(), other, 0);
+        simulation.handOver(1);
+        assertThat(BudgetAdmin.audit(BudgetSimulation.ORGANISATION, simulation.record())).isEmpty();
     }
 
     @Test
     void ask_namingAnotherAsker_isRefusedAndCounted() {
-        BudgetSimulation world = world(2, 2);
-        world.ledger(0).cancel(world.nowMs(), world.reserve(0, 100).get());
-        VmId named = world.node(1).mId;
+        BudgetSimulation simulation = newSimulation(2, 2);
+        simulation.ledger(0).cancel(simulation.nowMs(), simulation.reserve(0, 100).get());
+        VmId named = simulation.router(1).mId;
         AskGrant ask =
                 new AskGrant(
                         BudgetSimulation.ORGANISATION,
@@ -203,59 +207,60 @@
                         10,
                         10);
         List<PeerMessage> replies = new ArrayList<>();
-        world.ledger(0).onAsk(world.nowMs(), new VmId("other", 1), ask, replies::add);
+        simulation.ledger(0).onAsk(simulation.nowMs(), new VmId("other", 1), ask, replies::add);
         assertThat(replies)
                 .containsExactly(
                         new AskRefused(
                                 BudgetSimulation.ORGANISATION, BudgetSimulation.KEY.budget()));
-        assertThat(world.ledger(0).senderMismatches()).isEqualTo(1);
-        world.ledger(0).onAsk(world.nowMs(), named, ask, replies::add);
+        assertThat(simulation.ledger(0).senderMismatches()).isEqualTo(1);
+        simulation.ledger(0).onAsk(simulation.nowMs(), named, ask, replies::add);
         assertThat(replies.get(1)).isInstanceOf(MoveGrant.class);
-        assertThat(world.ledger(0).senderMismatches()).isEqualTo(1);
+        assertThat(simulation.ledger(0).senderMismatches()).isEqualTo(1);
     }
 
     @Test
     void move_namingAnotherGiver_isIgnoredAndCounted() {
-        BudgetSimulation world = world(2, 2);
-        VmId giver = world.node(1).mId;
+        BudgetSimulation simulation = newSimulation(2, 2);
+        VmId giver = simulation.router(1).mId;
         MoveGrant move =
                 new MoveGrant(
                         BudgetSimulation.ORGANISATION,
                         BudgetSimulation.KEY.budget(),
                         giver,
-                        world.node(0).mId,
+                        simulation.router(0).mId,
                         1,
                         new HolderId(giver, 0),
                         500,
                         0);
         List<PeerMessage> replies = new ArrayList<>();
         VmId otherIncarnation = new VmId(giver.name(), giver.incarnation() + 1);
-        world.ledger(0).onMove(world.nowMs(), otherIncarnation, move, replies::add);
+        simulation.ledger(0).onMove(simulation.nowMs(), otherIncarnation, move, replies::add);
         assertThat(replies).isEmpty();
-        assertThat(world.ledger(0).view(BudgetSimulation.KEY)).isEmpty();
-        assertThat(world.ledger(0).senderMismatches()).isEqualTo(1);
+        assertThat(simulation.ledger(0).view(BudgetSimulation.KEY)).isEmpty();
+        assertThat(simulation.ledger(0).senderMismatches()).isEqualTo(1);
     }
 
     @Test
     void topUp_met390VmsAtOnce_isSharedWithABoundedNumberOfCalls() {
-        BudgetSimulation world = new BudgetSimulation(390, GrantPolicy.DEMAND_HORIZON, 9);
-        world.topUp("large", 100_000_000);
+        BudgetSimulation simulation = new BudgetSimulation(390, GrantPolicy.DEMAND_HORIZON, 9);
+        simulation.topUp("large", 100_000_000);
         int[] admitted = new int[1];
         for (int vm = 0; vm < 390; vm++) {
-            world.ledger(vm)
+            simulation
+                    .ledger(vm)
                     .reserve(
-                            world.nowMs(),
+                            simulation.nowMs(),
                             BudgetSimulation.KEY,
                             new RequestId("r" + vm),
                             1_000,
                             5_000,
                             (at, r) -> admitted[0] += r.isRight() ? 1 : 0);
         }
-        world.run(6_000);
+        simulation.run(6_000);
         assertThat(admitted[0]).isEqualTo(390);
         long calls = 0;
         for (int vm = 0; vm < 390; vm++) {
-            calls += world.ledger(vm).platformCalls();
+            calls += simulation.ledger(vm).platformCalls();
         }
         assertThat(calls).isLessThan(390);
     }
--- a/coordination/src/test/java/org/hornbeampass/coordination/budget/BudgetInvariant.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/budget/BudgetInvariant.java
@@ -11,28 +11,31 @@
     SPENT_WITHIN_PAID {
         @Override
         boolean holds(ScheduleRun run, BudgetRecord record) {
-            return run.spent() <= record.paid();
+            return run.spentTokens() <= record.paid();
         }
     },
     /** What is spent and held anywhere, also by dead and paused VMs, was drawn. */
     HELD_AND_SPENT_WITHIN_DRAWN {
         @Override
         boolean holds(ScheduleRun run, BudgetRecord record) {
-            return run.spent() + run.held() <= record.drawn();
+            return run.spentTokens() + run.heldTokens() <= record.drawn();
         }
     },
     /** The audit of the record finds nothing. */
     AUDIT_FINDS_NOTHING {
         @Override
         boolean holds(ScheduleRun run, BudgetRecord record) {
-            return BudgetAdmin.audit(BudgetSimulation.ORGANISATION, run.world().record()).isEmpty();
+            return BudgetAdmin.audit(BudgetSimulation.ORGANISATION, run.simulation().record())
+                    .isEmpty();
         }
     },
     /** Each top-up counts at most once, and once where the operator was told so. */
     TOP_UP_COUNTS_ONCE {
         @Override
         boolean holds(ScheduleRun run, BudgetRecord record) {
-            boolean once = record.paid() >= run.topUpsDone() && record.paid() <= run.topUpsAsked();
+            boolean once =
+                    record.paid() >= run.tokensOfCompletedTopUps()
+                            && record.paid() <= run.tokensOfAllTopUps();
             return run.paidWasSet() || once;
         }
     },
@@ -47,7 +50,7 @@
     ANSWERED_IN_TIME {
         @Override
         boolean holds(ScheduleRun run, BudgetRecord record) {
-            return run.overdue() == 0;
+            return run.overdueRequests() == 0;
         }
     },
     /** Nothing is counted as settled that was not spent; with no deaths, all and no more is. */
@@ -55,9 +58,9 @@
         @Override
         boolean holds(ScheduleRun run, BudgetRecord record) {
             if (run.lossPossible()) {
-                return record.drawn() >= run.spent();
+                return record.drawn() >= run.spentTokens();
             }
-            return record.settled() == run.spent() && record.drawn() == run.spent();
+            return record.settled() == run.spentTokens() && record.drawn() == run.spentTokens();
         }
 
         @Override
@@ -73,7 +76,7 @@
     }
 
     /** Returns the invariants that do not hold. */
-    static List<BudgetInvariant> broken(ScheduleRun run, boolean atTheEnd) {
+    static List<BudgetInvariant> findBroken(ScheduleRun run, boolean atTheEnd) {
         BudgetRecord record = run.record();
         return Arrays.stream(values())
                 .filter(i -> atTheEnd || !i.onlyAtTheEnd())
--- a/coordination/src/test/java/org/hornbeampass/coordination/budget/BudgetMutant.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/budget/BudgetMutant.java
@@ -16,7 +16,8 @@
 import java.util.function.BiConsumer;
 
 /**
- * A world with one rule of the budgets deliberately broken, to prove the check that must catch it.
+ * A simulation with one rule of the budgets deliberately broken, to prove the check that must catch
+ * it.
  *
  * <p>Immutable.
  */
@@ -85,7 +86,7 @@
     /** A move that is sent again is added again. */
     MOVE_IS_ADDED_TWICE {
         @Override
-        PeerMessage sent(PeerMessage message, long order) {
+        PeerMessage rewriteMessage(PeerMessage message, long order) {
             if (!(message instanceof MoveGrant move)) {
                 return message;
             }
@@ -158,7 +159,7 @@
     }
 
     /** Returns what is delivered in place of a message. */
-    PeerMessage sent(PeerMessage message, long order) {
+    PeerMessage rewriteMessage(PeerMessage message, long order) {
         return message;
     }
 
--- a/coordination/src/test/java/org/hornbeampass/coordination/budget/BudgetMutantsTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/budget/BudgetMutantsTest.java
@@ -22,10 +22,10 @@
         "TICKS_STOP, ANSWERED_IN_TIME"
     })
     void check_catchesTheBrokenRule(BudgetMutant mutant, BudgetInvariant check) {
-        assertThat(caught(mutant, check)).isTrue();
+        assertThat(isCaught(mutant, check)).isTrue();
     }
 
-    private static boolean caught(BudgetMutant mutant, BudgetInvariant check) {
+    private static boolean isCaught(BudgetMutant mutant, BudgetInvariant check) {
         for (long seed = 0; seed < SCHEDULES; seed++) {
             if (BudgetSchedules.run(seed, mutant).run(BudgetSchedules.of(seed)).contains(check)) {
                 return true;
--- a/coordination/src/test/java/org/hornbeampass/coordination/budget/BudgetSchedules.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/budget/BudgetSchedules.java
@@ -53,7 +53,7 @@
         for (long seed = from; seed < to; seed++) {
             ScheduleRun run = run(seed, BudgetMutant.NONE);
             List<BudgetInvariant> found = run.run(of(seed));
-            spent += run.spent();
+            spent += run.spentTokens();
             if (!found.isEmpty()) {
                 broken++;
                 System.out.println("seed " + seed + " breaks " + found + ": " + run);
--- a/coordination/src/test/java/org/hornbeampass/coordination/budget/BudgetSimulation.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/budget/BudgetSimulation.java
@@ -57,16 +57,16 @@
                                     Set.of(KEY.budget()),
                                     Map.of())),
                     Map.of());
-    private static final long CALL_MS = 2;
+    private static final long MIN_LATENCY_MS = 2;
     private static final long TIMEOUT_MS = 500;
     private static final long TICK_MS = 100;
 
     private final MemoryPlatform mStore = new MemoryPlatform();
     private final PriorityQueue<Event> mEvents = new PriorityQueue<>();
-    private final List<SimulatedRouter> mNodes = new ArrayList<>();
+    private final List<SimulatedRouter> mRouters = new ArrayList<>();
     private final GrantPolicy mPolicy;
-    private final int mHomes;
-    private final BudgetAdmin mAccounts;
+    private final int mHomeCount;
+    private final BudgetAdmin mAdmin;
     private final BudgetMutant mMutant;
     private final Random mRandom;
     private PlatformFault mOperatorFault = PlatformFault.NONE;
@@ -101,13 +101,13 @@
     static final class SimulatedRouter {
         final BudgetLedger mLedger;
         final VmId mId;
-        PlatformFault mFault = PlatformFault.NONE;
+        PlatformFault mNextFault = PlatformFault.NONE;
         boolean mCutFromPlatform;
         boolean mCutFromPeers;
         boolean mDropNextReply;
         boolean mPaused;
-        boolean mDead;
-        final List<Runnable> mHeld = new ArrayList<>();
+        boolean mCrashed;
+        final List<Runnable> mDelayedActions = new ArrayList<>();
 
         SimulatedRouter(VmId id, BudgetLedger ledger) {
             mId = id;
@@ -119,28 +119,28 @@
         this(vms, policy, homes, BudgetMutant.NONE, 0);
     }
 
-    /** Creates a world in which one rule may be broken, with latencies drawn from a seed. */
+    /** Creates a simulation in which one rule may be broken, with latencies drawn from a seed. */
     BudgetSimulation(int vms, GrantPolicy policy, int homes, BudgetMutant mutant, long seed) {
         mPolicy = policy;
-        mHomes = homes;
+        mHomeCount = homes;
         mMutant = mutant;
         mRandom = new Random(seed);
-        mAccounts = new BudgetAdmin(new VmId("operator", 1), operatorPlatform());
+        mAdmin = new BudgetAdmin(new VmId("operator", 1), operatorPlatform());
         for (int i = 0; i < vms; i++) {
             start("vm" + i, 1);
         }
     }
 
     /** Stops a VM's process for good. */
-    void die(int vm) {
-        mNodes.get(vm).mDead = true;
+    void crash(int vm) {
+        mRouters.get(vm).mCrashed = true;
         mLive = Optional.empty();
     }
 
     /** Starts a VM, or its next incarnation. */
     int start(String name, long incarnation) {
         VmId id = new VmId(name, incarnation);
-        int index = mNodes.size();
+        int index = mRouters.size();
         BudgetLedger ledger =
                 new BudgetLedger(
                         id,
@@ -150,7 +150,7 @@
                         BudgetSettings.defaults(),
                         mPolicy);
         ledger.onConfig(mNowMs, CONFIG);
-        mNodes.add(new SimulatedRouter(id, ledger));
+        mRouters.add(new SimulatedRouter(id, ledger));
         mLive = Optional.empty();
         scheduleTick(index);
         return index;
@@ -172,12 +172,12 @@
         mOperatorCallsLater = callsLater;
     }
 
-    SimulatedRouter node(int vm) {
-        return mNodes.get(vm);
+    SimulatedRouter router(int vm) {
+        return mRouters.get(vm);
     }
 
     BudgetLedger ledger(int vm) {
-        return mNodes.get(vm).mLedger;
+        return mRouters.get(vm).mLedger;
     }
 
     long nowMs() {
@@ -185,17 +185,19 @@
     }
 
     int size() {
-        return mNodes.size();
+        return mRouters.size();
     }
 
-    BudgetAdmin accounts() {
-        return mAccounts;
+    BudgetAdmin admin() {
+        return mAdmin;
     }
 
     @Override
     public List<VmId> live() {
         if (mLive.isEmpty()) {
-            mLive = Optional.of(mNodes.stream().filter(n -> !n.mDead).map(n -> n.mId).toList());
+            mLive =
+                    Optional.of(
+                            mRouters.stream().filter(n -> !n.mCrashed).map(n -> n.mId).toList());
         }
         return mLive.get();
     }
@@ -203,44 +205,44 @@
     @Override
     public List<VmId> homes(OrganisationId organisation) {
         List<VmId> live = live();
-        return live.subList(0, Math.min(mHomes, live.size()));
+        return live.subList(0, Math.min(mHomeCount, live.size()));
     }
 
     private void scheduleTick(int vm) {
-        at(
+        schedule(
                 mNowMs + TICK_MS,
                 () -> {
-                    if (mNodes.get(vm).mDead || !mMutant.ticks()) {
+                    if (mRouters.get(vm).mCrashed || !mMutant.ticks()) {
                         return;
                     }
-                    at(vm, () -> ledger(vm).tick(mNowMs));
+                    runOn(vm, () -> ledger(vm).tick(mNowMs));
                     scheduleTick(vm);
                 });
     }
 
-    private void at(long atMs, Runnable action) {
+    private void schedule(long atMs, Runnable action) {
         mEvents.add(new Event(atMs, mOrder++, action));
     }
 
     /** Runs an action on a VM: now, once it wakes, or never. */
-    void at(int vm, Runnable action) {
-        SimulatedRouter node = mNodes.get(vm);
-        if (node.mDead) {
+    void runOn(int vm, Runnable action) {
+        SimulatedRouter router = mRouters.get(vm);
+        if (router.mCrashed) {
             return;
         }
-        if (node.mPaused) {
-            node.mHeld.add(action);
+        if (router.mPaused) {
+            router.mDelayedActions.add(action);
             return;
         }
         action.run();
     }
 
-    void wake(int vm) {
-        SimulatedRouter node = mNodes.get(vm);
-        node.mPaused = false;
-        List<Runnable> held = List.copyOf(node.mHeld);
-        node.mHeld.clear();
-        if (!node.mDead) {
+    void resume(int vm) {
+        SimulatedRouter router = mRouters.get(vm);
+        router.mPaused = false;
+        List<Runnable> held = List.copyOf(router.mDelayedActions);
+        router.mDelayedActions.clear();
+        if (!router.mCrashed) {
             held.forEach(Runnable::run);
         }
     }
@@ -257,7 +259,7 @@
     }
 
     /** Runs a span of time and returns the statement after it. */
-    BudgetStatement settle(long forMs) {
+    BudgetStatement runAndGetStatement(long forMs) {
         run(forMs);
         return statement();
     }
@@ -283,15 +285,15 @@
     }
 
     Either<Failure, BudgetStatement> topUp(String id, long tokens) {
-        return await(done -> mAccounts.topUp(mNowMs, KEY, id, tokens, done));
+        return await(done -> mAdmin.topUp(mNowMs, KEY, id, tokens, done));
     }
 
     Either<Failure, BudgetStatement> setPaid(long tokens) {
-        return await(done -> mAccounts.setPaid(mNowMs, KEY, tokens, done));
+        return await(done -> mAdmin.setPaid(mNowMs, KEY, tokens, done));
     }
 
     Either<Failure, BudgetStatement> lower(long tokens) {
-        return await(done -> mAccounts.lowerPaid(mNowMs, KEY, tokens, done));
+        return await(done -> mAdmin.lowerPaid(mNowMs, KEY, tokens, done));
     }
 
     /** Starts something and runs until its outcome is there. */
@@ -327,23 +329,25 @@
 
     private Platform platformOf(int vm) {
         return (nowMs, call, done) -> {
-            SimulatedRouter node = mNodes.get(vm);
-            PlatformFault fault = node.mCutFromPlatform ? PlatformFault.LOST : node.mFault;
-            node.mFault = PlatformFault.NONE;
-            call(fault, call, r -> at(vm, () -> done.accept(mNowMs, r)));
+            SimulatedRouter router = mRouters.get(vm);
+            PlatformFault fault = router.mCutFromPlatform ? PlatformFault.LOST : router.mNextFault;
+            router.mNextFault = PlatformFault.NONE;
+            call(fault, call, r -> runOn(vm, () -> done.accept(mNowMs, r)));
         };
     }
 
     private void call(PlatformFault fault, PlatformCall call, Consumer<PlatformReply> reply) {
         boolean lost = fault != PlatformFault.NONE;
         if (lost) {
-            at(mNowMs + TIMEOUT_MS, () -> reply.accept(new PlatformReply.Unavailable("timeout")));
+            schedule(
+                    mNowMs + TIMEOUT_MS,
+                    () -> reply.accept(new PlatformReply.Unavailable("timeout")));
         }
         if (fault == PlatformFault.LOST) {
             return;
         }
         long arrivesMs = fault == PlatformFault.LATE ? 3 * TIMEOUT_MS : latency();
-        at(mNowMs + arrivesMs, () -> apply(call, lost, reply));
+        schedule(mNowMs + arrivesMs, () -> apply(call, lost, reply));
     }
 
     private void apply(PlatformCall call, boolean lost, Consumer<PlatformReply> reply) {
@@ -356,27 +360,27 @@
                         mOnWrite.run();
                     }
                     if (!lost) {
-                        at(mNowMs + latency(), () -> reply.accept(r));
+                        schedule(mNowMs + latency(), () -> reply.accept(r));
                     }
                 });
     }
 
     /** Mostly a few milliseconds, now and then longer than any timeout. */
     private long latency() {
-        return mRandom.nextInt(50) == 0 ? 1_200 : CALL_MS + mRandom.nextInt(8);
+        return mRandom.nextInt(50) == 0 ? 1_200 : MIN_LATENCY_MS + mRandom.nextInt(8);
     }
 
     private int find(String name) {
-        for (int i = mNodes.size() - 1; i >= 0; i--) {
-            if (mNodes.get(i).mId.name().equals(name)) {
+        for (int i = mRouters.size() - 1; i >= 0; i--) {
+            if (mRouters.get(i).mId.name().equals(name)) {
                 return i;
             }
         }
         return -1;
     }
 
-    private boolean linked(int from, int to) {
-        return to >= 0 && !mNodes.get(from).mCutFromPeers && !mNodes.get(to).mCutFromPeers;
+    private boolean arePeersConnected(int from, int to) {
+        return to >= 0 && !mRouters.get(from).mCutFromPeers && !mRouters.get(to).mCutFromPeers;
     }
 
     private PeerNetwork peersOf(int vm) {
@@ -393,12 +397,12 @@
                     PeerMessage request,
                     long timeoutMs,
                     BiConsumer<Long, Either<Failure, PeerMessage>> done) {
-                ask(vm, find(vmName), request, timeoutMs, done);
+                sendRequest(vm, find(vmName), request, timeoutMs, done);
             }
         };
     }
 
-    private void ask(
+    private void sendRequest(
             int from,
             int to,
             PeerMessage request,
@@ -408,31 +412,31 @@
         Consumer<Either<Failure, PeerMessage>> once =
                 r -> {
                     if (answered.compareAndSet(false, true)) {
-                        at(from, () -> done.accept(mNowMs, r));
+                        runOn(from, () -> done.accept(mNowMs, r));
                     }
                 };
         Failure late = Failure.of(ErrorKind.DEADLINE_EXCEEDED, "no reply");
-        at(mNowMs + timeoutMs, () -> once.accept(Either.left(late)));
+        schedule(mNowMs + timeoutMs, () -> once.accept(Either.left(late)));
         deliver(
                 from,
                 to,
                 request,
                 reply -> {
-                    boolean dropped = mNodes.get(to).mDropNextReply;
-                    mNodes.get(to).mDropNextReply = false;
-                    if (linked(from, to) && !dropped) {
-                        at(mNowMs + latency(), () -> once.accept(Either.right(reply)));
+                    boolean dropped = mRouters.get(to).mDropNextReply;
+                    mRouters.get(to).mDropNextReply = false;
+                    if (arePeersConnected(from, to) && !dropped) {
+                        schedule(mNowMs + latency(), () -> once.accept(Either.right(reply)));
                     }
                 });
     }
 
     private void deliver(int from, int to, PeerMessage message, Consumer<PeerMessage> reply) {
-        if (!linked(from, to)) {
+        if (!arePeersConnected(from, to)) {
             return;
         }
-        VmId sender = mNodes.get(from).mId;
-        PeerMessage sent = mMutant.sent(message, mOrder);
-        at(mNowMs + latency(), () -> at(to, () -> handle(to, sender, sent, reply)));
+        VmId sender = mRouters.get(from).mId;
+        PeerMessage sent = mMutant.rewriteMessage(message, mOrder);
+        schedule(mNowMs + latency(), () -> runOn(to, () -> handle(to, sender, sent, reply)));
     }
 
     private void handle(int to, VmId from, PeerMessage message, Consumer<PeerMessage> reply) {
--- a/coordination/src/test/java/org/hornbeampass/coordination/budget/ScheduleRun.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/budget/ScheduleRun.java
@@ -21,23 +21,23 @@
  * <p>Not thread-safe.
  */
 final class ScheduleRun {
-    private static final int MAX_NODES = 7;
-    private static final long FRESH_MS = 2_600;
-    private static final long KEEP_MS = 10_000;
-    private static final long SLACK_MS = 200;
-
-    private final BudgetSimulation mWorld;
-    private final List<List<Reservation>> mOpen = new ArrayList<>();
-    private final List<Long> mSettledAt = new ArrayList<>();
-    private final Map<String, Long> mAsked = new HashMap<>();
+    private static final int MAX_ROUTERS = 7;
+    private static final long REFUSAL_WINDOW_MS = 2_600;
+    private static final long HISTORY_MS = 10_000;
+    private static final long ANSWER_TOLERANCE_MS = 200;
+
+    private final BudgetSimulation mSimulation;
+    private final List<List<Reservation>> mOpenReservations = new ArrayList<>();
+    private final List<Long> mSettledByRouter = new ArrayList<>();
+    private final Map<String, Long> mTopUpsAsked = new HashMap<>();
     private final Set<String> mTopUpsDone = new HashSet<>();
     private final Deque<Spendable> mSpendable = new ArrayDeque<>();
     private final List<String> mWrongRefusals = new ArrayList<>();
     private long mSpent;
-    private long mEndedOnDead;
+    private long mEndedOnCrashed;
     private long mRefunded;
-    private long mAskedRequests;
-    private final Map<RequestId, Waiting> mWaiting = new HashMap<>();
+    private long mRequestCount;
+    private final Map<RequestId, WaitingRequest> mWaitingRequests = new HashMap<>();
     private boolean mPaidWasSet;
     private boolean mLossPossible;
 
@@ -45,29 +45,29 @@
     private record Spendable(long atMs, long tokens) {}
 
     /** A request that has no answer yet. */
-    private record Waiting(int vm, long untilMs) {}
+    private record WaitingRequest(int vm, long untilMs) {}
 
     ScheduleRun(int homes, BudgetMutant mutant, long seed) {
-        mWorld = new BudgetSimulation(3, GrantPolicy.DEMAND_HORIZON, homes, mutant, seed);
-        mWorld.onWrite(this::note);
+        mSimulation = new BudgetSimulation(3, GrantPolicy.DEMAND_HORIZON, homes, mutant, seed);
+        mSimulation.onWrite(this::recordSpendable);
     }
 
-    BudgetSimulation world() {
-        return mWorld;
+    BudgetSimulation simulation() {
+        return mSimulation;
     }
 
     /** Runs steps and checks all invariants after each; returns those broken first. */
     List<BudgetInvariant> run(List<ScheduleStep> steps) {
         for (ScheduleStep step : steps) {
             step.kind().run(this, step.vm(), step.amount());
-            note();
-            List<BudgetInvariant> broken = BudgetInvariant.broken(this, false);
+            recordSpendable();
+            List<BudgetInvariant> broken = BudgetInvariant.findBroken(this, false);
             if (!broken.isEmpty()) {
                 return broken;
             }
         }
-        end();
-        return BudgetInvariant.broken(this, true);
+        endSchedule();
+        return BudgetInvariant.findBroken(this, true);
     }
 
     /** Returns the figures, for a failed check. */
@@ -76,90 +76,92 @@
         return "spent "
                 + mSpent
                 + ", held "
-                + held()
+                + heldTokens()
                 + ", "
                 + record()
                 + ", top-ups from "
-                + topUpsDone()
+                + tokensOfCompletedTopUps()
                 + " to "
-                + topUpsAsked()
+                + tokensOfAllTopUps()
                 + ", overdue "
-                + overdue()
+                + overdueRequests()
                 + ", refusals "
                 + mWrongRefusals;
     }
 
-    private void note() {
+    private void recordSpendable() {
         BudgetRecord record = record();
-        mSpendable.addLast(new Spendable(mWorld.nowMs(), record.paid() - record.writtenOff()));
-        while (mSpendable.size() > 1 && mSpendable.peekFirst().atMs() < mWorld.nowMs() - KEEP_MS) {
+        mSpendable.addLast(new Spendable(mSimulation.nowMs(), record.paid() - record.writtenOff()));
+        while (mSpendable.size() > 1
+                && mSpendable.peekFirst().atMs() < mSimulation.nowMs() - HISTORY_MS) {
             mSpendable.removeFirst();
         }
     }
 
     /** Heals everything, ends all requests and hands all over. */
-    private void end() {
-        for (int i = 0; i < mWorld.size(); i++) {
-            BudgetSimulation.SimulatedRouter node = mWorld.node(i);
-            node.mCutFromPlatform = false;
-            node.mCutFromPeers = false;
-            node.mDropNextReply = false;
-            node.mFault = BudgetSimulation.PlatformFault.NONE;
-            mWorld.wake(i);
+    private void endSchedule() {
+        for (int i = 0; i < mSimulation.size(); i++) {
+            BudgetSimulation.SimulatedRouter router = mSimulation.router(i);
+            router.mCutFromPlatform = false;
+            router.mCutFromPeers = false;
+            router.mDropNextReply = false;
+            router.mNextFault = BudgetSimulation.PlatformFault.NONE;
+            mSimulation.resume(i);
         }
-        mWorld.run(20_000);
-        for (int i = 0; i < mWorld.size(); i++) {
-            while (i < mOpen.size() && !mOpen.get(i).isEmpty()) {
+        mSimulation.run(20_000);
+        for (int i = 0; i < mSimulation.size(); i++) {
+            while (i < mOpenReservations.size() && !mOpenReservations.get(i).isEmpty()) {
                 settleOn(i, 0, 500);
             }
         }
-        for (int i = 0; i < mWorld.size(); i++) {
-            if (!mWorld.node(i).mDead) {
-                mWorld.ledger(i).handOver(mWorld.nowMs(), at -> {});
+        for (int i = 0; i < mSimulation.size(); i++) {
+            if (!mSimulation.router(i).mCrashed) {
+                mSimulation.ledger(i).handOver(mSimulation.nowMs(), at -> {});
             }
         }
-        mWorld.run(60_000);
+        mSimulation.run(60_000);
     }
 
     BudgetRecord record() {
-        return mWorld.record().budget(BudgetSimulation.KEY.budget());
+        return mSimulation.record().budget(BudgetSimulation.KEY.budget());
     }
 
     int index(int vm) {
-        return vm % mWorld.size();
+        return vm % mSimulation.size();
     }
 
-    BudgetSimulation.SimulatedRouter node(int vm) {
-        return mWorld.node(index(vm));
+    BudgetSimulation.SimulatedRouter router(int vm) {
+        return mSimulation.router(index(vm));
     }
 
-    private List<Reservation> open(int index) {
-        while (mOpen.size() <= index) {
-            mOpen.add(new ArrayList<>());
-            mSettledAt.add(0L);
+    private List<Reservation> openReservations(int index) {
+        while (mOpenReservations.size() <= index) {
+            mOpenReservations.add(new ArrayList<>());
+            mSettledByRouter.add(0L);
         }
-        return mOpen.get(index);
+        return mOpenReservations.get(index);
     }
 
     void reserve(int vm, long tokens, long waitMs) {
         int index = index(vm);
-        BudgetSimulation.SimulatedRouter node = mWorld.node(index);
-        if (node.mDead || node.mPaused) {
+        BudgetSimulation.SimulatedRouter router = mSimulation.router(index);
+        if (router.mCrashed || router.mPaused) {
             return;
         }
-        mAskedRequests++;
-        open(index);
-        RequestId id = new RequestId("r" + mAskedRequests);
-        mWaiting.put(id, new Waiting(index, mWorld.nowMs() + waitMs + SLACK_MS));
-        node.mLedger.reserve(
-                mWorld.nowMs(),
+        mRequestCount++;
+        openReservations(index);
+        RequestId id = new RequestId("r" + mRequestCount);
+        mWaitingRequests.put(
+                id, new WaitingRequest(index, mSimulation.nowMs() + waitMs + ANSWER_TOLERANCE_MS));
+        router.mLedger.reserve(
+                mSimulation.nowMs(),
                 BudgetSimulation.KEY,
                 id,
                 tokens,
                 waitMs,
                 (at, outcome) -> {
-                    mWaiting.remove(id);
-                    outcome.peek(r -> open(index).add(r));
+                    mWaitingRequests.remove(id);
+                    outcome.peek(r -> openReservations(index).add(r));
                     outcome.peekLeft(f -> checkRefusal(tokens, f));
                 });
     }
@@ -171,10 +173,10 @@
         if (failure.kind() != ErrorKind.BUDGET_EXHAUSTED) {
             return;
         }
-        note();
+        recordSpendable();
         long least =
                 mSpendable.stream()
-                        .filter(s -> s.atMs() >= mWorld.nowMs() - FRESH_MS)
+                        .filter(s -> s.atMs() >= mSimulation.nowMs() - REFUSAL_WINDOW_MS)
                         .mapToLong(Spendable::tokens)
                         .min()
                         .orElse(0);
@@ -186,46 +188,49 @@
 
     void settle(int vm, int amount) {
         int index = index(vm);
-        List<Reservation> open = open(index);
-        if (open.isEmpty() || mWorld.node(index).mDead || mWorld.node(index).mPaused) {
+        List<Reservation> open = openReservations(index);
+        if (open.isEmpty()
+                || mSimulation.router(index).mCrashed
+                || mSimulation.router(index).mPaused) {
             return;
         }
         settleOn(index, amount % open.size(), amount);
     }
 
     private void settleOn(int index, int which, int amount) {
-        Reservation made = mOpen.get(index).remove(which);
+        Reservation made = mOpenReservations.get(index).remove(which);
         long used = made.tokens() * amount / 900;
-        if (mWorld.node(index).mDead) {
+        if (mSimulation.router(index).mCrashed) {
             mSpent += Math.min(used, made.tokens());
-            mEndedOnDead += made.tokens();
+            mEndedOnCrashed += made.tokens();
             return;
         }
-        mWorld.ledger(index).settle(mWorld.nowMs(), made, used);
+        mSimulation.ledger(index).settle(mSimulation.nowMs(), made, used);
         mSpent += Math.min(used, made.tokens());
-        mSettledAt.set(index, mSettledAt.get(index) + Math.min(used, made.tokens()));
+        mSettledByRouter.set(index, mSettledByRouter.get(index) + Math.min(used, made.tokens()));
     }
 
     void refund(int vm, long tokens) {
         int index = index(vm);
-        open(index);
-        BudgetSimulation.SimulatedRouter node = mWorld.node(index);
-        long most = Math.min(tokens, mSettledAt.get(index));
-        if (node.mDead || node.mPaused || most == 0) {
+        openReservations(index);
+        BudgetSimulation.SimulatedRouter router = mSimulation.router(index);
+        long most = Math.min(tokens, mSettledByRouter.get(index));
+        if (router.mCrashed || router.mPaused || most == 0) {
             return;
         }
-        node.mLedger.refund(mWorld.nowMs(), BudgetSimulation.KEY, most);
-        mSettledAt.set(index, mSettledAt.get(index) - most);
+        router.mLedger.refund(mSimulation.nowMs(), BudgetSimulation.KEY, most);
+        mSettledByRouter.set(index, mSettledByRouter.get(index) - most);
         mSpent -= most;
         mRefunded += most;
         mLossPossible = true;
     }
 
     void topUp(String id, long tokens) {
-        mAsked.put(id, tokens);
-        mWorld.accounts()
+        mTopUpsAsked.put(id, tokens);
+        mSimulation
+                .admin()
                 .topUp(
-                        mWorld.nowMs(),
+                        mSimulation.nowMs(),
                         BudgetSimulation.KEY,
                         id,
                         tokens,
@@ -234,20 +239,22 @@
 
     void setPaid(long tokens) {
         mPaidWasSet = true;
-        mWorld.accounts().setPaid(mWorld.nowMs(), BudgetSimulation.KEY, tokens, (at, r) -> {});
+        mSimulation
+                .admin()
+                .setPaid(mSimulation.nowMs(), BudgetSimulation.KEY, tokens, (at, r) -> {});
     }
 
     /** Stops a process with all it holds; another incarnation may start. */
-    void die(int vm, boolean restart) {
+    void crash(int vm, boolean restart) {
         int index = index(vm);
-        BudgetSimulation.SimulatedRouter node = mWorld.node(index);
-        if (node.mDead || mWorld.size() >= MAX_NODES) {
+        BudgetSimulation.SimulatedRouter router = mSimulation.router(index);
+        if (router.mCrashed || mSimulation.size() >= MAX_ROUTERS) {
             return;
         }
-        mWorld.die(index);
+        mSimulation.crash(index);
         mLossPossible = true;
         if (restart) {
-            mWorld.start(node.mId.name(), node.mId.incarnation() + 1 + mWorld.size());
+            mSimulation.start(router.mId.name(), router.mId.incarnation() + 1 + mSimulation.size());
         }
     }
 
@@ -255,30 +262,35 @@
     void declareGone(int vm) {
         int gone = index(vm);
         mLossPossible = true;
-        for (int i = 0; i < mWorld.size(); i++) {
+        for (int i = 0; i < mSimulation.size(); i++) {
             int other = i;
             if (other != gone) {
-                mWorld.at(
+                mSimulation.runOn(
                         other,
-                        () -> mWorld.ledger(other).onVmGone(mWorld.nowMs(), mWorld.node(gone).mId));
+                        () ->
+                                mSimulation
+                                        .ledger(other)
+                                        .onVmGone(
+                                                mSimulation.nowMs(), mSimulation.router(gone).mId));
             }
         }
     }
 
     void handOver(int vm) {
         int index = index(vm);
-        mWorld.at(index, () -> mWorld.ledger(index).handOver(mWorld.nowMs(), at -> {}));
+        mSimulation.runOn(
+                index, () -> mSimulation.ledger(index).handOver(mSimulation.nowMs(), at -> {}));
     }
 
-    long spent() {
+    long spentTokens() {
         return mSpent;
     }
 
     /** Returns what all processes, dead and paused ones too, hold by their own books. */
-    long held() {
-        long sum = -mEndedOnDead;
-        for (int i = 0; i < mWorld.size(); i++) {
-            HoldingView view = mWorld.ledger(i).view(BudgetSimulation.KEY).orElse(null);
+    long heldTokens() {
+        long sum = -mEndedOnCrashed;
+        for (int i = 0; i < mSimulation.size(); i++) {
+            HoldingView view = mSimulation.ledger(i).view(BudgetSimulation.KEY).orElse(null);
             sum += view == null ? 0 : view.free() + view.reserved();
         }
         return sum;
@@ -289,10 +301,13 @@
     }
 
     /** Returns the number of requests whose wait is over and that have no answer. */
-    long overdue() {
-        return mWaiting.values().stream()
-                .filter(w -> w.untilMs() < mWorld.nowMs())
-                .filter(w -> !mWorld.node(w.vm()).mPaused && !mWorld.node(w.vm()).mDead)
+    long overdueRequests() {
+        return mWaitingRequests.values().stream()
+                .filter(w -> w.untilMs() < mSimulation.nowMs())
+                .filter(
+                        w ->
+                                !mSimulation.router(w.vm()).mPaused
+                                        && !mSimulation.router(w.vm()).mCrashed)
                 .count();
     }
 
@@ -305,11 +320,11 @@
         return mLossPossible;
     }
 
-    long topUpsDone() {
-        return mTopUpsDone.stream().mapToLong(mAsked::get).sum();
+    long tokensOfCompletedTopUps() {
+        return mTopUpsDone.stream().mapToLong(mTopUpsAsked::get).sum();
     }
 
-    long topUpsAsked() {
-        return mAsked.values().stream().mapToLong(Long::longValue).sum();
+    long tokensOfAllTopUps() {
+        return mTopUpsAsked.values().stream().mapToLong(Long::longValue).sum();
     }
 }
--- a/coordination/src/test/java/org/hornbeampass/coordination/budget/ScheduleStep.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/budget/ScheduleStep.java
@@ -50,61 +50,61 @@
         PASS_TIME(8) {
             @Override
             void run(ScheduleRun run, int vm, int amount) {
-                run.world().run(amount);
+                run.simulation().run(amount);
             }
         },
         PASS_LONG_TIME(2) {
             @Override
             void run(ScheduleRun run, int vm, int amount) {
-                run.world().run(10_000 + amount * 30L);
+                run.simulation().run(10_000 + amount * 30L);
             }
         },
         PLATFORM_FAULT(4) {
             @Override
             void run(ScheduleRun run, int vm, int amount) {
-                run.node(vm).mFault = FAULTS.get(amount % FAULTS.size());
+                run.router(vm).mNextFault = FAULTS.get(amount % FAULTS.size());
             }
         },
         OPERATOR_FAULT(2) {
             @Override
             void run(ScheduleRun run, int vm, int amount) {
-                run.world().operatorFault(FAULTS.get(amount % FAULTS.size()));
+                run.simulation().operatorFault(FAULTS.get(amount % FAULTS.size()));
             }
         },
-        CUT_OR_HEAL_PLATFORM(2) {
+        CUT_OR_RECONNECT_PLATFORM(2) {
             @Override
             void run(ScheduleRun run, int vm, int amount) {
-                run.node(vm).mCutFromPlatform = amount % 2 == 0;
+                run.router(vm).mCutFromPlatform = amount % 2 == 0;
             }
         },
-        CUT_OR_HEAL_PEERS(2) {
+        CUT_OR_RECONNECT_PEERS(2) {
             @Override
             void run(ScheduleRun run, int vm, int amount) {
-                run.node(vm).mCutFromPeers = amount % 2 == 0;
+                run.router(vm).mCutFromPeers = amount % 2 == 0;
             }
         },
         DROP_REPLY(2) {
             @Override
             void run(ScheduleRun run, int vm, int amount) {
-                run.node(vm).mDropNextReply = true;
+                run.router(vm).mDropNextReply = true;
             }
         },
         PAUSE(2) {
             @Override
             void run(ScheduleRun run, int vm, int amount) {
-                run.node(vm).mPaused = true;
+                run.router(vm).mPaused = true;
             }
         },
-        WAKE(2) {
+        RESUME(2) {
             @Override
             void run(ScheduleRun run, int vm, int amount) {
-                run.world().wake(run.index(vm));
+                run.simulation().resume(run.index(vm));
             }
         },
-        DIE_AND_RESTART(1) {
+        CRASH_AND_MAYBE_RESTART(1) {
             @Override
             void run(ScheduleRun run, int vm, int amount) {
-                run.die(vm, amount % 2 == 0);
+                run.crash(vm, amount % 2 == 0);
             }
         },
         DECLARE_GONE(1) {
