--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/Admission.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/Admission.java
@@ -13,11 +13,12 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Decides which requests are admitted, which wait on, and with what the others are refused.
+ * Decides which requests are admitted, which wait for tokens, and with which error the others are
+ * refused.
  *
- * <p>Invariant: a request is admitted only out of what is held, and refused as exhausted only on a
- * fresh record that holds too little for it anywhere. Not thread-safe; guarded by its
- * organisation's lock.
+ * <p>Invariant: a request is admitted only with tokens that this VM holds. It is refused as
+ * exhausted only if a sufficiently recent record shows that the whole budget has too few unspent
+ * tokens. Not thread-safe; guarded by its organisation's lock.
  */
 final class Admission {
     private final BudgetSettings mSettings;
@@ -30,7 +31,7 @@
         mReservationNumbers = reservationNumbers;
     }
 
-    /** Reserves where enough is free. */
+    /** Reserves tokens, or returns empty if this VM holds too few free tokens. */
     Optional<Reservation> tryReserve(BudgetAccount account, RequestId request, long tokens) {
         if (account.holding().free() < tokens) {
             return Optional.empty();
@@ -38,29 +39,35 @@
         return account.holding().reserve(request, tokens, mReservationNumbers.incrementAndGet());
     }
 
-    /** Gives waiters what is free, in their order; a large one does not hold up smaller ones. */
+    /**
+     * Admits waiting requests in their order as far as the free tokens suffice. A large request
+     * does not block smaller ones behind it.
+     */
     void admitWaiters(long nowMs, BudgetAccount account, DeferredActions actions) {
         if (account.waiters().isEmpty()) {
             return;
         }
-        Iterator<Waiter> each = account.waiters().iterator();
-        while (each.hasNext()) {
-            Waiter waiter = each.next();
-            Optional<Reservation> made = tryReserve(account, waiter.request(), waiter.tokens());
-            if (made.isPresent()) {
-                each.remove();
-                actions.add(() -> waiter.done().accept(nowMs, Either.right(made.get())));
+        Iterator<Waiter> waiters = account.waiters().iterator();
+        while (waiters.hasNext()) {
+            Waiter waiter = waiters.next();
+            Optional<Reservation> reserved = tryReserve(account, waiter.request(), waiter.tokens());
+            if (reserved.isPresent()) {
+                waiters.remove();
+                actions.add(() -> waiter.done().accept(nowMs, Either.right(reserved.get())));
             }
         }
     }
 
-    /** Refuses waiters whose time is over, or whom waiting can't help. */
+    /**
+     * Refuses waiting requests that are past their deadline or for which further waiting is
+     * pointless.
+     */
     void refuseExpired(long nowMs, BudgetAccount account, DeferredActions actions) {
-        Iterator<Waiter> each = account.waiters().iterator();
-        while (each.hasNext()) {
-            Waiter waiter = each.next();
+        Iterator<Waiter> waiters = account.waiters().iterator();
+        while (waiters.hasNext()) {
+            Waiter waiter = waiters.next();
             if (nowMs >= waiter.deadlineMs() || cannotBeAdmitted(nowMs, account, waiter)) {
-                each.remove();
+                waiters.remove();
                 refuse(nowMs, account, waiter, actions);
             }
         }
@@ -73,11 +80,12 @@
         if (mSync.inFlight() || account.askRound().running() || !account.askRound().failed()) {
             return false;
         }
-        boolean platformLater = mSync.unreachable() && mSync.nextCallMs() > waiter.deadlineMs();
-        boolean nothingThere =
+        boolean platformCallTooLate =
+                mSync.unreachable() && mSync.nextCallMs() > waiter.deadlineMs();
+        boolean nothingAvailable =
                 mSync.freshWithin(nowMs, mSettings.maxRecordAgeMs())
-                        && mSync.record().get().budget(account.key().budget()).available() <= 0;
-        return platformLater || nothingThere;
+                        && mSync.lastRecord().get().budget(account.key().budget()).available() <= 0;
+        return platformCallTooLate || nothingAvailable;
     }
 
     void refuse(long nowMs, BudgetAccount account, Waiter waiter, DeferredActions actions) {
@@ -104,7 +112,7 @@
         if (!mSync.freshWithin(nowMs, mSettings.maxRecordAgeMs())) {
             return false;
         }
-        BudgetRecord record = mSync.record().get().budget(account.key().budget());
+        BudgetRecord record = mSync.lastRecord().get().budget(account.key().budget());
         HolderRecord own =
                 record.holders().getOrDefault(account.holding().holder(), HolderRecord.NONE);
         return record.unspent() - account.holding().unreportedSpent(own) < tokens;
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/AskCandidates.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/AskCandidates.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 
 /**
- * Decides whom a VM asks for tokens, and in which order.
+ * Selects the peers that this VM asks for tokens, and their order.
  *
  * <p>Stateless; called under the organisation's lock.
  */
@@ -17,11 +17,15 @@
     private AskCandidates() {}
 
     /**
-     * Returns the homes, or for a home the VMs that it lent to; then holders with most unspent by
-     * the record; then the rest. Only VMs believed to be live, and not this one.
+     * Returns the peers to ask, in order. Only VMs believed to be live are returned, without this
+     * VM.
+     *
+     * <p>The organisation's homes come first or, if this VM draws from the platform itself, the VMs
+     * to which it has moved tokens. Holders follow by descending number of free tokens in the
+     * record, then all other live VMs.
      *
      * @param direct whether this VM draws from the platform itself
-     * @param record the organisation's record, where it is known
+     * @param record the last record of the organisation, if any is known
      */
     static List<VmId> of(
             BudgetContext context,
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/AskGrant.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/AskGrant.java
@@ -8,13 +8,13 @@
 import org.hornbeampass.state.VmId;
 
 /**
- * Asks a peer for tokens; answered by {@link MoveGrant} or {@link AskRefused}.
+ * Asks a peer for tokens. The reply is a {@link MoveGrant} or an {@link AskRefused}.
  *
  * @param organisation the organisation
  * @param budget its budget
  * @param asker the VM that asks
- * @param atLeast what requests wait for
- * @param wanted what would last for a while
+ * @param atLeast the tokens that the asker's waiting requests lack; 0 if none wait
+ * @param wanted the tokens that the asker would like for the demand that it expects
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record AskGrant(
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/AskRefused.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/AskRefused.java
@@ -7,7 +7,7 @@
 import org.hornbeampass.state.OrganisationId;
 
 /**
- * Says that the peer has nothing to give now.
+ * Reply to {@link AskGrant} from a peer that moves no tokens at present.
  *
  * @param organisation the organisation
  * @param budget its budget
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/AskRound.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/AskRound.java
@@ -12,7 +12,8 @@
 /**
  * One round of asking peers for tokens, one peer at a time.
  *
- * <p>Not thread-safe; guarded by its organisation's lock.
+ * <p>Peers that did not reply last time are asked after all others. Not thread-safe; guarded by its
+ * organisation's lock.
  */
 final class AskRound {
     private static final int MAX_PEERS = 8;
@@ -29,8 +30,8 @@
     /**
      * Creates a round that is not running.
      *
-     * @param unresponsivePeers the peers that gave no reply last, shared by all rounds of this VM;
-     *     thread-safe
+     * @param unresponsivePeers the peers that did not reply when they were last asked, shared by
+     *     all rounds of this VM; thread-safe
      */
     AskRound(Set<VmId> unresponsivePeers) {
         mUnresponsivePeers = unresponsivePeers;
@@ -44,7 +45,7 @@
         return mRunning;
     }
 
-    /** Returns whether the last round ended and no peer gave anything. */
+    /** Returns whether the last round ended as failed: requests waited and no peer gave tokens. */
     boolean failed() {
         return mFailed;
     }
@@ -64,7 +65,9 @@
         mTokensReceived = false;
     }
 
-    /** Takes the next peer to ask; empty at the end of the round. */
+    /**
+     * Returns the next peer to ask and marks an ask as in flight; empty at the end of the round.
+     */
     Optional<VmId> nextPeer() {
         VmId peer = mRemainingPeers.poll();
         mInFlight = peer != null;
@@ -72,7 +75,10 @@
         return Optional.ofNullable(peer);
     }
 
-    /** Ends an ask; a peer that gave no reply is asked after all others from now on. */
+    /**
+     * Ends the ask in flight. A peer that did not reply is asked after all others until it replies
+     * to an ask.
+     */
     void onAskEnded(boolean replied) {
         mInFlight = false;
         if (mAskedPeer == null) {
@@ -86,7 +92,7 @@
         mAskedPeer = null;
     }
 
-    /** Notes that a peer gave tokens in this round. */
+    /** Records that a peer gave tokens in this round. */
     void onTokensReceived() {
         mTokensReceived = true;
     }
@@ -97,8 +103,8 @@
     }
 
     /**
-     * Ends a round between two asks, since nobody waits for it any more; a later need starts with
-     * the first peer again.
+     * Ends a running round if no ask is in flight, because its tokens are no longer needed. The
+     * next round starts with the first peer again.
      */
     void endIfIdle(long nowMs) {
         if (mRunning && !mInFlight) {
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/BudgetAccount.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/BudgetAccount.java
@@ -9,7 +9,8 @@
 import java.util.Set;
 
 /**
- * One budget on this VM: what it holds, who waits, and its dealings with peers.
+ * State of one budget on this VM: the tokens held, the requests that wait for tokens, and the asks
+ * and moves between this VM and its peers.
  *
  * <p>Not thread-safe; guarded by its organisation's lock.
  */
@@ -46,7 +47,7 @@
         return mAskRound;
     }
 
-    /** Returns the tokens that requests here wait for. */
+    /** Returns the sum of tokens that requests on this VM wait for. */
     long waitingTokens() {
         long sum = 0;
         for (Waiter waiter : mWaiters) {
@@ -55,7 +56,9 @@
         return sum;
     }
 
-    /** Returns whether time alone may change something here. */
+    /**
+     * Returns whether the next tick may have work to do, such as retries, timeouts and refusals.
+     */
     boolean hasTimedWork() {
         return !mWaiters.isEmpty()
                 || !mDeferredAsks.isEmpty()
@@ -63,12 +66,12 @@
                 || mMoves.anyPending();
     }
 
-    /** Returns the asks that wait for this VM's next grant. */
+    /** Returns the asks of peers that are to be answered from the next grant of this VM. */
     Deque<DeferredAsk> deferredAsks() {
         return mDeferredAsks;
     }
 
-    /** Returns the tokens that peers wait for. */
+    /** Returns the sum of tokens that the deferred asks of peers need at least. */
     long peerWaitingTokens() {
         long sum = 0;
         for (DeferredAsk each : mDeferredAsks) {
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/BudgetAdmin.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/BudgetAdmin.java
@@ -25,11 +25,12 @@
 import java.util.function.BiConsumer;
 
 /**
- * The operators' side of the budgets: top-ups, lowering, statements and the audit.
+ * Executes operators' commands on budgets: top-ups, changes of the paid tokens, statements and
+ * audits.
  *
- * <p>Invariant: each change takes effect at most once, and a command that ends without a reply may
- * be repeated as it was. Needs no VM that serves requests. Thread-safe; callbacks run with no lock
- * held.
+ * <p>Invariant: each change takes effect at most once, and a command that ends without a reply can
+ * be repeated unchanged. Works on the platform's records alone, so no VM that serves requests is
+ * needed. Thread-safe; callbacks run with no lock held.
  */
 public final class BudgetAdmin {
     private static final int MAX_TOP_UP_ID = 128;
@@ -39,9 +40,9 @@
     private final AtomicLong mChangeSequence = new AtomicLong();
 
     /**
-     * Creates the operators' side on one VM.
+     * Creates the commands of one VM.
      *
-     * @param self this VM and its incarnation, which marks its changes
+     * @param self this VM and its incarnation, which identifies the changes that it writes
      * @param platform the platform
      */
     public BudgetAdmin(VmId self, Platform platform) {
@@ -50,15 +51,17 @@
     }
 
     /**
-     * Adds tokens to a budget, once for each id.
+     * Adds tokens to a budget, once for each top-up id.
      *
      * @param nowMs the present time in milliseconds
      * @param key the budget, which need not exist yet
-     * @param topUpId the operator's name for the top-up: letters, digits, '-', '_' and '.'
-     * @param tokens what to add, from 1
-     * @param done takes the statement after it; or {@code FIELD_INVALID}, {@code
-     *     IDEMPOTENCY_KEY_REUSED} where the id was used with other tokens, {@code OVERLOADED}, or
-     *     {@code PLATFORM_UNAVAILABLE}, after which the same call may be repeated
+     * @param topUpId the idempotency key that the operator chose for the top-up: letters, digits,
+     *     '-', '_' and '.'
+     * @param tokens the tokens to add, at least 1
+     * @param done receives the statement after the top-up, or one of these errors: {@code
+     *     FIELD_INVALID}; {@code IDEMPOTENCY_KEY_REUSED} if the id was used with another number of
+     *     tokens; {@code OVERLOADED}; {@code PLATFORM_UNAVAILABLE}, after which the same call can
+     *     be repeated
      */
     public void topUp(
             long nowMs,
@@ -66,10 +69,10 @@
             String topUpId,
             long tokens,
             BiConsumer<Long, Either<Failure, BudgetStatement>> done) {
-        Optional<Failure> wrong =
+        Optional<Failure> invalid =
                 BudgetFailures.checkTokens(tokens).or(() -> checkTopUpId(topUpId));
-        if (wrong.isPresent()) {
-            done.accept(nowMs, Either.left(wrong.get()));
+        if (invalid.isPresent()) {
+            done.accept(nowMs, Either.left(invalid.get()));
             return;
         }
         new TopUp(
@@ -77,11 +80,11 @@
                         key,
                         topUpId,
                         tokens,
-                        (at, added) -> {
+                        (atMs, added) -> {
                             if (added.isLeft()) {
-                                done.accept(at, Either.left(added.getLeft()));
+                                done.accept(atMs, Either.left(added.getLeft()));
                             } else {
-                                statement(at, key, done);
+                                statement(atMs, key, done);
                             }
                         })
                 .start(nowMs);
@@ -100,13 +103,15 @@
     }
 
     /**
-     * Sets what is paid for a budget; below what is granted it is lowered as holders return.
+     * Sets the paid tokens of a budget. If holders have drawn more than the new value, the paid
+     * tokens are lowered step by step as the holders return tokens.
      *
      * @param nowMs the present time in milliseconds
      * @param key the budget
-     * @param newPaid what is to be paid, from 0
-     * @param done takes the statement after it, whose {@code target} is present while holders still
-     *     hold more, with what is outstanding at which; failures as {@link #topUp}
+     * @param newPaid the new number of paid tokens, at least 0
+     * @param done receives the statement after the change. While holders still hold more than the
+     *     new value, its {@code target} is present and its {@code outstanding} lists the tokens of
+     *     each holder. Errors as for {@link #topUp}.
      */
     public void setPaid(
             long nowMs,
@@ -117,8 +122,9 @@
     }
 
     /**
-     * Sets what is paid for a budget, as {@link #setPaid(long, BudgetKey, long, BiConsumer)}, but
-     * only where what is paid now is as expected; {@code REVISION_CONFLICT} where it is not.
+     * Sets the paid tokens of a budget as {@link #setPaid(long, BudgetKey, long, BiConsumer)} does,
+     * if the paid tokens still have the expected value; fails with {@code REVISION_CONFLICT}
+     * otherwise.
      */
     public void setPaid(
             long nowMs,
@@ -130,8 +136,8 @@
     }
 
     /**
-     * Lowers what is paid for a budget, never below what is granted; as {@link #setPaid}, but a
-     * value that is not lower is refused with {@code FIELD_INVALID}.
+     * Lowers the paid tokens of a budget, but never below the tokens drawn by holders. Works as
+     * {@link #setPaid} does, but rejects a value that is not lower with {@code FIELD_INVALID}.
      */
     public void lowerPaid(
             long nowMs,
@@ -157,12 +163,14 @@
                                     "paid must be from 0 to " + BudgetRecord.MAX_TOKENS)));
             return;
         }
-        String stamp = mSelf + ":" + mChangeSequence.incrementAndGet();
+        String changeId = mSelf + ":" + mChangeSequence.incrementAndGet();
         new LedgerEdit(
                         mPlatform,
                         key.organisation(),
-                        record -> applyChange(record, key, newPaid, onlyLower, expectedPaid, stamp),
-                        (at, record) -> done.accept(at, record.map(r -> statementOf(key, r))))
+                        record ->
+                                applyChange(
+                                        record, key, newPaid, onlyLower, expectedPaid, changeId),
+                        (atMs, record) -> done.accept(atMs, record.map(r -> statementOf(key, r))))
                 .start(nowMs);
     }
 
@@ -172,9 +180,9 @@
             long newPaid,
             boolean onlyLower,
             OptionalLong expectedPaid,
-            String stamp) {
+            String changeId) {
         BudgetRecord budget = record.budget(key.budget());
-        if (budget.changes().contains(stamp)) {
+        if (budget.changes().contains(changeId)) {
             return Either.right(Optional.empty());
         }
         if (expectedPaid.isPresent() && expectedPaid.getAsLong() != budget.paid()) {
@@ -186,7 +194,7 @@
                                     + key
                                     + ", not "
                                     + expectedPaid.getAsLong()
-                                    + ": it was changed meanwhile; read it again and decide"));
+                                    + ": it was changed meanwhile; read it again and retry"));
         }
         if (onlyLower && newPaid >= budget.target().orElse(budget.paid())) {
             return Either.left(
@@ -200,15 +208,16 @@
                                     + "; top up to raise it"));
         }
         return Either.right(
-                Optional.of(record.with(key.budget(), budget.withPaid(newPaid, stamp))));
+                Optional.of(record.with(key.budget(), budget.withPaid(newPaid, changeId))));
     }
 
     /**
-     * Reads where an organisation's tokens are.
+     * Reads the statements of all budgets of an organisation.
      *
      * @param nowMs the present time in milliseconds
      * @param organisation the organisation
-     * @param done takes one statement for each budget, in the order of names
+     * @param done receives one statement for each budget, sorted by budget name; or {@code
+     *     PLATFORM_UNAVAILABLE}
      */
     public void statement(
             long nowMs,
@@ -217,7 +226,7 @@
         readRecord(
                 nowMs,
                 organisation,
-                (at, record) -> done.accept(at, record.map(r -> statements(organisation, r))));
+                (atMs, record) -> done.accept(atMs, record.map(r -> statements(organisation, r))));
     }
 
     /**
@@ -225,7 +234,8 @@
      *
      * @param nowMs the present time in milliseconds
      * @param organisation the organisation
-     * @param done takes the breaches found, none where all is well
+     * @param done receives the violations found, an empty list if there are none; or {@code
+     *     PLATFORM_UNAVAILABLE}
      */
     public void auditLedger(
             long nowMs,
@@ -234,10 +244,10 @@
         readRecord(
                 nowMs,
                 organisation,
-                (at, record) -> done.accept(at, record.map(r -> audit(organisation, r))));
+                (atMs, record) -> done.accept(atMs, record.map(r -> audit(organisation, r))));
     }
 
-    /** Returns the breaches of a record. */
+    /** Returns the violated invariants of a record. */
     static List<LedgerFinding> audit(OrganisationId organisation, LedgerRecord record) {
         List<LedgerFinding> findings = new ArrayList<>();
         for (Map.Entry<BudgetId, BudgetRecord> each : record.budgets().entrySet()) {
@@ -255,7 +265,7 @@
         readRecord(
                 nowMs,
                 key.organisation(),
-                (at, record) -> done.accept(at, record.map(r -> statementOf(key, r))));
+                (atMs, record) -> done.accept(atMs, record.map(r -> statementOf(key, r))));
     }
 
     private void readRecord(
@@ -265,13 +275,13 @@
         mPlatform.submit(
                 nowMs,
                 new PlatformCall.Get(LedgerSync.objectKey(organisation)),
-                (at, reply) -> {
+                (atMs, reply) -> {
                     if (reply instanceof PlatformReply.Found found) {
-                        done.accept(at, Json.decode(found.object().value(), LedgerRecord.class));
+                        done.accept(atMs, Json.decode(found.object().value(), LedgerRecord.class));
                     } else if (reply instanceof PlatformReply.Missing) {
-                        done.accept(at, Either.right(LedgerRecord.empty()));
+                        done.accept(atMs, Either.right(LedgerRecord.empty()));
                     } else {
-                        done.accept(at, Either.left(LedgerEdit.unavailable()));
+                        done.accept(atMs, Either.left(LedgerEdit.unavailable()));
                     }
                 });
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/BudgetContext.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/BudgetContext.java
@@ -8,17 +8,17 @@
 import java.util.Set;
 
 /**
- * What all organisations' budgets on one VM share.
+ * Dependencies that the budgets of all organisations on one VM share.
  *
- * <p>Immutable but for {@code silentPeers}; its parts are thread-safe.
+ * <p>Immutable except for {@code unresponsivePeers}; all components are thread-safe.
  *
  * @param self this VM
  * @param platform the platform
  * @param peers the other routers
- * @param homes who is live, and who draws for whom
- * @param settings times and bounds
- * @param policy how much is drawn
- * @param unresponsivePeers the peers that gave no reply when they were last asked for tokens
+ * @param homes the live VMs and the homes of each organisation
+ * @param settings time and size limits
+ * @param policy decides how many tokens are drawn
+ * @param unresponsivePeers the peers that did not reply when they were last asked for tokens
  */
 record BudgetContext(
         VmId self,
@@ -28,7 +28,9 @@
         BudgetSettings settings,
         GrantPolicy policy,
         Set<VmId> unresponsivePeers) {
-    /** Returns whether this VM draws from the platform for an organisation in the usual case. */
+    /**
+     * Returns whether this VM is a home of an organisation, and so draws from the platform for it.
+     */
     boolean isHome(OrganisationId organisation) {
         return homes.homes(organisation).contains(self);
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/BudgetFailures.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/BudgetFailures.java
@@ -7,11 +7,14 @@
 
 import java.util.Optional;
 
-/** The refusals of the budget ledger, with what mends each. Stateless and thread-safe. */
+/**
+ * Creates the errors of the budget ledger. Each message says how to resolve the error. Stateless
+ * and thread-safe.
+ */
 final class BudgetFailures {
     private BudgetFailures() {}
 
-    /** Returns what is wrong with a number of tokens to reserve; empty where nothing is. */
+    /** Returns an error if a number of tokens is outside the valid range; empty if it is valid. */
     static Optional<Failure> checkTokens(long tokens) {
         if (tokens >= 1 && tokens <= BudgetRecord.MAX_TOKENS) {
             return Optional.empty();
@@ -21,11 +24,11 @@
                         ErrorKind.FIELD_INVALID,
                         "tokens is "
                                 + tokens
-                                + "; give a number from 1 to "
+                                + "; it must be a number from 1 to "
                                 + BudgetRecord.MAX_TOKENS));
     }
 
-    /** The ledger is known to hold less than the request may need. */
+    /** Returns the error for a request that may need more tokens than the whole budget has left. */
     static Failure exhausted(BudgetKey key, long tokens) {
         return Failure.of(
                 ErrorKind.BUDGET_EXHAUSTED,
@@ -36,15 +39,20 @@
                         + " tokens that the request may use; top it up or ask for fewer tokens");
     }
 
-    /** Tokens may be left, and this VM can't get at them now. */
+    /**
+     * Returns the error for a request that this VM can't get tokens for at present, although the
+     * budget may have some left.
+     */
     static Failure unreachable(BudgetKey key, long retryAfterMs) {
         return Failure.retryAfter(
                 ErrorKind.BUDGET_UNREACHABLE,
-                "budget " + key + " can't be drawn on here at the moment; retry, also elsewhere",
+                "budget "
+                        + key
+                        + " is unreachable from this VM at present; retry here or on another VM",
                 Math.max(1, retryAfterMs));
     }
 
-    /** Too many requests wait already. */
+    /** Returns the error for a request that can't wait because too many others do. */
     static Failure tooManyWait(BudgetKey key, long retryAfterMs) {
         return Failure.retryAfter(
                 ErrorKind.BUDGET_UNREACHABLE,
@@ -52,9 +60,10 @@
                 Math.max(1, retryAfterMs));
     }
 
-    /** The VM hands its budgets over. */
+    /** Returns the error of a VM that is handing over its budgets during shutdown. */
     static Failure shuttingDown() {
         return Failure.of(
-                ErrorKind.SHUTTING_DOWN, "this VM is shutting down; send the request to another");
+                ErrorKind.SHUTTING_DOWN,
+                "this VM is shutting down; send the request to another VM");
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/BudgetHomes.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/BudgetHomes.java
@@ -6,14 +6,18 @@
 import java.util.List;
 
 /**
- * Tells which VMs are believed to be live and which of them draw from the platform.
+ * Provides the VMs believed to be live, and which of them are homes that draw from the platform.
  *
- * <p>A wrong belief costs calls and never safety. Implementations are thread-safe and never block.
+ * <p>A wrong belief causes additional calls but never overspending. Implementations are thread-safe
+ * and never block.
  */
 public interface BudgetHomes {
-    /** Returns the VMs believed to be live, this one included, near ones first. */
+    /** Returns the VMs believed to be live, including this one, nearest first. */
     List<VmId> live();
 
-    /** Returns the VMs that draw for an organisation and hand on to others, near ones first. */
+    /**
+     * Returns the homes of an organisation, which draw from the platform and pass tokens on to
+     * other VMs, nearest first.
+     */
     List<VmId> homes(OrganisationId organisation);
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/BudgetLedger.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/BudgetLedger.java
@@ -24,12 +24,13 @@
 import java.util.function.Consumer;
 
 /**
- * Admits requests against prepaid budgets on one VM, out of what the VM holds in escrow.
+ * Admits requests against prepaid budgets on one VM, using the tokens that the VM holds in escrow.
  *
- * <p>Invariant: a VM spends only what the platform's record granted to it, or what a peer that held
- * it gave away; so the spending of all VMs never exceeds what was paid, whatever is lost, late or
- * paused. Thread-safe: one lock for each organisation, never two at once; callbacks run with none
- * held. Time passes only by {@link #tick}, which is to be called a few times a second.
+ * <p>Invariant: a VM spends only tokens that the platform's record granted to it or that another VM
+ * holding them moved to it. So all VMs together never spend more than was paid, even if messages
+ * are lost or late or VMs pause. Thread-safe: there is one lock for each organisation, no two are
+ * ever held together, and callbacks run with none held. Timed work runs only in {@link #tick},
+ * which must be called a few times a second.
  */
 public final class BudgetLedger {
     private static final int MAX_CLOSING_VMS = 2;
@@ -45,14 +46,14 @@
     private volatile boolean mClosing;
 
     /**
-     * Creates the ledger of one VM, which holds nothing yet.
+     * Creates the ledger of one VM, which holds no tokens yet.
      *
      * @param self this VM and its incarnation, which no other process ever had
      * @param platform the platform
      * @param peers the other routers
-     * @param homes who is live, and who draws for whom
-     * @param settings times and bounds
-     * @param policy how much is drawn
+     * @param homes the live VMs and the homes of each organisation
+     * @param settings time and size limits
+     * @param policy decides how many tokens are drawn
      */
     public BudgetLedger(
             VmId self,
@@ -73,35 +74,38 @@
     }
 
     /**
-     * Reserves the worst case of a request from what this VM holds, with no call to anyone.
+     * Reserves the largest number of tokens that a request may use, from tokens that this VM holds.
+     * Makes no call to the platform or to peers.
      *
      * @param nowMs the present time in milliseconds
      * @param key the budget
      * @param id the request
-     * @param tokens the most that the request may use, from 1
-     * @return the reservation; or {@code FIELD_INVALID}, {@code SHUTTING_DOWN}, {@code
-     *     BUDGET_EXHAUSTED} where the record is known to hold less, else {@code BUDGET_UNREACHABLE}
+     * @param tokens the largest number of tokens that the request may use, at least 1
+     * @return the reservation or one of these errors: {@code FIELD_INVALID}; {@code SHUTTING_DOWN};
+     *     {@code BUDGET_EXHAUSTED} if the record shows that the whole budget has too few tokens
+     *     left; otherwise {@code BUDGET_UNREACHABLE}
      */
     public Either<Failure, Reservation> tryReserve(
             long nowMs, BudgetKey key, RequestId id, long tokens) {
-        Optional<Failure> wrong = BudgetFailures.checkTokens(tokens);
-        if (wrong.isPresent()) {
-            return Either.left(wrong.get());
+        Optional<Failure> invalid = BudgetFailures.checkTokens(tokens);
+        if (invalid.isPresent()) {
+            return Either.left(invalid.get());
         }
         return organisation(key.organisation()).tryReserve(nowMs, key, id, tokens);
     }
 
     /**
-     * Reserves the worst case of a request; where this VM holds too little, asks the platform and
-     * peers and waits within a bound. A request that waiting can't help is refused at once.
+     * Reserves the largest number of tokens that a request may use. If this VM holds too few, asks
+     * the platform and peers and waits for a limited time. A request that waiting can't help is
+     * refused at once.
      *
      * @param nowMs the present time in milliseconds
      * @param key the budget
      * @param id the request
-     * @param tokens the most that the request may use, from 1
-     * @param waitMs the longest wait, in milliseconds; 0 for none
-     * @param done run exactly once, on any thread, possibly before this method returns; failures as
-     *     {@link #tryReserve}
+     * @param tokens the largest number of tokens that the request may use, at least 1
+     * @param waitMs the longest wait in milliseconds; 0 for none
+     * @param done run exactly once, on any thread, possibly before this method returns; errors as
+     *     for {@link #tryReserve}
      */
     public void reserve(
             long nowMs,
@@ -110,30 +114,31 @@
             long tokens,
             long waitMs,
             BiConsumer<Long, Either<Failure, Reservation>> done) {
-        Optional<Failure> wrong = BudgetFailures.checkTokens(tokens);
-        if (wrong.isPresent()) {
-            done.accept(nowMs, Either.left(wrong.get()));
+        Optional<Failure> invalid = BudgetFailures.checkTokens(tokens);
+        if (invalid.isPresent()) {
+            done.accept(nowMs, Either.left(invalid.get()));
             return;
         }
         organisation(key.organisation()).reserve(nowMs, key, id, tokens, waitMs, done);
     }
 
     /**
-     * Ends a reservation by what was really used. The second end of a reservation has no effect;
-     * tokens beyond it are counted as the operator's loss and not charged.
+     * Ends a reservation with the number of tokens used. Ending a reservation again has no effect.
+     * Tokens used beyond the reservation are not charged; they are counted as overrun, which is the
+     * operator's loss.
      */
     public void settle(long nowMs, Reservation reservation, long usedTokens) {
         organisation(reservation.key().organisation()).settle(nowMs, reservation, usedTokens);
     }
 
-    /** Ends a reservation of which nothing was used. */
+    /** Ends a reservation with no tokens used. */
     public void cancel(long nowMs, Reservation reservation) {
         settle(nowMs, reservation, 0);
     }
 
     /**
-     * Takes settled tokens back as unspent, on the VM that settled them, since another bill for the
-     * same request won.
+     * Makes settled tokens free again, on the VM that settled them, because another bill for the
+     * same request was accepted.
      */
     public void refund(long nowMs, BudgetKey key, long tokens) {
         if (BudgetFailures.checkTokens(tokens).isPresent()) {
@@ -142,24 +147,29 @@
         organisation(key.organisation()).refund(nowMs, key, tokens);
     }
 
-    /** Does what is due: platform calls, asks and moves, and the refusal of those who waited. */
+    /**
+     * Performs timed work: calls the platform, sends asks and moves, and refuses requests that
+     * waited too long.
+     */
     public void tick(long nowMs) {
         mOrganisations.values().forEach(o -> o.tick(nowMs));
         Consumer<Long> done = mHandOverDone.get();
         if (done == null) {
             return;
         }
-        boolean over = mOrganisations.values().stream().allMatch(OrganisationBudgets::handedOver);
-        if (over && mHandOverDone.compareAndSet(done, null)) {
+        boolean complete =
+                mOrganisations.values().stream().allMatch(OrganisationBudgets::handedOver);
+        if (complete && mHandOverDone.compareAndSet(done, null)) {
             done.accept(nowMs);
         }
     }
 
     /**
-     * Stops reserving, reports all spending and gives back what is unspent; open reservations may
-     * still be settled. Needs further calls of {@link #tick}; the caller bounds the time.
+     * Stops reserving, reports all spending and returns all unspent tokens to the platform. Open
+     * reservations can still be settled. Progress needs further calls of {@link #tick}; the caller
+     * limits the time.
      *
-     * @param done run once with the time in milliseconds, when nothing is held here any more
+     * @param done run once, with the time in milliseconds, when this VM holds no more tokens
      */
     public void handOver(long nowMs, Consumer<Long> done) {
         mHandOverDone.set(done);
@@ -169,10 +179,11 @@
     }
 
     /**
-     * Counts what a VM held and did not report as spent, and closes its entries.
+     * Closes the record's entries of a VM that is gone. Tokens that it held and did not report as
+     * spent are written off.
      *
-     * @param vm an incarnation that is proved gone: its name runs with a higher one, or the
-     *     platform's list dropped it
+     * @param vm an incarnation that is proved gone: a higher incarnation of the same name runs, or
+     *     the platform's list no longer contains it
      */
     public void onVmGone(long nowMs, VmId vm) {
         for (OrganisationId id : mConfig.get().organisations().keySet()) {
@@ -183,20 +194,23 @@
         mOrganisations.values().forEach(o -> o.onVmGone(nowMs, vm));
     }
 
-    /** Returns whether this VM looks after the entries of an organisation that it does not use. */
+    /**
+     * Returns whether this VM closes the entries of VMs that are gone for an organisation whose
+     * budgets it does not use itself.
+     */
     private boolean closesEntriesOf(OrganisationId id) {
         return mContext.homes().homes(id).stream()
                 .limit(MAX_CLOSING_VMS)
                 .anyMatch(vm -> vm.equals(mContext.self()));
     }
 
-    /** Takes each organisation's preference from the configuration in force. */
+    /** Applies the budget preference of each organisation from the configuration in force. */
     public void onConfig(long nowMs, ConfigSnapshot config) {
         mConfig.set(config);
         mOrganisations.forEach((id, budgets) -> budgets.onPreference(preference(id)));
     }
 
-    /** Handles {@link AskGrant}; refuses one whose asker is not its sender. */
+    /** Handles an {@link AskGrant}; refuses it if its asker is not its sender. */
     public void onAsk(long nowMs, VmId from, AskGrant ask, Consumer<PeerMessage> reply) {
         if (!from.equals(ask.asker())) {
             mSenderMismatches.incrementAndGet();
@@ -206,7 +220,7 @@
         organisation(ask.organisation()).onAsk(nowMs, ask, reply);
     }
 
-    /** Handles {@link MoveGrant}; ignores one whose giver is not its sender. */
+    /** Handles a {@link MoveGrant}; ignores it if its giver is not its sender. */
     public void onMove(long nowMs, VmId from, MoveGrant move, Consumer<PeerMessage> reply) {
         if (!from.equals(move.giver())) {
             mSenderMismatches.incrementAndGet();
@@ -215,12 +229,15 @@
         organisation(move.organisation()).onMove(nowMs, move, reply);
     }
 
-    /** Handles {@link MoveAck}, which comes as a one-way message after an ask. */
+    /**
+     * Handles a {@link MoveAck}, which is sent as a one-way message after an ask was answered with
+     * a move.
+     */
     public void onMoveAck(long nowMs, VmId from, MoveAck ack, Consumer<PeerMessage> reply) {
         organisation(ack.organisation()).onAck(ack);
     }
 
-    /** Returns what this VM holds of a budget; empty where it never dealt with it. */
+    /** Returns the tokens that this VM holds of a budget; empty if it has never used the budget. */
     public Optional<HoldingView> view(BudgetKey key) {
         return Optional.ofNullable(mOrganisations.get(key.organisation()))
                 .flatMap(o -> o.view(key));
@@ -232,8 +249,8 @@
     }
 
     private OrganisationBudgets organisation(OrganisationId id) {
-        OrganisationBudgets known = mOrganisations.get(id);
-        return known != null ? known : mOrganisations.computeIfAbsent(id, this::open);
+        OrganisationBudgets existing = mOrganisations.get(id);
+        return existing != null ? existing : mOrganisations.computeIfAbsent(id, this::open);
     }
 
     private OrganisationBudgets open(OrganisationId id) {
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/DeferredActions.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/DeferredActions.java
@@ -4,14 +4,13 @@
 import java.util.List;
 
 /**
- * Calls and callbacks decided under a lock, to be run after it is released.
+ * Collects calls and callbacks while a lock is held, to run them after it is released.
  *
- * <p>Not thread-safe; each belongs to one call.
+ * <p>Not thread-safe; each instance is used by one call.
  */
 final class DeferredActions {
     private List<Runnable> mActions = List.of();
 
-    /** Adds an action. */
     void add(Runnable action) {
         if (mActions.isEmpty()) {
             mActions = new ArrayList<>();
@@ -19,7 +18,7 @@
         mActions.add(action);
     }
 
-    /** Runs the actions in their order; called with no lock held. */
+    /** Runs the actions in the order in which they were added. Must be called with no lock held. */
     void run() {
         for (Runnable action : mActions) {
             action.run();
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/DeferredAsk.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/DeferredAsk.java
@@ -5,10 +5,10 @@
 import java.util.function.Consumer;
 
 /**
- * A peer's ask that waits for this VM's next grant.
+ * A peer's ask that is to be answered from the next grant of this VM.
  *
- * @param ask what the peer asks for
- * @param untilMs when it is answered at the latest
- * @param reply takes the answer, exactly once
+ * @param ask the ask
+ * @param untilMs the latest time of the reply in milliseconds
+ * @param reply receives the reply, exactly once
  */
 record DeferredAsk(AskGrant ask, long untilMs, Consumer<PeerMessage> reply) {}
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/DemandRate.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/DemandRate.java
@@ -1,7 +1,7 @@
 package org.hornbeampass.coordination.budget;
 
 /**
- * Estimates the rate at which tokens are asked for, by exponential decay.
+ * Estimates the rate at which tokens are requested, by exponential decay.
  *
  * <p>Not thread-safe; guarded by its organisation's lock.
  */
@@ -14,20 +14,20 @@
     private long mLargestDemand;
     private boolean mStarted;
 
-    /** Notes tokens asked for. */
+    /** Adds the tokens of one reservation request. */
     void addDemand(long nowMs, long tokens) {
         decay(nowMs);
         mDecayedTokens += tokens;
         mLargestDemand = Math.max(mLargestDemand, tokens);
     }
 
-    /** Notes tokens that peers spent from what was lent to them. */
+    /** Adds tokens that a peer spent out of tokens moved to it. */
     void addPeerSpending(long nowMs, long tokens) {
         decay(nowMs);
         mDecayedTokens += tokens;
     }
 
-    /** Returns the present rate in tokens per millisecond. */
+    /** Returns the current rate in tokens per millisecond. */
     double tokensPerMs(long nowMs) {
         decay(nowMs);
         if (mDecayedTokens < NEGLIGIBLE_TOKENS) {
@@ -37,7 +37,7 @@
         return mDecayedTokens / TIME_CONSTANT_MS;
     }
 
-    /** Returns the largest single demand since there last was none. */
+    /** Returns the largest single reservation request since the rate was last found to be 0. */
     long largestDemand() {
         return mLargestDemand;
     }
@@ -48,9 +48,9 @@
             mUpdatedMs = nowMs;
             return;
         }
-        long passed = Math.max(0, nowMs - mUpdatedMs);
-        if (passed > 0) {
-            mDecayedTokens *= Math.exp(-(double) passed / TIME_CONSTANT_MS);
+        long elapsedMs = Math.max(0, nowMs - mUpdatedMs);
+        if (elapsedMs > 0) {
+            mDecayedTokens *= Math.exp(-(double) elapsedMs / TIME_CONSTANT_MS);
             mUpdatedMs = nowMs;
         }
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/GrantExchange.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/GrantExchange.java
@@ -13,10 +13,11 @@
 import java.util.function.Supplier;
 
 /**
- * Moves tokens between this VM and its peers: asks, gives, and passes spending on to a home.
+ * Moves tokens between this VM and its peers: asks peers, answers their asks and reports spending
+ * to a home.
  *
- * <p>Invariant: the giver subtracts before it sends, and sends the same move until it is
- * acknowledged. Stateless but for its context; called under the organisation's lock.
+ * <p>Invariant: the giver subtracts tokens before it sends them, and sends the same move again
+ * until it is acknowledged. Stateless except for its context; called under the organisation's lock.
  */
 final class GrantExchange {
     private static final double PEER_HORIZON_SHARE = 0.5;
@@ -31,7 +32,10 @@
         mContext = context;
     }
 
-    /** Sends moves again that lack their acknowledgement, and passes spending on to a home. */
+    /**
+     * Sends unacknowledged moves whose next transmission is due. On a VM that does not use the
+     * platform itself, first starts a move of its spending to a home when one is due.
+     */
     void sendMoves(
             long nowMs,
             BudgetAccount account,
@@ -75,7 +79,7 @@
         }
     }
 
-    /** Asks the next peer, where requests wait or little is left. */
+    /** Asks the next peer if requests wait or few tokens are left, unless an ask is in flight. */
     void ask(
             long nowMs,
             BudgetAccount account,
@@ -88,11 +92,11 @@
         long waiting = account.waitingTokens();
         double horizonMs = preference.demandHorizonMs() * PEER_HORIZON_SHARE;
         long target = Math.max(waiting, (long) (holding.demand().tokensPerMs(nowMs) * horizonMs));
-        boolean enough = holding.free() >= Math.max(waiting, (long) (target * REFILL_BELOW));
+        boolean sufficient = holding.free() >= Math.max(waiting, (long) (target * REFILL_BELOW));
         if (round.inFlight()) {
             return;
         }
-        if (target == 0 || enough) {
+        if (target == 0 || sufficient) {
             if (round.running()) {
                 round.end(nowMs, false);
             }
@@ -140,8 +144,8 @@
     }
 
     /**
-     * Answers a peer that asks: by the move it has not acknowledged, by a new one, or, where this
-     * VM may draw soon, later.
+     * Answers a peer's ask: with the move to that peer that is not acknowledged yet, with a new
+     * move, or, if this VM may soon draw enough tokens, later.
      */
     void answer(
             long nowMs,
@@ -152,23 +156,26 @@
             DeferredActions actions) {
         DeferredAsk deferred =
                 new DeferredAsk(ask, nowMs + mContext.settings().askTimeoutMs() / 2, reply);
-        boolean room = account.deferredAsks().size() < mContext.settings().maxWaiters();
-        if (mayDraw && room && ask.atLeast() > 0 && !canAnswer(account, ask)) {
+        boolean hasCapacity = account.deferredAsks().size() < mContext.settings().maxWaiters();
+        if (mayDraw && hasCapacity && ask.atLeast() > 0 && !canAnswer(account, ask)) {
             account.deferredAsks().add(deferred);
             return;
         }
         answer(nowMs, account, deferred, actions);
     }
 
-    /** Answers the asks that wait, where there is enough by now or their time is over. */
+    /**
+     * Answers the deferred asks for which enough tokens are free now or whose time limit has
+     * passed.
+     */
     void answerDeferred(
             long nowMs, BudgetAccount account, boolean mayDraw, DeferredActions actions) {
-        Iterator<DeferredAsk> each = account.deferredAsks().iterator();
-        while (each.hasNext()) {
-            DeferredAsk deferred = each.next();
-            boolean over = !mayDraw || nowMs >= deferred.untilMs();
-            if (over || canAnswer(account, deferred.ask())) {
-                each.remove();
+        Iterator<DeferredAsk> asks = account.deferredAsks().iterator();
+        while (asks.hasNext()) {
+            DeferredAsk deferred = asks.next();
+            boolean due = !mayDraw || nowMs >= deferred.untilMs();
+            if (due || canAnswer(account, deferred.ask())) {
+                asks.remove();
                 answer(nowMs, account, deferred, actions);
             }
         }
@@ -196,11 +203,11 @@
         Optional<MovedTokens> moved =
                 account.holding().takeForMove(preferred, tokensToGive(nowMs, account, ask), 0);
         moved.ifPresent(
-                p ->
+                m ->
                         account.moves()
                                 .delayResend(
                                         ask.asker(), nowMs + mContext.settings().askTimeoutMs()));
-        return moved.map(p -> account.moves().start(ask.asker(), p));
+        return moved.map(m -> account.moves().start(ask.asker(), m));
     }
 
     private long tokensToGive(long nowMs, BudgetAccount account, AskGrant ask) {
@@ -214,15 +221,19 @@
         return Math.max(wanted, Math.min(ask.atLeast(), holding.free()));
     }
 
-    /** Adds a move once, where it is addressed to this incarnation. */
+    /** Adds the tokens of a move, once, if it is addressed to this incarnation. */
     MoveAck receive(long nowMs, BudgetAccount account, MoveGrant move) {
-        boolean mine = move.receiver().equals(mContext.self());
-        if (mine && account.moves().recordReceived(move)) {
+        boolean addressedHere = move.receiver().equals(mContext.self());
+        if (addressedHere && account.moves().recordReceived(move)) {
             Holding holding = account.holding();
             holding.addMoved(move.movedTokens());
             holding.demand().addPeerSpending(nowMs, move.spent());
         }
         return new MoveAck(
-                move.organisation(), move.budget(), move.receiver(), move.sequence(), mine);
+                move.organisation(),
+                move.budget(),
+                move.receiver(),
+                move.sequence(),
+                addressedHere);
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/GrantPolicy.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/GrantPolicy.java
@@ -1,87 +1,94 @@
 package org.hornbeampass.coordination.budget;
 
 /**
- * How much a VM draws from the platform, and how much it gives back.
+ * Policies that decide how many tokens a VM draws from the platform and how many it returns.
  *
- * <p>No value can cause overspend: what is drawn never exceeds what is available. Immutable; safe
- * for use by any thread.
+ * <p>No policy can cause overspending, because a draw never exceeds the available tokens.
+ * Immutable; safe for use by any thread.
  */
 public enum GrantPolicy {
-    /** Baseline: an equal part for each VM, drawn once and kept. */
+    /** Baseline: each VM draws an equal part once and keeps it. */
     EQUAL_SPLIT {
         @Override
-        public long tokensToDraw(GrantPolicyInput need) {
-            return need.paid() / need.drawingVms() - need.drawn();
+        public long tokensToDraw(GrantPolicyInput input) {
+            return input.paid() / input.drawingVms() - input.drawn();
         }
 
         @Override
-        public long tokensToReturn(GrantPolicyInput need) {
+        public long tokensToReturn(GrantPolicyInput input) {
             return 0;
         }
     },
-    /** Baseline: each request draws what it reserves, and all that is left goes back. */
+    /**
+     * Baseline: each request draws the tokens that it reserves, and all unused tokens are returned.
+     */
     WRITE_PER_REQUEST {
         @Override
-        public long tokensToDraw(GrantPolicyInput need) {
-            return need.waiting() - need.free();
+        public long tokensToDraw(GrantPolicyInput input) {
+            return input.waiting() - input.free();
         }
 
         @Override
-        public long tokensToReturn(GrantPolicyInput need) {
-            return need.free() - need.waiting();
+        public long tokensToReturn(GrantPolicyInput input) {
+            return input.free() - input.waiting();
         }
     },
-    /** A fixed number of tokens at a time, kept until it is spent. */
+    /** Draws a fixed number of tokens at a time and keeps them until they are spent. */
     FIXED_CHUNK {
         @Override
-        public long tokensToDraw(GrantPolicyInput need) {
-            long chunk = Math.max(need.chunkTokens(), need.waiting());
-            boolean low = need.free() < need.waiting() || need.free() < need.chunkTokens() / 2;
-            return low && need.demandPerMs() > 0 ? chunk : 0;
+        public long tokensToDraw(GrantPolicyInput input) {
+            long chunk = Math.max(input.chunkTokens(), input.waiting());
+            boolean low = input.free() < input.waiting() || input.free() < input.chunkTokens() / 2;
+            return low && input.demandPerMs() > 0 ? chunk : 0;
         }
 
         @Override
-        public long tokensToReturn(GrantPolicyInput need) {
+        public long tokensToReturn(GrantPolicyInput input) {
             return 0;
         }
     },
     /**
-     * What lasts for a horizon at the present demand, in steps that shrink as the budget runs out;
-     * what is idle goes back.
+     * Draws the tokens that last for a time horizon at the current demand, in steps that shrink as
+     * the budget runs out. Returns idle tokens.
      */
     DEMAND_HORIZON {
         @Override
-        public long tokensToDraw(GrantPolicyInput need) {
-            long target = target(need);
-            if (need.free() >= need.waiting() && need.free() >= target * REFILL_BELOW) {
+        public long tokensToDraw(GrantPolicyInput input) {
+            long targetTokens = targetTokens(input);
+            if (input.free() >= input.waiting() && input.free() >= targetTokens * REFILL_BELOW) {
                 return 0;
             }
-            long step = (long) (need.available() * need.maxGrantedShare() / need.drawingVms());
-            long atLeast = need.waiting() - need.free();
-            return Math.max(atLeast, Math.min(target - need.free(), step));
+            long step = (long) (input.available() * input.maxGrantedShare() / input.drawingVms());
+            long missing = input.waiting() - input.free();
+            return Math.max(missing, Math.min(targetTokens - input.free(), step));
         }
 
         @Override
-        public long tokensToReturn(GrantPolicyInput need) {
-            long target = target(need);
-            long most = Math.max(2 * target, target + 2 * need.largestReservation());
-            return need.free() > most ? need.free() - target : 0;
+        public long tokensToReturn(GrantPolicyInput input) {
+            long targetTokens = targetTokens(input);
+            long maxFree =
+                    Math.max(2 * targetTokens, targetTokens + 2 * input.largestReservation());
+            return input.free() > maxFree ? input.free() - targetTokens : 0;
         }
 
-        private long target(GrantPolicyInput need) {
-            if (need.demandPerMs() <= 0 && need.waiting() == 0) {
+        private long targetTokens(GrantPolicyInput input) {
+            if (input.demandPerMs() <= 0 && input.waiting() == 0) {
                 return 0;
             }
             return Math.max(
-                    need.horizonTokens(), Math.max(need.waiting(), 2 * need.largestReservation()));
+                    input.horizonTokens(),
+                    Math.max(input.waiting(), 2 * input.largestReservation()));
         }
     };
 
     private static final double REFILL_BELOW = 0.75;
 
-    /** Returns the tokens to draw; less than one for none; the caller caps at what is available. */
-    public abstract long tokensToDraw(GrantPolicyInput need);
+    /**
+     * Returns the tokens to draw. A value below 1 means none; the caller limits it to the available
+     * tokens.
+     */
+    public abstract long tokensToDraw(GrantPolicyInput input);
 
-    /** Returns the free tokens to give back; less than one for none. */
-    public abstract long tokensToReturn(GrantPolicyInput need);
+    /** Returns the free tokens to return to the platform. A value below 1 means none. */
+    public abstract long tokensToReturn(GrantPolicyInput input);
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/GrantPolicyInput.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/GrantPolicyInput.java
@@ -1,21 +1,21 @@
 package org.hornbeampass.coordination.budget;
 
 /**
- * What a {@link GrantPolicy} decides on, all of it in tokens and milliseconds.
+ * Input on which a {@link GrantPolicy} decides, in tokens and milliseconds.
  *
  * <p>Immutable; safe for use by any thread.
  *
- * @param paid the budget's paid tokens
- * @param available what the platform may still grant
- * @param drawn what this VM drew and did not return
- * @param free what this VM holds and has not reserved
- * @param waiting what requests wait for
- * @param largestReservation the largest reservation seen lately
- * @param demandPerMs the rate at which reservations are asked for
+ * @param paid the paid tokens of the budget
+ * @param available the tokens that the platform can still grant
+ * @param drawn the tokens that this VM drew and did not return
+ * @param free the tokens that this VM holds and that are neither spent nor reserved
+ * @param waiting the tokens that requests on this VM and on peers wait for
+ * @param largestReservation the largest reservation requested recently
+ * @param demandPerMs the rate at which tokens are requested, in tokens per millisecond
  * @param drawingVms the number of VMs that draw on the budget, at least 1
- * @param horizonMs the time for which a grant should last
- * @param maxGrantedShare the largest share of what is left that may lie on VMs
- * @param chunkTokens the settings' fixed grant
+ * @param horizonMs the time in milliseconds for which a grant should last
+ * @param maxGrantedShare the largest share of the available tokens that may be held by VMs
+ * @param chunkTokens the tokens that {@link GrantPolicy#FIXED_CHUNK} draws at a time
  */
 public record GrantPolicyInput(
         long paid,
@@ -29,7 +29,7 @@
         long horizonMs,
         double maxGrantedShare,
         long chunkTokens) {
-    /** Returns the tokens that last for the horizon at the present demand. */
+    /** Returns the tokens that last for {@code horizonMs} at the current demand. */
     long horizonTokens() {
         return (long) (demandPerMs * horizonMs);
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/Holding.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/Holding.java
@@ -13,14 +13,14 @@
 import java.util.TreeMap;
 
 /**
- * What this VM holds of one budget.
+ * Tokens of one budget that this VM holds.
  *
- * <p>Invariants: tokens are added only by a grant seen in the platform's record or by a move that
- * its giver subtracted first, and are subtracted before a return is written or a move is sent. So
- * whatever the VM believes to hold, it alone may spend, with no regard to messages or clocks. Every
- * token held or spent and not yet reported is charged to one holder's entry in the record: this
- * VM's own, or one of {@code mForeign} or {@code mAdopting}. Not thread-safe; guarded by its
- * organisation's lock.
+ * <p>Invariants: tokens are added only by a grant in the platform's record or by a move that its
+ * giver subtracted first. Tokens are subtracted before a return is written or a move is sent. So
+ * only this VM can spend the tokens that it counts as held, regardless of lost messages and wrong
+ * clocks. Every token that is held, or spent and not yet reported, is charged to the entry of one
+ * holder in the record: this VM's own entry, or one in {@code mForeignCharges} or {@code
+ * mTransferringCharges}. Not thread-safe; guarded by its organisation's lock.
  */
 final class Holding {
     private static final long NO_RESERVATION = -1;
@@ -86,12 +86,12 @@
         return mOverrun;
     }
 
-    /** Returns what this VM drew and did not return. */
+    /** Returns the tokens that this VM drew and did not return. */
     long drawn() {
         return mGranted - mReturned;
     }
 
-    /** Sets tokens aside where enough are free. */
+    /** Reserves tokens, or returns empty if too few are free. */
     Optional<Reservation> reserve(RequestId request, long tokens, long number) {
         if (mFree < tokens) {
             return Optional.empty();
@@ -103,8 +103,8 @@
     }
 
     /**
-     * Ends a reservation with what was really used, capped at what was reserved; ending it again
-     * has no effect.
+     * Ends a reservation with the number of tokens used, capped at the tokens reserved. Ending it
+     * again has no effect.
      */
     void settle(long number, long usedTokens) {
         long tokens = mOpenReservations.remove(number);
@@ -128,22 +128,28 @@
         mSpent += used - covered - netted;
     }
 
-    /** Takes settled tokens back as unspent; what was already reported elsewhere nets later. */
+    /**
+     * Makes settled tokens free again. Tokens beyond those that this VM still counts as spent are
+     * netted against later spending.
+     */
     void refund(long tokens) {
-        long now = Math.min(tokens, mSpent);
-        mSpent -= now;
-        mFree += now;
-        mUnnettedRefund += tokens - now;
+        long refundable = Math.min(tokens, mSpent);
+        mSpent -= refundable;
+        mFree += refundable;
+        mUnnettedRefund += tokens - refundable;
     }
 
-    /** Subtracts free tokens that the next write returns. */
+    /** Subtracts free tokens, which the next write returns to the platform. */
     void giveBack(long tokens) {
         long given = Math.max(0, Math.min(tokens, mFree));
         mFree -= given;
         mReturned += given;
     }
 
-    /** Returns whether the record lacks anything that this VM should report. */
+    /**
+     * Returns whether this VM has spending, returns or charges that the record does not contain
+     * yet.
+     */
     boolean hasUnreportedChanges(HolderRecord recorded) {
         return recorded.spent() != mSpent
                 || recorded.returned() != mReturned
@@ -151,19 +157,22 @@
                 || !mTransferringCharges.isEmpty();
     }
 
-    /** Returns what the record does not yet say to be spent. */
+    /** Returns the spent tokens that the record does not contain yet; negative after a refund. */
     long unreportedSpent(HolderRecord recorded) {
         return mSpent - recorded.spent();
     }
 
-    /** Returns whether tokens are subtracted here that the record does not yet say are returned. */
+    /**
+     * Returns whether tokens were subtracted here to be returned and the record does not show the
+     * return yet.
+     */
     boolean hasUnreportedReturns() {
         return mReturned != mReturnedInRecord;
     }
 
     /**
-     * Takes over what the record says: grants, the end of an adoption, or that this holder was
-     * closed while its VM still ran.
+     * Applies a record: adds its grants, completes a transfer of charges, or opens the next
+     * generation if this holder's entry was closed while its VM still ran.
      */
     void applyRecord(BudgetRecord record) {
         HolderRecord entry = record.holders().get(mHolder);
@@ -186,12 +195,18 @@
         }
     }
 
-    /** Returns whether the platform may hold an entry, or a newer one than was seen. */
+    /**
+     * Returns whether the platform may hold an entry of this holder, or a newer one than the last
+     * record received shows.
+     */
     boolean mayHaveEntry() {
         return mRegistered || mLastWriteUnknown;
     }
 
-    /** Notes that a write with this holding's entry may take effect, now or late. */
+    /**
+     * Records that a write of this holder's entry has an unknown outcome: it may take effect now,
+     * later or never.
+     */
     void onWriteOutcomeUnknown() {
         mReturnedInUnknownWrite = mReturned;
         mLastWriteUnknown = true;
@@ -199,8 +214,9 @@
     }
 
     /**
-     * Goes on as a new holder. All that the closed entry drew counts as spent in the record, and
-     * this VM alone may spend it: so it is kept, and charged to the closed entry until adopted.
+     * Continues as the next generation of this holder. The record counts all tokens drawn by the
+     * closed entry as spent, and only this VM can spend them. So they are kept, and charged to the
+     * closed entry until the new entry takes over the charge.
      */
     private void openNextGeneration() {
         mFree += mReturned - Math.max(mReturnedInRecord, mReturnedInUnknownWrite);
@@ -230,9 +246,10 @@
     }
 
     /**
-     * Keeps what the closed entry does not say to be spent. Where it may or may not hold the last
-     * write, the larger figure is taken, and tokens refunded since are set aside until they net
-     * with later spending: so they are never counted as settled and given back as well.
+     * Keeps the spending that the closed entry does not contain. If it is unknown whether the entry
+     * contains the last write, the largest spending written is assumed. Tokens refunded since are
+     * withheld until they are netted against later spending, so that they are never both counted as
+     * settled and returned.
      */
     private void carryUnreportedSpending() {
         if (!mAnyWriteUnknown) {
@@ -247,17 +264,17 @@
         }
     }
 
-    /** Takes free tokens out of use, up to what is to be held back. */
+    /** Withholds free tokens from use, up to {@code mTokensToWithhold}. */
     private void withholdFree() {
-        long aside = Math.min(mFree, mTokensToWithhold);
-        mFree -= aside;
-        mTokensToWithhold -= aside;
-        mUnnettedRefund += aside;
+        long withheld = Math.min(mFree, mTokensToWithhold);
+        mFree -= withheld;
+        mTokensToWithhold -= withheld;
+        mUnnettedRefund += withheld;
     }
 
     /**
-     * Notes that the last write took effect as it was planned: earlier ones of unknown effect
-     * expected an older version, so they can't take effect any more.
+     * Records that the last write took effect as planned. Earlier writes of unknown outcome
+     * expected an older version, so they can no longer take effect.
      */
     void onWritten() {
         mLastWriteUnknown = false;
@@ -272,30 +289,31 @@
     /**
      * Returns this holder's entry for the next write.
      *
-     * <p>The first entry carries a grant only: if its reply is lost and the entry is closed before
-     * it is read, writing it again must not repeat a return.
+     * <p>The first entry contains a grant only. If its reply is lost and the entry is closed before
+     * it is read, the entry is written again, which must not repeat a return.
      */
     HolderRecord nextEntry(Optional<HolderRecord> recorded, long draw) {
         if (recorded.isEmpty()) {
             return new HolderRecord(draw, 0, 0, 0, 0, 0, 0, 0);
         }
-        HolderRecord now = recorded.get();
+        HolderRecord current = recorded.get();
         mSpentInLastWrite = mSpent;
         mMaxSpentWritten = Math.max(mMaxSpentWritten, mSpent);
         return new HolderRecord(
-                now.granted() + draw,
+                current.granted() + draw,
                 mReturned,
                 mSpent,
                 mMovedIn + transferringTotal(),
-                now.movedOut(),
+                current.movedOut(),
                 mReserved,
                 mFree + draw,
                 0);
     }
 
     /**
-     * Fixes which foreign charges the next write takes over, and returns those that the record seen
-     * does not yet hold; the set stays the same until the record shows it.
+     * Selects the foreign charges that the next write takes over, and returns those that the last
+     * record received does not show as taken over. The selection does not change until a record
+     * shows it.
      */
     Map<HolderId, Long> transferCharges(HolderRecord recorded) {
         if (recorded.movedIn() != mMovedIn) {
@@ -313,10 +331,11 @@
     }
 
     /**
-     * Subtracts tokens to move to another VM: free ones and, where this VM has no entry of its own,
-     * spent ones with them.
+     * Subtracts tokens to move to another VM: free tokens and, if this VM has no entry of its own,
+     * also spent ones.
      *
-     * @param preferred the charge that the receiver would like best
+     * @param preferred the holder whose charge the receiver prefers to get
+     * @return the tokens to move; empty if there are none
      */
     Optional<MovedTokens> takeForMove(HolderId preferred, long free, long spent) {
         if (mRegistered) {
@@ -341,15 +360,15 @@
     }
 
     /**
-     * Returns refunded tokens that the record may still say to be spent. They stay here until a
-     * write is known to have lowered that figure: if the entry is closed first, nobody else may
-     * spend or return what it counts as settled.
+     * Returns refunded tokens that the record may still count as spent. They are not moved until a
+     * write is known to have lowered the recorded spending. If the entry is closed before that, no
+     * other VM may spend or return tokens that the entry counts as settled.
      */
     private long unreportedRefunds() {
         return Math.max(0, Math.max(mSpentInRecord, mMaxSpentWritten) - mSpent);
     }
 
-    /** Adds what another VM moved here. */
+    /** Adds tokens that another VM moved to this one. */
     void addMoved(MovedTokens moved) {
         mFree += moved.free();
         mSpent += moved.spent();
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/HoldingView.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/HoldingView.java
@@ -1,13 +1,14 @@
 package org.hornbeampass.coordination.budget;
 
 /**
- * What a VM holds of one budget at one moment, in tokens, for metrics and status pages.
+ * Snapshot of the tokens that a VM holds of one budget, for metrics and status pages.
  *
  * <p>Immutable; safe for use by any thread.
  *
- * @param free neither spent nor reserved
- * @param reserved set aside for requests in progress
- * @param overrun used by callers beyond their reservations; the operator's loss
+ * @param free the tokens neither spent nor reserved
+ * @param reserved the tokens reserved for requests in progress
+ * @param overrun the tokens used by requests beyond their reservations, which are the operator's
+ *     loss
  * @param waiting the number of requests that wait for a grant
  */
 public record HoldingView(long free, long reserved, long overrun, int waiting) {
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/LedgerCheck.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/LedgerCheck.java
@@ -8,12 +8,12 @@
 import java.util.Optional;
 
 /**
- * The invariants of the platform's record of a budget, one check each.
+ * Checks of the invariants of the platform's record of a budget.
  *
  * <p>Immutable; safe for use by any thread.
  */
 public enum LedgerCheck {
-    /** What holders drew and did not return never exceeds what was paid. */
+    /** The tokens that holders drew and did not return never exceed the paid tokens. */
     DRAWN_WITHIN_PAID {
         @Override
         Optional<String> findBreach(BudgetKey key, BudgetRecord record) {
@@ -22,7 +22,7 @@
                     record.drawn() + " tokens drawn of " + record.paid() + " paid");
         }
     },
-    /** What is settled never exceeds what was drawn. */
+    /** The settled tokens never exceed the tokens drawn. */
     SETTLED_WITHIN_DRAWN {
         @Override
         Optional<String> findBreach(BudgetKey key, BudgetRecord record) {
@@ -31,21 +31,24 @@
                     record.settled() + " tokens settled of " + record.drawn() + " drawn");
         }
     },
-    /** No counter is negative, but for one holder's spending, from which refunds are taken. */
+    /**
+     * No counter is negative, except the spending of a single holder, which refunds can lower below
+     * 0.
+     */
     COUNTERS_NOT_NEGATIVE {
         @Override
         Optional<String> findBreach(BudgetKey key, BudgetRecord record) {
-            boolean below =
+            boolean anyNegative =
                     record.paid() < 0
                             || record.settled() < 0
                             || isAnyCounterNegative(record.closed());
             for (HolderRecord holder : record.holders().values()) {
-                below |= isAnyCounterNegative(holder);
+                anyNegative |= isAnyCounterNegative(holder);
             }
-            return detailIf(below, "a counter is below 0");
+            return detailIf(anyNegative, "a counter is negative");
         }
     },
-    /** The statement's parts add up to what was paid. */
+    /** The parts of the statement add up to the paid tokens. */
     STATEMENT_RECONCILES {
         @Override
         Optional<String> findBreach(BudgetKey key, BudgetRecord record) {
@@ -57,8 +60,8 @@
 
     abstract Optional<String> findBreach(BudgetKey key, BudgetRecord record);
 
-    private static Optional<String> detailIf(boolean broken, String detail) {
-        return broken ? Optional.of(detail) : Optional.empty();
+    private static Optional<String> detailIf(boolean violated, String detail) {
+        return violated ? Optional.of(detail) : Optional.empty();
     }
 
     private static boolean isAnyCounterNegative(HolderRecord holder) {
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/LedgerEdit.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/LedgerEdit.java
@@ -17,10 +17,12 @@
 import java.util.function.Function;
 
 /**
- * Reads one organisation's record, changes it and writes it back, until the change is seen in it.
+ * Changes the record of one organisation by conditional updates, retried until the record contains
+ * the change.
  *
- * <p>Invariant: the change itself tells whether it was made before, so that a write whose reply was
- * lost is never made twice. Used once; its callbacks may run on any thread, one after the other.
+ * <p>Invariant: the change function detects whether the record contains the change already, so that
+ * a write whose reply was lost is never made twice. Each instance is used once; its callbacks may
+ * run on any thread, one after the other.
  */
 final class LedgerEdit {
     private static final int MAX_ATTEMPTS = 12;
@@ -34,10 +36,10 @@
     /**
      * Creates an edit.
      *
-     * @param change returns the changed record; empty where it holds the change already; or a
-     *     failure, which ends the edit
-     * @param done takes the record that holds the change, or {@code PLATFORM_UNAVAILABLE}, after
-     *     which the change may have been made or not
+     * @param change returns the changed record; empty if the record contains the change already; or
+     *     an error, which ends the edit
+     * @param done receives the record with the change, or {@code PLATFORM_UNAVAILABLE}, after which
+     *     it is unknown whether the change was made; or the error that {@code change} returned
      */
     LedgerEdit(
             Platform platform,
@@ -50,15 +52,15 @@
         mDone = done;
     }
 
-    /** The failure of a platform that gives no reply. */
+    /** Returns the error for a platform that does not reply. */
     static Failure unavailable() {
         return Failure.retryAfter(
                 ErrorKind.PLATFORM_UNAVAILABLE,
-                "the platform gives no reply; repeat the same command, it takes effect once",
+                "the platform does not reply; repeat the same command, it takes effect only once",
                 1_000);
     }
 
-    /** Reads the record and goes on from there. */
+    /** Reads the record, then changes and writes it. */
     void start(long nowMs) {
         if (++mAttempts > MAX_ATTEMPTS) {
             mDone.accept(nowMs, Either.left(unavailable()));
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/LedgerSync.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/LedgerSync.java
@@ -10,11 +10,12 @@
 import java.util.Optional;
 
 /**
- * What this VM knows of one organisation's record, and when it may call the platform again.
+ * Holds the last record received of one organisation, and controls when the platform may be called
+ * again.
  *
- * <p>Invariant: at most one call is in flight; {@code mBase} is a record that the platform held at
- * {@code mAsOfMs} or later, together with its version. Not thread-safe; guarded by its
- * organisation's lock.
+ * <p>Invariant: at most one call is in flight. {@code mLastRecord} is a record that the platform
+ * held at {@code mAsOfMs} or later, and {@code mVersion} is its version. Not thread-safe; guarded
+ * by its organisation's lock.
  */
 final class LedgerSync {
     private static final int MAX_CONFLICTS_IN_A_ROW = 3;
@@ -23,7 +24,7 @@
     private final OrganisationId mOrganisation;
     private final BudgetSettings mSettings;
     private final int mJitterSeed;
-    private Optional<LedgerRecord> mRecord = Optional.empty();
+    private Optional<LedgerRecord> mLastRecord = Optional.empty();
     private long mVersion;
     private long mAsOfMs;
     private boolean mInFlight;
@@ -39,13 +40,13 @@
         mJitterSeed = jitterSeed;
     }
 
-    /** Returns the platform's key of an organisation's record. */
+    /** Returns the key of an organisation's record on the platform. */
     static String objectKey(OrganisationId organisation) {
         return "budgets/" + organisation.value();
     }
 
-    Optional<LedgerRecord> record() {
-        return mRecord;
+    Optional<LedgerRecord> lastRecord() {
+        return mLastRecord;
     }
 
     boolean mayCall(long nowMs) {
@@ -56,7 +57,7 @@
         return mInFlight;
     }
 
-    /** Returns whether the last call had no reply, so that the platform may be out of reach. */
+    /** Returns whether the last call failed, so that the platform may be unreachable. */
     boolean unreachable() {
         return mFailures > 0;
     }
@@ -65,28 +66,28 @@
         return mNextCallMs;
     }
 
-    /** Returns whether the record was read or written no longer ago than a bound. */
+    /** Returns whether the last record received is not older than {@code boundMs} milliseconds. */
     boolean freshWithin(long nowMs, long boundMs) {
-        return mRecord.isPresent() && nowMs - mAsOfMs <= boundMs;
+        return mLastRecord.isPresent() && nowMs - mAsOfMs <= boundMs;
     }
 
     long calls() {
         return mReads + mWrites;
     }
 
-    /** Makes the record known too old to act on, so that the next call is a read. */
+    /** Discards the last record received, so that the next call is a read. */
     void discardRecord() {
-        mRecord = Optional.empty();
+        mLastRecord = Optional.empty();
     }
 
-    /** Starts a read. */
+    /** Starts a read and returns the call to submit. */
     PlatformCall startRead() {
         mInFlight = true;
         mReads++;
         return new PlatformCall.Get(objectKey(mOrganisation));
     }
 
-    /** Starts a conditional write over the record known. */
+    /** Starts a conditional update of the last record received and returns the call to submit. */
     PlatformCall startWrite(LedgerRecord next) {
         mInFlight = true;
         mWrites++;
@@ -96,7 +97,7 @@
                 : new PlatformCall.Update(objectKey(mOrganisation), value, mVersion);
     }
 
-    /** Ends a read; returns whether the record is known now. */
+    /** Ends a read. Returns whether the record was received. */
     boolean onReadReply(long submittedMs, long nowMs, PlatformReply reply) {
         mInFlight = false;
         if (reply instanceof PlatformReply.Found found) {
@@ -109,11 +110,14 @@
         return false;
     }
 
-    /** Ends a write; returns whether the record as it is now is known. */
+    /**
+     * Ends a write. Returns whether the current record is known, either as written or from a
+     * conflict reply.
+     */
     boolean onWriteReply(long submittedMs, long nowMs, LedgerRecord written, PlatformReply reply) {
         mInFlight = false;
         if (reply instanceof PlatformReply.Written done) {
-            mRecord = Optional.of(written);
+            mLastRecord = Optional.of(written);
             mVersion = done.version();
             mAsOfMs = submittedMs;
             mFailures = 0;
@@ -122,11 +126,11 @@
         }
         if (reply instanceof PlatformReply.Conflict conflict) {
             mConflicts++;
-            boolean known = setRecord(submittedMs, nowMs, conflict.current());
-            if (known && mConflicts > MAX_CONFLICTS_IN_A_ROW) {
+            boolean received = setRecord(submittedMs, nowMs, conflict.current());
+            if (received && mConflicts > MAX_CONFLICTS_IN_A_ROW) {
                 mNextCallMs = nowMs + jitter(mConflicts);
             }
-            return known;
+            return received;
         }
         onFailure(nowMs);
         return false;
@@ -134,7 +138,7 @@
 
     private boolean setRecord(long submittedMs, long nowMs, Optional<StoredObject> object) {
         if (object.isEmpty()) {
-            mRecord = Optional.of(LedgerRecord.empty());
+            mLastRecord = Optional.of(LedgerRecord.empty());
             mVersion = 0;
         } else {
             var decoded = Json.decode(object.get().value(), LedgerRecord.class);
@@ -142,7 +146,7 @@
                 onFailure(nowMs);
                 return false;
             }
-            mRecord = Optional.of(decoded.get());
+            mLastRecord = Optional.of(decoded.get());
             mVersion = object.get().version();
         }
         mAsOfMs = submittedMs;
@@ -151,14 +155,17 @@
     }
 
     private void onFailure(long nowMs) {
-        mRecord = Optional.empty();
+        mLastRecord = Optional.empty();
         mFailures = Math.min(mFailures + 1, 30);
-        long doubled = mSettings.backoffMinMs() << Math.min(mFailures - 1, 10);
-        long wait = Math.min(mSettings.backoffMaxMs(), doubled);
+        long backoff = mSettings.backoffMinMs() << Math.min(mFailures - 1, 10);
+        long wait = Math.min(mSettings.backoffMaxMs(), backoff);
         mNextCallMs = nowMs + wait / 2 + jitter(mFailures) % (wait / 2 + 1);
     }
 
-    /** Spreads the VMs that lost the same race; the same at each run. */
+    /**
+     * Returns a delay that differs between VMs, so that those that lost the same race do not retry
+     * together. It is deterministic, so that simulations are repeatable.
+     */
     private long jitter(int attempt) {
         long window = mSettings.backoffMinMs() << Math.min(attempt, MAX_JITTER_DOUBLINGS);
         int hash = (mJitterSeed * 31 + attempt) * 0x9E3779B9;
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/LedgerWritePlan.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/LedgerWritePlan.java
@@ -13,11 +13,11 @@
 import java.util.function.Predicate;
 
 /**
- * Plans one conditional write that carries the changes of all budgets of one organisation.
+ * Plans one conditional update that contains the changes of all budgets of one organisation.
  *
- * <p>Invariants: a grant never exceeds what is available in the record that the write expects; what
- * is returned is subtracted from the holding while planning, so before the write. Used once, under
- * the organisation's lock.
+ * <p>Invariants: a grant never exceeds the tokens available in the record that the update expects.
+ * Tokens to return are subtracted from the holding during planning, and so before the write. Each
+ * instance is used once, under the organisation's lock.
  */
 final class LedgerWritePlan {
     private final GrantCalculator mCalculator;
@@ -30,10 +30,10 @@
     /**
      * Creates a plan.
      *
-     * @param base the record that the write expects
-     * @param calculator decides how much each budget draws and gives back
+     * @param base the record that the update expects to replace
+     * @param calculator calculates how many tokens each budget draws and returns
      * @param reportDue whether spending is to be reported now
-     * @param closing whether this VM shuts down and gives everything back
+     * @param closing whether this VM shuts down and returns all tokens
      */
     LedgerWritePlan(
             LedgerRecord base, GrantCalculator calculator, boolean reportDue, boolean closing) {
@@ -43,45 +43,50 @@
         mClosing = closing;
     }
 
-    /** Closes the entries of holders that are proved gone: what they did not report is spent. */
-    void closeGoneHolders(Predicate<HolderId> gone) {
-        for (var each : Map.copyOf(mPlannedRecord.budgets()).entrySet()) {
-            BudgetRecord budget = each.getValue();
+    /**
+     * Closes the entries of holders that are proved gone. Tokens that they did not report count as
+     * spent.
+     */
+    void closeGoneHolders(Predicate<HolderId> isGone) {
+        for (var entry : Map.copyOf(mPlannedRecord.budgets()).entrySet()) {
+            BudgetRecord budget = entry.getValue();
             Map<HolderId, HolderRecord> open = new TreeMap<>(budget.holders());
             HolderRecord closed = budget.closed();
             for (var holder : budget.holders().entrySet()) {
-                if (gone.test(holder.getKey())) {
+                if (isGone.test(holder.getKey())) {
                     open.remove(holder.getKey());
                     closed = closed.plusClosed(holder.getValue());
                 }
             }
             if (open.size() < budget.holders().size()) {
                 mPlannedRecord =
-                        mPlannedRecord.with(each.getKey(), budget.withHolders(open, closed));
+                        mPlannedRecord.with(entry.getKey(), budget.withHolders(open, closed));
                 mWriteNeeded = true;
             }
         }
     }
 
-    /** Adds one budget's draw, return and report. */
+    /** Adds the draw, return and report of one budget. */
     void addAccount(long nowMs, BudgetAccount account) {
         Holding holding = account.holding();
         BudgetRecord budget = mPlannedRecord.budget(account.key().budget());
-        Optional<HolderRecord> seen = Optional.ofNullable(budget.holders().get(holding.holder()));
+        Optional<HolderRecord> recorded =
+                Optional.ofNullable(budget.holders().get(holding.holder()));
         long draw = mClosing ? 0 : mCalculator.tokensToDraw(nowMs, account, budget);
-        if (draw <= 0 && seen.isPresent()) {
+        if (draw <= 0 && recorded.isPresent()) {
             giveBack(nowMs, account, budget);
         }
-        HolderRecord known = seen.orElse(HolderRecord.NONE);
-        boolean refunded = holding.unreportedSpent(known) < 0;
+        HolderRecord current = recorded.orElse(HolderRecord.NONE);
+        boolean refunded = holding.unreportedSpent(current) < 0;
         boolean report = mReportDue || mClosing || refunded || holding.hasUnreportedReturns();
         if (draw <= 0
-                && !(report && holding.hasUnreportedChanges(known))
-                && !(mClosing && seen.isPresent())) {
+                && !(report && holding.hasUnreportedChanges(current))
+                && !(mClosing && recorded.isPresent())) {
             return;
         }
         mPlannedRecord =
-                mPlannedRecord.with(account.key().budget(), planEntry(budget, holding, seen, draw));
+                mPlannedRecord.with(
+                        account.key().budget(), planEntry(budget, holding, recorded, draw));
         mWrittenHoldings.add(holding);
         mWriteNeeded = true;
     }
@@ -98,11 +103,11 @@
     }
 
     private BudgetRecord planEntry(
-            BudgetRecord budget, Holding holding, Optional<HolderRecord> seen, long draw) {
+            BudgetRecord budget, Holding holding, Optional<HolderRecord> recorded, long draw) {
         Map<HolderId, HolderRecord> open = new TreeMap<>(budget.holders());
         HolderRecord closed = budget.closed();
-        if (seen.isPresent()) {
-            for (var adopted : holding.transferCharges(seen.get()).entrySet()) {
+        if (recorded.isPresent()) {
+            for (var adopted : holding.transferCharges(recorded.get()).entrySet()) {
                 HolderRecord from = open.get(adopted.getKey());
                 if (from == null) {
                     closed = closed.withMovedOut(adopted.getValue());
@@ -111,8 +116,8 @@
                 }
             }
         }
-        HolderRecord entry = holding.nextEntry(seen, draw);
-        if (mClosing && seen.isPresent() && holding.reserved() == 0) {
+        HolderRecord entry = holding.nextEntry(recorded, draw);
+        if (mClosing && recorded.isPresent() && holding.reserved() == 0) {
             open.remove(holding.holder());
             closed = closed.plusClosed(entry);
         } else {
@@ -121,12 +126,12 @@
         return budget.withHolders(open, closed);
     }
 
-    /** Returns the record to write; empty where nothing needs a write. */
+    /** Returns the record to write; empty if no write is needed. */
     Optional<LedgerRecord> result() {
         return mWriteNeeded ? Optional.of(mPlannedRecord) : Optional.empty();
     }
 
-    /** Returns the holdings whose entries the write carries. */
+    /** Returns the holdings whose entries the write contains. */
     List<Holding> writtenHoldings() {
         return mWrittenHoldings;
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/MoveAck.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/MoveAck.java
@@ -8,13 +8,13 @@
 import org.hornbeampass.state.VmId;
 
 /**
- * Says that a move was added once, or that its receiver's incarnation runs no more.
+ * Acknowledges a move: its tokens were added, once, or the receiver's incarnation no longer runs.
  *
  * @param organisation the organisation
  * @param budget its budget
  * @param receiver the VM to which the move was addressed
- * @param sequence the move's sequence
- * @param added false where the VM that answers is another incarnation than the receiver
+ * @param sequence the sequence of the move
+ * @param added false if the VM that answers is another incarnation than the receiver
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record MoveAck(
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/OrganisationBudgets.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/OrganisationBudgets.java
@@ -27,11 +27,11 @@
 import java.util.function.Consumer;
 
 /**
- * All budgets of one organisation on this VM.
+ * State of all budgets of one organisation on this VM.
  *
- * <p>Invariant: at most one platform call is in flight, and each write carries the changes of all
- * budgets. Thread-safe: one lock guards all state; it is the only lock that is ever held, and calls
- * and callbacks run after it is released.
+ * <p>Invariant: at most one platform call is in flight, and each write contains the changes of all
+ * budgets. Thread-safe: one lock guards all state, it is never held together with another lock, and
+ * calls and callbacks run after it is released.
  */
 final class OrganisationBudgets {
     private static final long IDLE_TICK_MS = 1_000;
@@ -71,9 +71,9 @@
             mTickNeeded = true;
             BudgetAccount account = account(key);
             account.holding().demand().addDemand(nowMs, tokens);
-            Optional<Reservation> made = mAdmission.tryReserve(account, request, tokens);
-            if (made.isPresent()) {
-                return Either.right(made.get());
+            Optional<Reservation> reserved = mAdmission.tryReserve(account, request, tokens);
+            if (reserved.isPresent()) {
+                return Either.right(reserved.get());
             }
             return Either.left(mAdmission.refusalFailure(nowMs, account, tokens));
         }
@@ -86,9 +86,9 @@
             long tokens,
             long waitMs,
             BiConsumer<Long, Either<Failure, Reservation>> done) {
-        Either<Failure, Reservation> now = tryReserve(nowMs, key, request, tokens);
-        if (now.isRight() || now.getLeft().kind() == ErrorKind.SHUTTING_DOWN) {
-            done.accept(nowMs, now);
+        Either<Failure, Reservation> immediate = tryReserve(nowMs, key, request, tokens);
+        if (immediate.isRight() || immediate.getLeft().kind() == ErrorKind.SHUTTING_DOWN) {
+            done.accept(nowMs, immediate);
             return;
         }
         DeferredActions actions = new DeferredActions();
@@ -226,8 +226,8 @@
         synchronized (mLock) {
             mTickNeeded = true;
             BudgetAccount account = account(new BudgetKey(ask.organisation(), ask.budget()));
-            boolean later = mayDraw() && !platformCannotHelp(nowMs, account, ask.atLeast());
-            mExchange.answer(nowMs, account, ask, later, reply, actions);
+            boolean mayDefer = mayDraw() && !platformCannotHelp(nowMs, account, ask.atLeast());
+            mExchange.answer(nowMs, account, ask, mayDefer, reply, actions);
             advance(nowMs, actions);
         }
         actions.run();
@@ -278,7 +278,10 @@
         return account;
     }
 
-    /** Does whatever is due: serves and refuses waiters, calls the platform, asks peers. */
+    /**
+     * Performs all work that is due: admits and refuses waiting requests, answers deferred asks,
+     * calls the platform, and sends moves and asks.
+     */
     private void advance(long nowMs, DeferredActions actions) {
         boolean mayDraw = mayDraw();
         for (BudgetAccount account : mAccounts.values()) {
@@ -305,7 +308,7 @@
                 nowMs,
                 account,
                 mPreference,
-                () -> AskCandidates.of(mContext, account, direct, mSync.record()),
+                () -> AskCandidates.of(mContext, account, direct, mSync.lastRecord()),
                 actions,
                 this);
     }
@@ -316,7 +319,7 @@
         }
         long missing = waiting - account.holding().free();
         return mSync.freshWithin(nowMs, mContext.settings().maxRecordAgeMs())
-                && mSync.record().get().budget(account.key().budget()).available() < missing;
+                && mSync.lastRecord().get().budget(account.key().budget()).available() < missing;
     }
 
     void onAskReply(long nowMs, BudgetKey key, Either<Failure, PeerMessage> reply) {
@@ -346,13 +349,13 @@
             return;
         }
         boolean due = nowMs - mLastReportMs >= mContext.settings().reportIntervalMs();
-        if (mSync.record().isEmpty()) {
+        if (mSync.lastRecord().isEmpty()) {
             if (needsPlatform(nowMs)) {
                 submitRead(nowMs, mSync.startRead(), actions);
             }
             return;
         }
-        LedgerWritePlan plan = plan(nowMs, mSync.record().get(), due);
+        LedgerWritePlan plan = plan(nowMs, mSync.lastRecord().get(), due);
         Optional<LedgerRecord> next = plan.result();
         if (next.isPresent()) {
             if (due) {
@@ -391,8 +394,9 @@
     private boolean isGone(HolderId holder) {
         VmId vm = holder.vm();
         VmId self = mContext.self();
-        boolean ownPast = vm.name().equals(self.name()) && vm.incarnation() < self.incarnation();
-        return ownPast || mGoneVms.contains(vm);
+        boolean ownFormerIncarnation =
+                vm.name().equals(self.name()) && vm.incarnation() < self.incarnation();
+        return ownFormerIncarnation || mGoneVms.contains(vm);
     }
 
     private boolean usesPlatform(BudgetAccount account, boolean home) {
@@ -405,14 +409,14 @@
     private boolean needsPlatform(long nowMs) {
         boolean home = mContext.isHome(mOrganisation);
         for (BudgetAccount account : mAccounts.values()) {
-            boolean wants =
+            boolean needed =
                     !account.waiters().isEmpty()
                             || account.peerWaitingTokens() > 0
                             || account.holding().free() > 0
                             || account.holding().mayHaveEntry()
                             || account.holding().hasUnreportedChanges(HolderRecord.NONE)
                             || account.holding().demand().tokensPerMs(nowMs) > 0;
-            if (wants && usesPlatform(account, home)) {
+            if (needed && usesPlatform(account, home)) {
                 return true;
             }
         }
@@ -479,7 +483,7 @@
     }
 
     private void applyRecord() {
-        LedgerRecord record = mSync.record().orElseThrow();
+        LedgerRecord record = mSync.lastRecord().orElseThrow();
         for (BudgetAccount account : mAccounts.values()) {
             account.holding().applyRecord(record.budget(account.key().budget()));
         }
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/PeerMoves.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/PeerMoves.java
@@ -10,11 +10,11 @@
 import java.util.Optional;
 
 /**
- * The moves of one budget between this VM and its peers, each applied at most once.
+ * Moves of one budget between this VM and its peers, each applied at most once.
  *
- * <p>Invariant: at most one move to a receiver is unacknowledged; a receiver adds a giver's moves
- * in the order of their sequence and each once. Not thread-safe; guarded by its organisation's
- * lock.
+ * <p>Invariant: at most one move to each receiver is unacknowledged. A receiver adds the moves of a
+ * giver in the order of their sequence, and each only once. Not thread-safe; guarded by its
+ * organisation's lock.
  */
 final class PeerMoves {
     private final BudgetKey mKey;
@@ -30,12 +30,12 @@
         mSelf = self;
     }
 
-    /** Returns the move to a receiver that is not acknowledged yet. */
+    /** Returns the unacknowledged move to a receiver, if any. */
     Optional<MoveGrant> pending(VmId receiver) {
         return Optional.ofNullable(mPending.get(receiver));
     }
 
-    /** Returns the VMs that tokens were moved to, those with most moves first. */
+    /** Returns the VMs to which tokens were moved, sorted by descending number of moves. */
     List<VmId> receivers() {
         return mMovesStarted.entrySet().stream()
                 .sorted(
@@ -46,12 +46,12 @@
                 .toList();
     }
 
-    /** Returns whether any move is not acknowledged yet. */
+    /** Returns whether any move is unacknowledged. */
     boolean anyPending() {
         return !mPending.isEmpty();
     }
 
-    /** Starts a move of tokens that the caller has subtracted. */
+    /** Starts a move of tokens that the caller has subtracted already. */
     MoveGrant start(VmId receiver, MovedTokens moved) {
         long sequence = mMovesStarted.merge(receiver, 1L, Long::sum);
         MoveGrant move =
@@ -68,7 +68,10 @@
         return move;
     }
 
-    /** Returns the unacknowledged moves whose next sending is due, and puts it off. */
+    /**
+     * Returns the unacknowledged moves whose next transmission is due, and schedules the following
+     * one after {@code retryMs} milliseconds.
+     */
     List<MoveGrant> takeDueMoves(long nowMs, long retryMs) {
         List<MoveGrant> due = new ArrayList<>();
         for (MoveGrant move : mPending.values()) {
@@ -80,12 +83,12 @@
         return due;
     }
 
-    /** Puts off the next sending of a move that was sent just now. */
+    /** Delays the next transmission of a move that was just sent until {@code nextMs}. */
     void delayResend(VmId receiver, long nextMs) {
         mRetryAtMs.put(receiver, nextMs);
     }
 
-    /** Ends a move that was added, or whose receiver runs no more. */
+    /** Ends a move whose tokens were added or whose receiver no longer runs. */
     void acknowledge(MoveAck ack) {
         MoveGrant move = mPending.get(ack.receiver());
         if (move != null && move.sequence() == ack.sequence()) {
@@ -94,7 +97,10 @@
         }
     }
 
-    /** Returns whether a move that came in is to be added; true once for each. */
+    /**
+     * Records a received move. Returns whether its tokens are to be added, which is true only once
+     * for each move.
+     */
     boolean recordReceived(MoveGrant move) {
         if (move.sequence() <= mLastSequenceReceived.getOrDefault(move.giver(), 0L)) {
             return false;
@@ -103,13 +109,18 @@
         return true;
     }
 
-    /** Forgets a VM that is proved gone: what was on its way to it stays charged as it was. */
+    /**
+     * Ends the move to a VM that is proved gone. The tokens of that move stay charged as before.
+     */
     void removeReceiver(VmId gone) {
         mPending.remove(gone);
         mRetryAtMs.remove(gone);
     }
 
-    /** Returns whether it is time to pass spending on, and puts the next time off. */
+    /**
+     * Returns whether spending is to be moved to a home now; if so, the next time is {@code
+     * intervalMs} milliseconds later.
+     */
     boolean takeHomeReportDue(long nowMs, long intervalMs) {
         if (nowMs < mNextHomeReportMs) {
             return false;
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/TopUp.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/TopUp.java
@@ -18,13 +18,15 @@
 import java.util.function.BiConsumer;
 
 /**
- * Adds one top-up to a budget exactly once, whoever repeats it and whatever reply is lost.
+ * Adds one top-up to a budget exactly once, even if it is repeated by several operators and replies
+ * are lost.
  *
- * <p>Invariants: the top-up's own object is created first and kept for ever; the record holds the
- * id from the write that adds the tokens until the object is known to say {@code added}. The record
- * is read before the object: if the object then does not say {@code added}, and the record does not
- * hold the id, no write before that version added it, and the conditional write finds any later
- * one. Used once; its callbacks may run on any thread, one after the other.
+ * <p>Invariants: the top-up's own object is created first and kept forever. The record contains the
+ * top-up's id from the write that adds the tokens until the object is known to say {@code added}.
+ * The record is read before the object. If the object then does not say {@code added} and the
+ * record does not contain the id, no write up to that version of the record added the tokens, and a
+ * later write makes the conditional update fail. Each instance is used once; its callbacks may run
+ * on any thread, one after the other.
  */
 final class TopUp {
     private static final int MAX_ATTEMPTS = 12;
@@ -41,7 +43,8 @@
     /**
      * Creates a top-up.
      *
-     * @param done takes whether this run added the tokens (false: an earlier one had); or a failure
+     * @param done receives true if this run added the tokens, false if an earlier one did; or an
+     *     error
      */
     TopUp(
             Platform platform,
@@ -57,7 +60,7 @@
         mDone = done;
     }
 
-    /** Creates the top-up's object, or finds it. */
+    /** Creates the top-up's object or reads the existing one, then adds the tokens. */
     void start(long nowMs) {
         if (attemptsExhausted(nowMs)) {
             return;
@@ -99,9 +102,9 @@
     }
 
     private void onLedger(long nowMs, PlatformReply reply) {
-        boolean known =
+        boolean read =
                 reply instanceof PlatformReply.Found || reply instanceof PlatformReply.Missing;
-        if (!known) {
+        if (!read) {
             readLedger(nowMs);
             return;
         }
@@ -133,7 +136,7 @@
                                     + mTopUpId
                                     + " of budget "
                                     + mKey
-                                    + " was made with "
+                                    + " was requested before with "
                                     + decoded.get().tokens()
                                     + " tokens; use a new id for another top-up"));
             return;
@@ -163,9 +166,9 @@
             markAdded(nowMs, object, false);
             return;
         }
-        Optional<Failure> wrong = checkLimits(budget);
-        if (wrong.isPresent()) {
-            fail(nowMs, wrong.get());
+        Optional<Failure> invalid = checkLimits(budget);
+        if (invalid.isPresent()) {
+            fail(nowMs, invalid.get());
             return;
         }
         LedgerRecord next = decoded.get().with(mKey.budget(), budget.withTopUp(mTopUpId, mTokens));
@@ -196,19 +199,22 @@
                                     + mKey
                                     + " would exceed "
                                     + BudgetRecord.MAX_TOKENS
-                                    + " tokens; top up by less"));
+                                    + " tokens; use a smaller top-up"));
         }
         if (budget.openTopUps().size() >= MAX_OPEN_TOP_UPS) {
             return Optional.of(
                     Failure.retryAfter(
                             ErrorKind.OVERLOADED,
-                            "too many top-ups of budget " + mKey + " are under way; retry later",
+                            "too many top-ups of budget " + mKey + " are in progress; retry later",
                             1_000));
         }
         return Optional.empty();
     }
 
-    /** Notes in the object that the tokens are added; from here on the top-up can't be lost. */
+    /**
+     * Records in the object that the tokens are added. From then on the top-up can't be added
+     * again, even without its id in the record.
+     */
     private void markAdded(long nowMs, StoredObject object, boolean byThisRun) {
         String value = Json.encode(new TopUpRecord(mTokens, true));
         mPlatform.submit(
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/TopUpRecord.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/TopUpRecord.java
@@ -4,20 +4,21 @@
 import org.hornbeampass.state.OrganisationId;
 
 /**
- * One top-up's own object on the platform, kept for ever, so that its id never counts twice.
+ * Object of one top-up on the platform. It is kept forever, so that the top-up's id is never
+ * counted twice.
  *
  * <p>Immutable; safe for use by any thread.
  *
- * @param tokens what it adds
- * @param added whether the ledger's record is known to hold it
+ * @param tokens the tokens that the top-up adds
+ * @param added whether the ledger's record is known to contain the tokens
  */
 record TopUpRecord(long tokens, boolean added) {
-    /** Returns the platform's key of all top-ups of an organisation. */
+    /** Returns the prefix of the keys of an organisation's top-ups on the platform. */
     static String prefix(OrganisationId organisation) {
         return "topups/" + organisation + "/";
     }
 
-    /** Returns the platform's key of a top-up. */
+    /** Returns the key of a top-up on the platform. */
     static String key(BudgetKey key, String topUpId) {
         return prefix(key.organisation()) + key.budget() + "/" + topUpId;
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/Waiter.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/Waiter.java
@@ -9,12 +9,12 @@
 import java.util.function.BiConsumer;
 
 /**
- * A request that waits for a grant.
+ * A request that waits for tokens.
  *
  * @param request the request
- * @param tokens what it wants to reserve
- * @param deadlineMs when it is refused at the latest
- * @param done takes the outcome, exactly once
+ * @param tokens the tokens to reserve
+ * @param deadlineMs the time in milliseconds at which the request is refused
+ * @param done receives the reservation or an error, exactly once
  */
 record Waiter(
         RequestId request,
--- a/coordination/src/test/java/org/hornbeampass/coordination/budget/AskRoundTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/budget/AskRoundTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** Shows whom a round asks, and when it counts as failed. */
+/** Tests which peers a round asks, in which order, and when it counts as failed. */
 class AskRoundTest {
     private static final VmId A = new VmId("a", 1);
     private static final VmId B = new VmId("b", 1);
@@ -18,7 +18,7 @@
     private final AskRound mRound = new AskRound(mUnresponsivePeers);
 
     @Test
-    void roundNobodyWaitsFor_endsUnfailed_andTheNextBeginsWithTheFirstPeer() {
+    void idleRound_endsWithoutFailure_andTheNextStartsWithTheFirstPeer() {
         mRound.start(List.of(A, B));
         assertThat(mRound.nextPeer()).contains(A);
         mRound.onAskEnded(true);
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void roundWithAnAskUnderWay_isNotEnded() {
+    void roundWithAnAskInFlight_isNotEnded() {
         mRound.start(List.of(A, B));
         mRound.nextPeer();
         mRound.endIfIdle(5);
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void silentPeer_isAskedLast_alsoByOtherRounds_untilItReplies() {
+    void unresponsivePeer_isAskedLast_alsoByOtherRounds_untilItReplies() {
         mRound.start(List.of(A, B));
         mRound.nextPeer();
         mRound.onAskEnded(false);
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void given_isForgottenByTheNextRound() {
+    void tokensReceived_isResetByTheNextRound() {
         mRound.start(List.of(A));
         mRound.onTokensReceived();
         assertThat(mRound.anyTokensReceived()).isTrue();
--- a/coordination/src/test/java/org/hornbeampass/coordination/budget/BudgetFaultsTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/budget/BudgetFaultsTest.java
@@ -19,7 +19,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Brings about, one by one, the failures that the budgets are built against. */
+/**
+ * Triggers, one by one, the failures that must not cause overspending, double counting or lost
+ * tokens.
+ */
 class BudgetFaultsTest {
     private static BudgetSimulation newSimulation(int vms, int homes) {
         BudgetSimulation simulation = new BudgetSimulation(vms, GrantPolicy.DEMAND_HORIZON, homes);
@@ -53,7 +56,7 @@
     }
 
     @Test
-    void topUp_beyondTheLargestSum_isRefused() {
+    void topUp_beyondTheLargestTotal_isRefused() {
         BudgetSimulation simulation = newSimulation(1, 1);
         assertThat(simulation.topUp("huge", BudgetRecord.MAX_TOKENS).getLeft().kind())
                 .isEqualTo(ErrorKind.FIELD_INVALID);
@@ -63,14 +66,14 @@
     }
 
     @Test
-    void closedHolder_thatWakes_spendsWhatItHeldAndIsCountedOnce() {
+    void closedHolder_whoseVmResumes_spendsItsTokensAndIsCountedOnce() {
         BudgetSimulation simulation = newSimulation(2, 2);
-        Reservation made = simulation.reserve(0, 400).get();
+        Reservation reservation = simulation.reserve(0, 400).get();
         simulation.router(0).mPaused = true;
         declareGone(simulation, 0);
         assertThat(simulation.statement().writtenOff()).isGreaterThanOrEqualTo(400);
         simulation.resume(0);
-        simulation.ledger(0).settle(simulation.nowMs(), made, 300);
+        simulation.ledger(0).settle(simulation.nowMs(), reservation, 300);
         BudgetStatement after = simulation.runAndGetStatement(30_000);
         assertThat(after.settled()).isEqualTo(300);
         assertThat(after.writtenOff()).isZero();
@@ -78,7 +81,7 @@
     }
 
     @Test
-    void router_thatDiesBeforeSettlement_leavesItsReservationWrittenOff() {
+    void router_thatCrashesBeforeSettlement_leavesItsReservationWrittenOff() {
         BudgetSimulation simulation = newSimulation(2, 2);
         simulation.reserve(0, 400);
         simulation.crash(0);
@@ -95,16 +98,16 @@
     }
 
     @Test
-    void limit_cutDuringAReservation_isLoweredOnceTheReservationEnds() {
+    void lowerPaid_duringAReservation_takesEffectOnceTheReservationEnds() {
         BudgetSimulation simulation = newSimulation(1, 1);
-        Reservation made = simulation.reserve(0, 600).get();
-        BudgetStatement cut = simulation.lower(100).get();
-        assertThat(cut.target()).hasValue(100);
-        assertThat(cut.paid()).isGreaterThanOrEqualTo(600);
-        assertThat(cut.outstanding()).hasSize(1);
+        Reservation reservation = simulation.reserve(0, 600).get();
+        BudgetStatement lowered = simulation.lower(100).get();
+        assertThat(lowered.target()).hasValue(100);
+        assertThat(lowered.paid()).isGreaterThanOrEqualTo(600);
+        assertThat(lowered.outstanding()).hasSize(1);
         simulation.run(40_000);
         assertThat(simulation.reserve(0, 1).isLeft()).isTrue();
-        simulation.ledger(0).settle(simulation.nowMs(), made, 50);
+        simulation.ledger(0).settle(simulation.nowMs(), reservation, 50);
         BudgetStatement after = simulation.runAndGetStatement(60_000);
         assertThat(after.target()).isEmpty();
         assertThat(after.paid()).isEqualTo(100);
@@ -112,7 +115,7 @@
     }
 
     @Test
-    void lower_toMore_isRefused() {
+    void lowerPaid_toAValueNotLower_isRefused() {
         assertThat(newSimulation(1, 1).lower(1_000).getLeft().kind())
                 .isEqualTo(ErrorKind.FIELD_INVALID);
     }
@@ -120,8 +123,8 @@
     @Test
     void vm_cutOffFromThePlatformOnly_getsTokensFromAPeer() {
         BudgetSimulation simulation = newSimulation(2, 2);
-        Reservation made = simulation.reserve(0, 100).get();
-        simulation.ledger(0).cancel(simulation.nowMs(), made);
+        Reservation reservation = simulation.reserve(0, 100).get();
+        simulation.ledger(0).cancel(simulation.nowMs(), reservation);
         simulation.router(1).mCutFromPlatform = true;
         assertThat(simulation.reserve(1, 60).isRight()).isTrue();
     }
@@ -134,7 +137,7 @@
     }
 
     @Test
-    void vm_cutOffFromAll_refusesAsUnreachableWithATimeToRetry() {
+    void vm_cutOffFromAll_refusesAsUnreachableWithARetryTime() {
         BudgetSimulation simulation = newSimulation(2, 2);
         simulation.router(1).mCutFromPlatform = true;
         simulation.router(1).mCutFromPeers = true;
@@ -180,11 +183,11 @@
     }
 
     @Test
-    void refund_duringAnAmbiguousWrite_isNotHandedOnBeforeTheRecordShowsIt() {
+    void refund_duringAWriteOfUnknownOutcome_isNotMovedBeforeTheRecordShowsIt() {
         BudgetSimulation simulation = newSimulation(2, 1);
-        Reservation made = simulation.reserve(0, 288).get();
+        Reservation reservation = simulation.reserve(0, 288).get();
         simulation.run(20_000);
-        simulation.ledger(0).settle(simulation.nowMs(), made, 231);
+        simulation.ledger(0).settle(simulation.nowMs(), reservation, 231);
         simulation.router(0).mNextFault = PlatformFault.REPLY_LOST;
         simulation.ledger(0).handOver(simulation.nowMs(), at -> {});
         simulation.ledger(0).refund(simulation.nowMs(), BudgetSimulation.KEY, 156);
@@ -241,7 +244,7 @@
     }
 
     @Test
-    void topUp_met390VmsAtOnce_isSharedWithABoundedNumberOfCalls() {
+    void topUp_usedBy390VmsAtOnce_needsFewerPlatformCallsThanVms() {
         BudgetSimulation simulation = new BudgetSimulation(390, GrantPolicy.DEMAND_HORIZON, 9);
         simulation.topUp("large", 100_000_000);
         int[] admitted = new int[1];
--- a/coordination/src/test/java/org/hornbeampass/coordination/budget/BudgetInvariant.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/budget/BudgetInvariant.java
@@ -5,23 +5,26 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** What must hold after each step of a schedule; {@code AT_THE_END} once all is healed. */
+/**
+ * Invariants checked after each step of a schedule. Those named {@code AT_THE_END} are checked only
+ * after all faults are removed and all requests ended.
+ */
 enum BudgetInvariant {
-    /** What was really spent, by the run's own books, never exceeds what was paid. */
+    /** The tokens spent, as counted by the run, never exceed the paid tokens. */
     SPENT_WITHIN_PAID {
         @Override
         boolean holds(ScheduleRun run, BudgetRecord record) {
             return run.spentTokens() <= record.paid();
         }
     },
-    /** What is spent and held anywhere, also by dead and paused VMs, was drawn. */
+    /** All tokens spent, and held by any VM including crashed and paused ones, were drawn. */
     HELD_AND_SPENT_WITHIN_DRAWN {
         @Override
         boolean holds(ScheduleRun run, BudgetRecord record) {
             return run.spentTokens() + run.heldTokens() <= record.drawn();
         }
     },
-    /** The audit of the record finds nothing. */
+    /** The audit of the record finds no violation. */
     AUDIT_FINDS_NOTHING {
         @Override
         boolean holds(ScheduleRun run, BudgetRecord record) {
@@ -29,31 +32,37 @@
                     .isEmpty();
         }
     },
-    /** Each top-up counts at most once, and once where the operator was told so. */
+    /** Each top-up counts at most once, and exactly once if the operator received a success. */
     TOP_UP_COUNTS_ONCE {
         @Override
         boolean holds(ScheduleRun run, BudgetRecord record) {
-            boolean once =
+            boolean countedOnce =
                     record.paid() >= run.tokensOfCompletedTopUps()
                             && record.paid() <= run.tokensOfAllTopUps();
-            return run.paidWasSet() || once;
+            return run.paidWasSet() || countedOnce;
         }
     },
-    /** A request is refused as exhausted only where less is left than it asked for. */
+    /** A request is refused as exhausted only if fewer tokens were left than it asked for. */
     EXHAUSTED_IS_TRUE {
         @Override
         boolean holds(ScheduleRun run, BudgetRecord record) {
             return run.wrongRefusals().isEmpty();
         }
     },
-    /** Each request has its answer when its wait is over, unless its VM is paused or dead. */
+    /**
+     * Each request receives its outcome before its wait is over, unless its VM is paused or
+     * crashed.
+     */
     ANSWERED_IN_TIME {
         @Override
         boolean holds(ScheduleRun run, BudgetRecord record) {
             return run.overdueRequests() == 0;
         }
     },
-    /** Nothing is counted as settled that was not spent; with no deaths, all and no more is. */
+    /**
+     * The settled tokens and the drawn tokens equal the tokens spent. If tokens may be lost, for
+     * example by crashes, only the tokens drawn must cover the tokens spent.
+     */
     SETTLED_IS_SPENT_AT_THE_END {
         @Override
         boolean holds(ScheduleRun run, BudgetRecord record) {
@@ -75,7 +84,7 @@
         return false;
     }
 
-    /** Returns the invariants that do not hold. */
+    /** Returns the violated invariants. */
     static List<BudgetInvariant> findBroken(ScheduleRun run, boolean atTheEnd) {
         BudgetRecord record = run.record();
         return Arrays.stream(values())
--- a/coordination/src/test/java/org/hornbeampass/coordination/budget/BudgetLedgerTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/budget/BudgetLedgerTest.java
@@ -7,26 +7,26 @@
 import org.hornbeampass.state.budget.Reservation;
 import org.junit.jupiter.api.Test;
 
-/** Shows admission on one VM with a platform that works. */
+/** Tests admission on one VM whose platform works. */
 class BudgetLedgerTest {
     private final BudgetSimulation mSimulation =
             new BudgetSimulation(1, GrantPolicy.DEMAND_HORIZON, 1);
 
     @Test
-    void reserve_drawsAndAdmits() {
+    void reserve_withNothingHeld_drawsTokensAndAdmits() {
         mSimulation.topUp("t1", 1_000);
         assertThat(mSimulation.reserve(0, 600).isRight()).isTrue();
     }
 
     @Test
-    void reserve_beyondWhatIsLeft_isExhausted() {
+    void reserve_beyondTheTokensLeft_isRefusedAsExhausted() {
         mSimulation.topUp("t1", 1_000);
         assertThat(mSimulation.reserve(0, 1_001).getLeft().kind())
                 .isEqualTo(ErrorKind.BUDGET_EXHAUSTED);
     }
 
     @Test
-    void tryReserve_withNothingHeld_isUnreachable() {
+    void tryReserve_withNothingHeld_isRefusedAsUnreachable() {
         mSimulation.topUp("t1", 1_000);
         assertThat(
                         mSimulation
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void reserve_ofTooMany_isInvalid() {
+    void reserve_ofAnInvalidNumber_isRefused() {
         assertThat(mSimulation.reserve(0, Long.MAX_VALUE).getLeft().kind())
                 .isEqualTo(ErrorKind.FIELD_INVALID);
         assertThat(mSimulation.reserve(0, 0).getLeft().kind()).isEqualTo(ErrorKind.FIELD_INVALID);
@@ -48,8 +48,8 @@
     @Test
     void settle_beyondTheReservation_isCapped() {
         mSimulation.topUp("t1", 1_000);
-        Reservation made = mSimulation.reserve(0, 600).get();
-        mSimulation.ledger(0).settle(mSimulation.nowMs(), made, 900);
+        Reservation reservation = mSimulation.reserve(0, 600).get();
+        mSimulation.ledger(0).settle(mSimulation.nowMs(), reservation, 900);
         HoldingView view = mSimulation.ledger(0).view(BudgetSimulation.KEY).orElseThrow();
         assertThat(view.overrun()).isEqualTo(300);
         assertThat(mSimulation.runAndGetStatement(20_000).settled()).isEqualTo(600);
@@ -58,27 +58,27 @@
     @Test
     void settle_twice_countsOnce() {
         mSimulation.topUp("t1", 1_000);
-        Reservation made = mSimulation.reserve(0, 600).get();
-        mSimulation.ledger(0).settle(mSimulation.nowMs(), made, 100);
-        mSimulation.ledger(0).settle(mSimulation.nowMs(), made, 100);
+        Reservation reservation = mSimulation.reserve(0, 600).get();
+        mSimulation.ledger(0).settle(mSimulation.nowMs(), reservation, 100);
+        mSimulation.ledger(0).settle(mSimulation.nowMs(), reservation, 100);
         assertThat(mSimulation.runAndGetStatement(20_000).settled()).isEqualTo(100);
     }
 
     @Test
     void refund_makesTokensFreeAgain() {
         mSimulation.topUp("t1", 1_000);
-        Reservation made = mSimulation.reserve(0, 1_000).get();
-        mSimulation.ledger(0).settle(mSimulation.nowMs(), made, 1_000);
+        Reservation reservation = mSimulation.reserve(0, 1_000).get();
+        mSimulation.ledger(0).settle(mSimulation.nowMs(), reservation, 1_000);
         mSimulation.runAndGetStatement(20_000);
         mSimulation.ledger(0).refund(mSimulation.nowMs(), BudgetSimulation.KEY, 1_000);
         assertThat(mSimulation.reserve(0, 1_000).isRight()).isTrue();
     }
 
     @Test
-    void handOver_reportsAndReturnsAll() {
+    void handOver_reportsSpendingAndReturnsUnspentTokens() {
         mSimulation.topUp("t1", 1_000);
-        Reservation made = mSimulation.reserve(0, 600).get();
-        mSimulation.ledger(0).settle(mSimulation.nowMs(), made, 100);
+        Reservation reservation = mSimulation.reserve(0, 600).get();
+        mSimulation.ledger(0).settle(mSimulation.nowMs(), reservation, 100);
         assertThat(mSimulation.handOver(0)).isTrue();
         var statement = mSimulation.statement();
         assertThat(statement.settled()).isEqualTo(100);
--- a/coordination/src/test/java/org/hornbeampass/coordination/budget/BudgetMutant.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/budget/BudgetMutant.java
@@ -16,15 +16,14 @@
 import java.util.function.BiConsumer;
 
 /**
- * A simulation with one rule of the budgets deliberately broken, to prove the check that must catch
- * it.
+ * Deliberate violations of single rules of the budgets, which the invariant checks must detect.
  *
  * <p>Immutable.
  */
 enum BudgetMutant {
     /** No rule is broken. */
     NONE,
-    /** What a closed holder did not report goes back to the budget. */
+    /** Tokens that a closed holder did not report as spent are returned to the budget. */
     CLOSED_GRANT_IS_REUSED {
         @Override
         BudgetRecord rewrite(BudgetRecord before, BudgetRecord after) {
@@ -49,7 +48,7 @@
                     after.changes());
         }
     },
-    /** A budget is lowered below what is granted. */
+    /** A budget is lowered below the tokens drawn. */
     LOWERED_BELOW_GRANTED {
         @Override
         BudgetRecord rewrite(BudgetRecord before, BudgetRecord after) {
@@ -62,7 +61,7 @@
                     after.changes());
         }
     },
-    /** A write takes effect whatever version it expects. */
+    /** An update takes effect whatever version it expects. */
     VERSION_IS_IGNORED {
         @Override
         PlatformCall rewrite(PlatformCall call, Optional<PlatformReply.StoredObject> stored) {
@@ -73,7 +72,7 @@
             return call;
         }
     },
-    /** The id of a top-up is forgotten with its object. */
+    /** A top-up's object, which keeps its id, is deleted. */
     TOP_UP_ID_IS_FORGOTTEN {
         @Override
         PlatformCall rewrite(PlatformCall call, Optional<PlatformReply.StoredObject> stored) {
@@ -122,14 +121,14 @@
                     h.lost());
         }
     },
-    /** Nobody calls the ledgers' ticks. */
+    /** The ledgers are never ticked. */
     TICKS_STOP {
         @Override
         boolean ticks() {
             return false;
         }
     },
-    /** The record shows all that was paid as settled, so that requests are refused as exhausted. */
+    /** The record counts all paid tokens as settled, so that requests are refused as exhausted. */
     UNSPENT_IS_SHOWN_AS_SETTLED {
         @Override
         BudgetRecord rewrite(BudgetRecord before, BudgetRecord after) {
@@ -148,27 +147,27 @@
         }
     };
 
-    /** Returns what is written in place of a record. */
+    /** Returns the record to write instead of {@code after}. */
     BudgetRecord rewrite(BudgetRecord before, BudgetRecord after) {
         return after;
     }
 
-    /** Returns what is called in place of a call. */
+    /** Returns the call to submit instead of {@code call}. */
     PlatformCall rewrite(PlatformCall call, Optional<PlatformReply.StoredObject> stored) {
         return call;
     }
 
-    /** Returns what is delivered in place of a message. */
+    /** Returns the message to deliver instead of {@code message}. */
     PeerMessage rewriteMessage(PeerMessage message, long order) {
         return message;
     }
 
-    /** Returns whether time passes for the ledgers. */
+    /** Returns whether the ledgers are ticked. */
     boolean ticks() {
         return true;
     }
 
-    /** Submits a call under the broken rule. */
+    /** Submits a call with the rule broken. */
     void submit(
             MemoryPlatform store,
             long nowMs,
--- a/coordination/src/test/java/org/hornbeampass/coordination/budget/BudgetMutantsTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/budget/BudgetMutantsTest.java
@@ -5,7 +5,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Proves each check of the schedules by a broken rule that it must catch. */
+/**
+ * Verifies that each invariant check of the random schedules detects a rule that is deliberately
+ * broken.
+ */
 class BudgetMutantsTest {
     private static final int SCHEDULES = 3_000;
 
@@ -21,7 +24,7 @@
         "UNSPENT_IS_SHOWN_AS_SETTLED, EXHAUSTED_IS_TRUE",
         "TICKS_STOP, ANSWERED_IN_TIME"
     })
-    void check_catchesTheBrokenRule(BudgetMutant mutant, BudgetInvariant check) {
+    void check_detectsTheBrokenRule(BudgetMutant mutant, BudgetInvariant check) {
         assertThat(isCaught(mutant, check)).isTrue();
     }
 
--- a/coordination/src/test/java/org/hornbeampass/coordination/budget/BudgetProperties.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/budget/BudgetProperties.java
@@ -13,22 +13,23 @@
 import java.util.List;
 
 /**
- * Holds the budgets to their invariants over random schedules of requests, faults and operators.
+ * Checks the invariants of the budgets over random schedules of requests, faults and operators'
+ * commands.
  *
  * <p>The number of schedules is jqwik's default; {@code -Djqwik.tries.default=1000000} runs more.
  */
 class BudgetProperties {
     @Property(seed = "20261202", edgeCases = EdgeCasesMode.NONE)
-    void invariants_hold_whereAllDraw(
-            @ForAll("schedules") List<ScheduleStep> steps, @ForAll long latencies) {
-        ScheduleRun run = new ScheduleRun(3, BudgetMutant.NONE, latencies);
+    void invariants_hold_ifAllVmsAreHomes(
+            @ForAll("schedules") List<ScheduleStep> steps, @ForAll long latencySeed) {
+        ScheduleRun run = new ScheduleRun(3, BudgetMutant.NONE, latencySeed);
         assertThat(run.run(steps)).as(run::toString).isEmpty();
     }
 
     @Property(seed = "20261203", edgeCases = EdgeCasesMode.NONE)
-    void invariants_hold_whereOneDrawsForAll(
-            @ForAll("schedules") List<ScheduleStep> steps, @ForAll long latencies) {
-        ScheduleRun run = new ScheduleRun(1, BudgetMutant.NONE, latencies);
+    void invariants_hold_ifOneVmIsTheHome(
+            @ForAll("schedules") List<ScheduleStep> steps, @ForAll long latencySeed) {
+        ScheduleRun run = new ScheduleRun(1, BudgetMutant.NONE, latencySeed);
         assertThat(run.run(steps)).as(run::toString).isEmpty();
     }
 
--- a/coordination/src/test/java/org/hornbeampass/coordination/budget/BudgetScenarios.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/budget/BudgetScenarios.java
@@ -5,7 +5,7 @@
 import org.junit.platform.suite.api.SelectClasspathResource;
 import org.junit.platform.suite.api.Suite;
 
-/** Runs the budgets' scenarios. */
+/** Runs the Cucumber scenarios of the budgets. */
 @Suite
 @IncludeEngines("cucumber")
 @SelectClasspathResource("features/budgets.feature")
--- a/coordination/src/test/java/org/hornbeampass/coordination/budget/BudgetSchedules.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/budget/BudgetSchedules.java
@@ -6,12 +6,12 @@
 import java.util.Random;
 
 /**
- * Draws schedules from seeds, and runs many of them as a command.
+ * Generates schedules from seeds, and runs a range of seeds from the command line.
  *
  * <p>Stateless and thread-safe.
  */
 final class BudgetSchedules {
-    /** The kinds of step, each as often as its weight. */
+    /** The step kinds, each repeated as often as its weight. */
     static final List<ScheduleStep.Kind> KINDS = weighted();
 
     private static final int MIN_STEPS = 10;
@@ -27,7 +27,7 @@
         return List.copyOf(kinds);
     }
 
-    /** Returns the schedule of a seed. */
+    /** Returns the schedule generated from a seed. */
     static List<ScheduleStep> of(long seed) {
         Random random = new Random(seed);
         List<ScheduleStep> steps = new ArrayList<>();
@@ -39,29 +39,34 @@
         return steps;
     }
 
-    /** Returns the run of a seed's schedule, not yet begun; every second one has a single home. */
+    /**
+     * Returns a run for the schedule of a seed, not started. Every second seed has a single home.
+     */
     static ScheduleRun run(long seed, BudgetMutant mutant) {
         return new ScheduleRun(seed % 2 == 0 ? 3 : 1, mutant, seed);
     }
 
-    /** Runs the schedules of the seeds from the first argument up to, not including, the second. */
+    /**
+     * Runs the schedules of all seeds from the first argument (inclusive) to the second
+     * (exclusive).
+     */
     public static void main(String[] args) {
         long from = Long.parseLong(args[0]);
         long to = Long.parseLong(args[1]);
-        long broken = 0;
+        long failed = 0;
         long spent = 0;
         for (long seed = from; seed < to; seed++) {
             ScheduleRun run = run(seed, BudgetMutant.NONE);
-            List<BudgetInvariant> found = run.run(of(seed));
+            List<BudgetInvariant> violated = run.run(of(seed));
             spent += run.spentTokens();
-            if (!found.isEmpty()) {
-                broken++;
-                System.out.println("seed " + seed + " breaks " + found + ": " + run);
+            if (!violated.isEmpty()) {
+                failed++;
+                System.out.println("seed " + seed + " violates " + violated + ": " + run);
             }
         }
         System.out.println(
-                (to - from) + " schedules, " + broken + " broken, " + spent + " tokens spent");
-        if (broken > 0) {
+                (to - from) + " schedules, " + failed + " failed, " + spent + " tokens spent");
+        if (failed > 0) {
             System.exit(1);
         }
     }
--- a/coordination/src/test/java/org/hornbeampass/coordination/budget/BudgetSimulation.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/budget/BudgetSimulation.java
@@ -35,10 +35,10 @@
 import java.util.function.Consumer;
 
 /**
- * A few VMs, a platform and a network in virtual time, with faults that a test sets.
+ * Simulates a few VMs, a platform and a network in virtual time, with faults set by a test.
  *
- * <p>Everything that happens is an event in one queue, run in the order of time; so a run depends
- * on nothing but what the test does. Not thread-safe.
+ * <p>Every action is an event in one queue ordered by time, so a run is determined by the test and
+ * its seed alone. Not thread-safe.
  */
 final class BudgetSimulation implements BudgetHomes {
     static final OrganisationId ORGANISATION = new OrganisationId("flights");
@@ -77,7 +77,9 @@
     private long mOrder;
     private long mRequests;
 
-    /** Something that happens at a time; events of one time keep their order. */
+    /**
+     * An action at a time. Events with the same time keep the order in which they were scheduled.
+     */
     private record Event(long atMs, long order, Runnable action) implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
@@ -86,18 +88,18 @@
         }
     }
 
-    /** What the next platform call of a VM meets. */
+    /** Faults of the next platform call of a VM. */
     enum PlatformFault {
         NONE,
-        /** The call never arrives. */
+        /** The call never reaches the platform. */
         LOST,
-        /** The call takes effect and its reply is lost. */
+        /** The call takes effect but its reply is lost. */
         REPLY_LOST,
-        /** The call takes effect long after its sender gave up. */
+        /** The call takes effect after the caller has timed out. */
         LATE
     }
 
-    /** One VM: its ledger and its links. */
+    /** A simulated VM with its ledger and the state of its connections. */
     static final class SimulatedRouter {
         final BudgetLedger mLedger;
         final VmId mId;
@@ -119,7 +121,9 @@
         this(vms, policy, homes, BudgetMutant.NONE, 0);
     }
 
-    /** Creates a simulation in which one rule may be broken, with latencies drawn from a seed. */
+    /**
+     * Creates a simulation with an optional broken rule and with latencies generated from a seed.
+     */
     BudgetSimulation(int vms, GrantPolicy policy, int homes, BudgetMutant mutant, long seed) {
         mPolicy = policy;
         mHomeCount = homes;
@@ -131,13 +135,13 @@
         }
     }
 
-    /** Stops a VM's process for good. */
+    /** Stops the process of a VM permanently. */
     void crash(int vm) {
         mRouters.get(vm).mCrashed = true;
         mLive = Optional.empty();
     }
 
-    /** Starts a VM, or its next incarnation. */
+    /** Starts a VM or its next incarnation; returns its index. */
     int start(String name, long incarnation) {
         VmId id = new VmId(name, incarnation);
         int index = mRouters.size();
@@ -156,17 +160,17 @@
         return index;
     }
 
-    /** Sets what is run after each write to the store. */
+    /** Sets an action to run after each write to the store. */
     void onWrite(Runnable action) {
         mOnWrite = action;
     }
 
-    /** Sets what the operators' next platform call meets. */
+    /** Sets the fault of the operators' next platform call. */
     void operatorFault(PlatformFault fault) {
         operatorFaultAt(0, fault);
     }
 
-    /** Sets what one of the operators' platform calls meets, counted from the next one. */
+    /** Sets the fault of one of the operators' platform calls, where 0 is the next one. */
     void operatorFaultAt(int callsLater, PlatformFault fault) {
         mOperatorFault = fault;
         mOperatorCallsLater = callsLater;
@@ -224,7 +228,10 @@
         mEvents.add(new Event(atMs, mOrder++, action));
     }
 
-    /** Runs an action on a VM: now, once it wakes, or never. */
+    /**
+     * Runs an action on a VM: now, or when the VM resumes if it is paused, or never if it has
+     * crashed.
+     */
     void runOn(int vm, Runnable action) {
         SimulatedRouter router = mRouters.get(vm);
         if (router.mCrashed) {
@@ -240,14 +247,14 @@
     void resume(int vm) {
         SimulatedRouter router = mRouters.get(vm);
         router.mPaused = false;
-        List<Runnable> held = List.copyOf(router.mDelayedActions);
+        List<Runnable> delayed = List.copyOf(router.mDelayedActions);
         router.mDelayedActions.clear();
         if (!router.mCrashed) {
-            held.forEach(Runnable::run);
+            delayed.forEach(Runnable::run);
         }
     }
 
-    /** Runs all events of a span of time. */
+    /** Advances the virtual time and runs all events due until then. */
     void run(long forMs) {
         long untilMs = mNowMs + forMs;
         while (!mEvents.isEmpty() && mEvents.peek().atMs() <= untilMs) {
@@ -258,7 +265,7 @@
         mNowMs = untilMs;
     }
 
-    /** Runs a span of time and returns the statement after it. */
+    /** Advances the virtual time and returns the statement after it. */
     BudgetStatement runAndGetStatement(long forMs) {
         run(forMs);
         return statement();
@@ -296,7 +303,10 @@
         return await(done -> mAdmin.lowerPaid(mNowMs, KEY, tokens, done));
     }
 
-    /** Starts something and runs until its outcome is there. */
+    /**
+     * Starts an operation and advances the time until its outcome is received; returns null after
+     * 10 s of virtual time.
+     */
     <T> T await(Consumer<BiConsumer<Long, T>> start) {
         AtomicReference<T> result = new AtomicReference<>();
         start.accept((at, r) -> result.set(r));
@@ -306,7 +316,7 @@
         return result.get();
     }
 
-    /** Reserves with a wait of two seconds and runs until the outcome is there. */
+    /** Reserves with a wait of two seconds and advances the time until the outcome is received. */
     Either<Failure, Reservation> reserve(int vm, long tokens) {
         RequestId id = new RequestId("r" + mRequests++);
         return await(done -> ledger(vm).reserve(mNowMs, KEY, id, tokens, 2_000, done));
@@ -321,8 +331,8 @@
 
     private Platform operatorPlatform() {
         return (nowMs, call, done) -> {
-            boolean now = mOperatorCallsLater-- == 0;
-            PlatformFault fault = now ? mOperatorFault : PlatformFault.NONE;
+            boolean faulty = mOperatorCallsLater-- == 0;
+            PlatformFault fault = faulty ? mOperatorFault : PlatformFault.NONE;
             call(fault, call, r -> done.accept(mNowMs, r));
         };
     }
@@ -365,7 +375,9 @@
                 });
     }
 
-    /** Mostly a few milliseconds, now and then longer than any timeout. */
+    /**
+     * Returns a latency of a few milliseconds or, in one of 50 cases, one longer than any timeout.
+     */
     private long latency() {
         return mRandom.nextInt(50) == 0 ? 1_200 : MIN_LATENCY_MS + mRandom.nextInt(8);
     }
@@ -415,8 +427,8 @@
                         runOn(from, () -> done.accept(mNowMs, r));
                     }
                 };
-        Failure late = Failure.of(ErrorKind.DEADLINE_EXCEEDED, "no reply");
-        schedule(mNowMs + timeoutMs, () -> once.accept(Either.left(late)));
+        Failure timeout = Failure.of(ErrorKind.DEADLINE_EXCEEDED, "no reply");
+        schedule(mNowMs + timeoutMs, () -> once.accept(Either.left(timeout)));
         deliver(
                 from,
                 to,
--- a/coordination/src/test/java/org/hornbeampass/coordination/budget/ScheduleRun.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/budget/ScheduleRun.java
@@ -16,7 +16,7 @@
 import java.util.Set;
 
 /**
- * Runs a schedule and keeps accounts of its own of what was really spent.
+ * Runs a schedule and independently counts the tokens spent, to compare them with the record.
  *
  * <p>Not thread-safe.
  */
@@ -41,10 +41,10 @@
     private boolean mPaidWasSet;
     private boolean mLossPossible;
 
-    /** What could be spent in all by the record of a moment. */
+    /** The total number of tokens that the record allowed to be spent at one time. */
     private record Spendable(long atMs, long tokens) {}
 
-    /** A request that has no answer yet. */
+    /** A request without an outcome yet. */
     private record WaitingRequest(int vm, long untilMs) {}
 
     ScheduleRun(int homes, BudgetMutant mutant, long seed) {
@@ -56,7 +56,10 @@
         return mSimulation;
     }
 
-    /** Runs steps and checks all invariants after each; returns those broken first. */
+    /**
+     * Runs steps and checks all invariants after each; returns the invariants violated first, or
+     * those violated at the end.
+     */
     List<BudgetInvariant> run(List<ScheduleStep> steps) {
         for (ScheduleStep step : steps) {
             step.kind().run(this, step.vm(), step.amount());
@@ -70,7 +73,7 @@
         return BudgetInvariant.findBroken(this, true);
     }
 
-    /** Returns the figures, for a failed check. */
+    /** Returns the counters, for the message of a failed check. */
     @Override
     public String toString() {
         return "spent "
@@ -98,7 +101,7 @@
         }
     }
 
-    /** Heals everything, ends all requests and hands all over. */
+    /** Removes all faults, settles all open reservations and hands over all budgets. */
     private void endSchedule() {
         for (int i = 0; i < mSimulation.size(); i++) {
             BudgetSimulation.SimulatedRouter router = mSimulation.router(i);
@@ -167,20 +170,21 @@
     }
 
     /**
-     * Checks a refusal; a refund is known elsewhere only once it is reported, so it is left out.
+     * Checks that a refusal as exhausted was justified. Refunded tokens count as not left, because
+     * other VMs see a refund only after it is reported.
      */
     private void checkRefusal(long tokens, Failure failure) {
         if (failure.kind() != ErrorKind.BUDGET_EXHAUSTED) {
             return;
         }
         recordSpendable();
-        long least =
+        long minSpendable =
                 mSpendable.stream()
                         .filter(s -> s.atMs() >= mSimulation.nowMs() - REFUSAL_WINDOW_MS)
                         .mapToLong(Spendable::tokens)
                         .min()
                         .orElse(0);
-        long left = least - mSpent - mRefunded;
+        long left = minSpendable - mSpent - mRefunded;
         if (left >= tokens) {
             mWrongRefusals.add(tokens + " refused as exhausted with " + left + " left");
         }
@@ -198,30 +202,31 @@
     }
 
     private void settleOn(int index, int which, int amount) {
-        Reservation made = mOpenReservations.get(index).remove(which);
-        long used = made.tokens() * amount / 900;
+        Reservation reservation = mOpenReservations.get(index).remove(which);
+        long used = reservation.tokens() * amount / 900;
         if (mSimulation.router(index).mCrashed) {
-            mSpent += Math.min(used, made.tokens());
-            mEndedOnCrashed += made.tokens();
+            mSpent += Math.min(used, reservation.tokens());
+            mEndedOnCrashed += reservation.tokens();
             return;
         }
-        mSimulation.ledger(index).settle(mSimulation.nowMs(), made, used);
-        mSpent += Math.min(used, made.tokens());
-        mSettledByRouter.set(index, mSettledByRouter.get(index) + Math.min(used, made.tokens()));
+        mSimulation.ledger(index).settle(mSimulation.nowMs(), reservation, used);
+        mSpent += Math.min(used, reservation.tokens());
+        mSettledByRouter.set(
+                index, mSettledByRouter.get(index) + Math.min(used, reservation.tokens()));
     }
 
     void refund(int vm, long tokens) {
         int index = index(vm);
         openReservations(index);
         BudgetSimulation.SimulatedRouter router = mSimulation.router(index);
-        long most = Math.min(tokens, mSettledByRouter.get(index));
-        if (router.mCrashed || router.mPaused || most == 0) {
+        long refundable = Math.min(tokens, mSettledByRouter.get(index));
+        if (router.mCrashed || router.mPaused || refundable == 0) {
             return;
         }
-        router.mLedger.refund(mSimulation.nowMs(), BudgetSimulation.KEY, most);
-        mSettledByRouter.set(index, mSettledByRouter.get(index) - most);
-        mSpent -= most;
-        mRefunded += most;
+        router.mLedger.refund(mSimulation.nowMs(), BudgetSimulation.KEY, refundable);
+        mSettledByRouter.set(index, mSettledByRouter.get(index) - refundable);
+        mSpent -= refundable;
+        mRefunded += refundable;
         mLossPossible = true;
     }
 
@@ -244,7 +249,7 @@
                 .setPaid(mSimulation.nowMs(), BudgetSimulation.KEY, tokens, (at, r) -> {});
     }
 
-    /** Stops a process with all it holds; another incarnation may start. */
+    /** Stops a VM's process, which loses its tokens, and optionally starts its next incarnation. */
     void crash(int vm, boolean restart) {
         int index = index(vm);
         BudgetSimulation.SimulatedRouter router = mSimulation.router(index);
@@ -258,7 +263,7 @@
         }
     }
 
-    /** Tells all others that a VM is gone, though it may only be paused, or be well. */
+    /** Declares a VM gone on all other VMs, although it may be only paused or even running. */
     void declareGone(int vm) {
         int gone = index(vm);
         mLossPossible = true;
@@ -286,7 +291,9 @@
         return mSpent;
     }
 
-    /** Returns what all processes, dead and paused ones too, hold by their own books. */
+    /**
+     * Returns the tokens that all VMs, including crashed and paused ones, hold by their own count.
+     */
     long heldTokens() {
         long sum = -mEndedOnCrashed;
         for (int i = 0; i < mSimulation.size(); i++) {
@@ -300,7 +307,7 @@
         return mWrongRefusals;
     }
 
-    /** Returns the number of requests whose wait is over and that have no answer. */
+    /** Returns the number of requests without an outcome whose wait is over. */
     long overdueRequests() {
         return mWaitingRequests.values().stream()
                 .filter(w -> w.untilMs() < mSimulation.nowMs())
@@ -315,7 +322,7 @@
         return mPaidWasSet;
     }
 
-    /** Returns whether tokens may end as written off, or refunds may be left to net. */
+    /** Returns whether tokens may have been written off, or refunds may still have to be netted. */
     boolean lossPossible() {
         return mLossPossible;
     }
--- a/coordination/src/test/java/org/hornbeampass/coordination/budget/ScheduleStep.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/budget/ScheduleStep.java
@@ -7,15 +7,15 @@
 /**
  * One step of a random schedule.
  *
- * @param kind what happens
- * @param vm picks the VM
- * @param amount picks tokens, times or faults, from 0 to 999
+ * @param kind the action of the step
+ * @param vm the index that selects the VM
+ * @param amount the value from 0 to 999 from which tokens, times or faults are derived
  */
 record ScheduleStep(Kind kind, int vm, int amount) {
     private static final List<PlatformFault> FAULTS =
             List.of(PlatformFault.LOST, PlatformFault.REPLY_LOST, PlatformFault.LATE);
 
-    /** What a step does. */
+    /** Actions of a step, each with its relative frequency. */
     enum Kind {
         RESERVE(10) {
             @Override
