--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/BudgetAdmin.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/BudgetAdmin.java
@@ -194,7 +194,7 @@
                                     + key
                                     + ", not "
                                     + expectedPaid.getAsLong()
-                                    + ": it was changed meanwhile; read it again and retry"));
+                                    + ": it was changed meanwhile; read it again and decide"));
         }
         if (onlyLower && newPaid >= budget.target().orElse(budget.paid())) {
             return Either.left(
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/GrantPolicyInput.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/GrantPolicyInput.java
@@ -5,7 +5,7 @@
  *
  * <p>Immutable; safe for use by any thread.
  *
- * @param paid the paid tokens of the budget
+ * @param paid the budget's paid tokens
  * @param available the tokens that the platform can still grant
  * @param drawn the tokens that this VM drew and did not return
  * @param free the tokens that this VM holds and that are neither spent nor reserved
@@ -29,7 +29,7 @@
         long horizonMs,
         double maxGrantedShare,
         long chunkTokens) {
-    /** Returns the tokens that last for {@code horizonMs} at the current demand. */
+    /** Returns the tokens that last for the horizon at the present demand. */
     long horizonTokens() {
         return (long) (demandPerMs * horizonMs);
     }
--- a/coordination/src/test/java/org/hornbeampass/coordination/budget/BudgetSchedules.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/budget/BudgetSchedules.java
@@ -61,11 +61,11 @@
             spent += run.spentTokens();
             if (!violated.isEmpty()) {
                 failed++;
-                System.out.println("seed " + seed + " violates " + violated + ": " + run);
+                System.out.println("seed " + seed + " breaks " + violated + ": " + run);
             }
         }
         System.out.println(
-                (to - from) + " schedules, " + failed + " failed, " + spent + " tokens spent");
+                (to - from) + " schedules, " + failed + " broken, " + spent + " tokens spent");
         if (failed > 0) {
             System.exit(1);
         }
