--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/Admission.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/Admission.java
@@ -13,90 +13,98 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Decides which requests are admitted, which wait on, and with what the others are refused.
+ * Decides which requests are admitted, which wait for tokens, and with which error the others are
+ * refused.
  *
- * <p>Invariant: a request is admitted only out of what is held, and refused as exhausted only on a
- * fresh record that holds too little for it anywhere. Not thread-safe; guarded by its
- * organisation's lock.
+ * <p>Invariant: a request is admitted only with tokens that this VM holds. It is refused as
+ * exhausted only if a sufficiently recent record shows that the whole budget has too few unspent
+ * tokens. Not thread-safe; guarded by its organisation's lock.
  */
 final class Admission {
     private final BudgetSettings mSettings;
     private final LedgerSync mSync;
-    private final AtomicLong mNumbers;
+    private final AtomicLong mReservationNumbers;
 
-    Admission(BudgetSettings settings, LedgerSync sync, AtomicLong numbers) {
+    Admission(BudgetSettings settings, LedgerSync sync, AtomicLong reservationNumbers) {
         mSettings = settings;
         mSync = sync;
-        mNumbers = numbers;
+        mReservationNumbers = reservationNumbers;
     }
 
-    /** Reserves where enough is free. */
-    Optional<Reservation> take(BudgetAccount account, RequestId request, long tokens) {
+    /** Reserves tokens, or returns empty if this VM holds too few free tokens. */
+    Optional<Reservation> tryReserve(BudgetAccount account, RequestId request, long tokens) {
         if (account.holding().free() < tokens) {
             return Optional.empty();
         }
-        return account.holding().reserve(request, tokens, mNumbers.incrementAndGet());
+        return account.holding().reserve(request, tokens, mReservationNumbers.incrementAndGet());
     }
 
-    /** Gives waiters what is free, in their order; a large one does not hold up smaller ones. */
-    void serve(long nowMs, BudgetAccount account, DeferredActions effects) {
+    /**
+     * Admits waiting requests in their order as far as the free tokens suffice. A large request
+     * does not block smaller ones behind it.
+     */
+    void admitWaiters(long nowMs, BudgetAccount account, DeferredActions actions) {
         if (account.waiters().isEmpty()) {
             return;
         }
-        Iterator<Waiter> each = account.waiters().iterator();
-        while (each.hasNext()) {
-            Waiter waiter = each.next();
-            Optional<Reservation> made = take(account, waiter.request(), waiter.tokens());
-            if (made.isPresent()) {
-                each.remove();
-                effects.add(() -> waiter.done().accept(nowMs, Either.right(made.get())));
+        Iterator<Waiter> waiters = account.waiters().iterator();
+        while (waiters.hasNext()) {
+            Waiter waiter = waiters.next();
+            Optional<Reservation> reserved = tryReserve(account, waiter.request(), waiter.tokens());
+            if (reserved.isPresent()) {
+                waiters.remove();
+                actions.add(() -> waiter.done().accept(nowMs, Either.right(reserved.get())));
             }
         }
     }
 
-    /** Refuses waiters whose time is over, or whom waiting can't help. */
-    void expire(long nowMs, BudgetAccount account, DeferredActions effects) {
-        Iterator<Waiter> each = account.waiters().iterator();
-        while (each.hasNext()) {
-            Waiter waiter = each.next();
-            if (nowMs >= waiter.deadlineMs() || hopeless(nowMs, account, waiter)) {
-                each.remove();
-                refuse(nowMs, account, waiter, effects);
+    /**
+     * Refuses waiting requests that are past their deadline or for which further waiting is
+     * pointless.
+     */
+    void refuseExpired(long nowMs, BudgetAccount account, DeferredActions actions) {
+        Iterator<Waiter> waiters = account.waiters().iterator();
+        while (waiters.hasNext()) {
+            Waiter waiter = waiters.next();
+            if (nowMs >= waiter.deadlineMs() || cannotBeAdmitted(nowMs, account, waiter)) {
+                waiters.remove();
+                refuse(nowMs, account, waiter, actions);
             }
         }
     }
 
-    private boolean hopeless(long nowMs, BudgetAccount account, Waiter waiter) {
+    private boolean cannotBeAdmitted(long nowMs, BudgetAccount account, Waiter waiter) {
         if (knownExhausted(nowMs, account, waiter.tokens())) {
             return true;
         }
-        if (mSync.inFlight() || account.asks().running() || !account.asks().failed()) {
+        if (mSync.inFlight() || account.askRound().running() || !account.askRound().failed()) {
             return false;
         }
-        boolean platformLater = mSync.unreachable() && mSync.nextMs() > waiter.deadlineMs();
-        boolean nothingThere =
+        boolean platformCallTooLate =
+                mSync.unreachable() && mSync.nextCallMs() > waiter.deadlineMs();
+        boolean nothingAvailable =
                 mSync.freshWithin(nowMs, mSettings.maxRecordAgeMs())
-                        && mSync.base().get().budget(account.key().budget()).available() <= 0;
-        return platformLater || nothingThere;
+                        && mSync.lastRecord().get().budget(account.key().budget()).available() <= 0;
+        return platformCallTooLate || nothingAvailable;
     }
 
-    void refuse(long nowMs, BudgetAccount account, Waiter waiter, DeferredActions effects) {
-        Failure failure = refusal(nowMs, account, waiter.tokens());
-        effects.add(() -> waiter.done().accept(nowMs, Either.left(failure)));
+    void refuse(long nowMs, BudgetAccount account, Waiter waiter, DeferredActions actions) {
+        Failure failure = refusalFailure(nowMs, account, waiter.tokens());
+        actions.add(() -> waiter.done().accept(nowMs, Either.left(failure)));
     }
 
-    void refuseAll(long nowMs, BudgetAccount account, Failure failure, DeferredActions effects) {
+    void refuseAll(long nowMs, BudgetAccount account, Failure failure, DeferredActions actions) {
         for (Waiter waiter : account.waiters()) {
-            effects.add(() -> waiter.done().accept(nowMs, Either.left(failure)));
+            actions.add(() -> waiter.done().accept(nowMs, Either.left(failure)));
         }
         account.waiters().clear();
     }
 
-    Failure refusal(long nowMs, BudgetAccount account, long tokens) {
+    Failure refusalFailure(long nowMs, BudgetAccount account, long tokens) {
         if (knownExhausted(nowMs, account, tokens)) {
             return BudgetFailures.exhausted(account.key(), tokens);
         }
-        long wait = Math.max(mSettings.maxRecordAgeMs(), mSync.nextMs() - nowMs);
+        long wait = Math.max(mSettings.maxRecordAgeMs(), mSync.nextCallMs() - nowMs);
         return BudgetFailures.unreachable(account.key(), wait);
     }
 
@@ -104,7 +112,7 @@
         if (!mSync.freshWithin(nowMs, mSettings.maxRecordAgeMs())) {
             return false;
         }
-        BudgetRecord record = mSync.base().get().budget(account.key().budget());
+        BudgetRecord record = mSync.lastRecord().get().budget(account.key().budget());
         HolderRecord own =
                 record.holders().getOrDefault(account.holding().holder(), HolderRecord.NONE);
         return record.unspent() - account.holding().unreportedSpent(own) < tokens;
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/BudgetAccount.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/BudgetAccount.java
@@ -9,7 +9,8 @@
 import java.util.Set;
 
 /**
- * One budget on this VM: what it holds, who waits, and its dealings with peers.
+ * State of one budget on this VM: the tokens held, the requests that wait for tokens, and the asks
+ * and moves between this VM and its peers.
  *
  * <p>Not thread-safe; guarded by its organisation's lock.
  */
@@ -17,11 +18,11 @@
     private final Holding mHolding;
     private final PeerMoves mMoves;
     private final Deque<Waiter> mWaiters = new ArrayDeque<>();
-    private final AskRound mAsks;
-    private final Deque<DeferredAsk> mDeferred = new ArrayDeque<>();
+    private final AskRound mAskRound;
+    private final Deque<DeferredAsk> mDeferredAsks = new ArrayDeque<>();
 
-    BudgetAccount(BudgetKey key, VmId self, Set<VmId> silentPeers) {
-        mAsks = new AskRound(silentPeers);
+    BudgetAccount(BudgetKey key, VmId self, Set<VmId> unresponsivePeers) {
+        mAskRound = new AskRound(unresponsivePeers);
         mHolding = new Holding(key, new HolderId(self, 0));
         mMoves = new PeerMoves(key, self);
     }
@@ -42,11 +43,11 @@
         return mWaiters;
     }
 
-    AskRound asks() {
-        return mAsks;
+    AskRound askRound() {
+        return mAskRound;
     }
 
-    /** Returns the tokens that requests here wait for. */
+    /** Returns the sum of tokens that requests on this VM wait for. */
     long waitingTokens() {
         long sum = 0;
         for (Waiter waiter : mWaiters) {
@@ -55,23 +56,25 @@
         return sum;
     }
 
-    /** Returns whether time alone may change something here. */
-    boolean busy() {
+    /**
+     * Returns whether the next tick may have work to do, such as retries, timeouts and refusals.
+     */
+    boolean hasTimedWork() {
         return !mWaiters.isEmpty()
-                || !mDeferred.isEmpty()
-                || mAsks.running()
+                || !mDeferredAsks.isEmpty()
+                || mAskRound.running()
                 || mMoves.anyPending();
     }
 
-    /** Returns the asks that wait for this VM's next grant. */
-    Deque<DeferredAsk> deferred() {
-        return mDeferred;
+    /** Returns the asks of peers that are to be answered from the next grant of this VM. */
+    Deque<DeferredAsk> deferredAsks() {
+        return mDeferredAsks;
     }
 
-    /** Returns the tokens that peers wait for. */
-    long peersWant() {
+    /** Returns the sum of tokens that the deferred asks of peers need at least. */
+    long peerWaitingTokens() {
         long sum = 0;
-        for (DeferredAsk each : mDeferred) {
+        for (DeferredAsk each : mDeferredAsks) {
             sum += each.ask().atLeast();
         }
         return sum;
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/DemandRate.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/DemandRate.java
@@ -1,7 +1,7 @@
 package org.hornbeampass.coordination.budget;
 
 /**
- * Estimates the rate at which tokens are asked for, by exponential decay.
+ * Estimates the rate at which tokens are requested, by exponential decay.
  *
  * <p>Not thread-safe; guarded by its organisation's lock.
  */
@@ -9,37 +9,37 @@
     private static final double TIME_CONSTANT_MS = 60_000;
     private static final double NEGLIGIBLE_TOKENS = 0.5;
 
-    private double mWeight;
+    private double mDecayedTokens;
     private long mUpdatedMs;
-    private long mLargest;
+    private long mLargestDemand;
     private boolean mStarted;
 
-    /** Notes tokens asked for. */
-    void add(long nowMs, long tokens) {
+    /** Adds the tokens of one reservation request. */
+    void addDemand(long nowMs, long tokens) {
         decay(nowMs);
-        mWeight += tokens;
-        mLargest = Math.max(mLargest, tokens);
+        mDecayedTokens += tokens;
+        mLargestDemand = Math.max(mLargestDemand, tokens);
     }
 
-    /** Notes tokens that peers spent from what was lent to them. */
-    void addFlow(long nowMs, long tokens) {
+    /** Adds tokens that a peer spent out of tokens moved to it. */
+    void addPeerSpending(long nowMs, long tokens) {
         decay(nowMs);
-        mWeight += tokens;
+        mDecayedTokens += tokens;
     }
 
-    /** Returns the present rate in tokens per millisecond. */
-    double perMs(long nowMs) {
+    /** Returns the current rate in tokens per millisecond. */
+    double tokensPerMs(long nowMs) {
         decay(nowMs);
-        if (mWeight < NEGLIGIBLE_TOKENS) {
-            mLargest = 0;
+        if (mDecayedTokens < NEGLIGIBLE_TOKENS) {
+            mLargestDemand = 0;
             return 0;
         }
-        return mWeight / TIME_CONSTANT_MS;
+        return mDecayedTokens / TIME_CONSTANT_MS;
     }
 
-    /** Returns the largest single demand since there last was none. */
-    long largest() {
-        return mLargest;
+    /** Returns the largest single reservation request since the rate was last found to be 0. */
+    long largestDemand() {
+        return mLargestDemand;
     }
 
     private void decay(long nowMs) {
@@ -48,9 +48,9 @@
             mUpdatedMs = nowMs;
             return;
         }
-        long passed = Math.max(0, nowMs - mUpdatedMs);
-        if (passed > 0) {
-            mWeight *= Math.exp(-(double) passed / TIME_CONSTANT_MS);
+        long elapsedMs = Math.max(0, nowMs - mUpdatedMs);
+        if (elapsedMs > 0) {
+            mDecayedTokens *= Math.exp(-(double) elapsedMs / TIME_CONSTANT_MS);
             mUpdatedMs = nowMs;
         }
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/GrantExchange.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/GrantExchange.java
@@ -13,15 +13,16 @@
 import java.util.function.Supplier;
 
 /**
- * Moves tokens between this VM and its peers: asks, gives, and passes spending on to a home.
+ * Moves tokens between this VM and its peers: asks peers, answers their asks and reports spending
+ * to a home.
  *
- * <p>Invariant: the giver subtracts before it sends, and sends the same move until it is
- * acknowledged. Stateless but for its context; called under the organisation's lock.
+ * <p>Invariant: the giver subtracts tokens before it sends them, and sends the same move again
+ * until it is acknowledged. Stateless except for its context; called under the organisation's lock.
  */
 final class GrantExchange {
     private static final double PEER_HORIZON_SHARE = 0.5;
     private static final double REFILL_BELOW = 0.5;
-    private static final long KEEP_MS = 30_000;
+    private static final long KEEP_HORIZON_MS = 30_000;
 
     private final OrganisationId mOrganisation;
     private final BudgetContext mContext;
@@ -31,24 +32,27 @@
         mContext = context;
     }
 
-    /** Sends moves again that lack their acknowledgement, and passes spending on to a home. */
-    void pass(
+    /**
+     * Sends unacknowledged moves whose next transmission is due. On a VM that does not use the
+     * platform itself, first starts a move of its spending to a home when one is due.
+     */
+    void sendMoves(
             long nowMs,
             BudgetAccount account,
             boolean direct,
-            DeferredActions effects,
+            DeferredActions actions,
             OrganisationBudgets budgets) {
         PeerMoves moves = account.moves();
         long timeoutMs = mContext.settings().askTimeoutMs();
         boolean idle = account.holding().spent() == 0 && account.holding().free() == 0;
         if (!direct && !account.holding().registered() && !idle) {
-            if (moves.passDue(nowMs, mContext.settings().reportIntervalMs())) {
-                passToHome(nowMs, account);
+            if (moves.takeHomeReportDue(nowMs, mContext.settings().reportIntervalMs())) {
+                startMoveToHome(nowMs, account);
             }
         }
-        for (MoveGrant move : moves.due(nowMs, timeoutMs)) {
+        for (MoveGrant move : moves.takeDueMoves(nowMs, timeoutMs)) {
             String receiver = move.receiver().name();
-            effects.add(
+            actions.add(
                     () ->
                             mContext.peers()
                                     .request(
@@ -60,39 +64,39 @@
         }
     }
 
-    private void passToHome(long nowMs, BudgetAccount account) {
+    private void startMoveToHome(long nowMs, BudgetAccount account) {
         Holding holding = account.holding();
         for (VmId home : mContext.homes().homes(mOrganisation)) {
             if (home.equals(mContext.self()) || account.moves().pending(home).isPresent()) {
                 continue;
             }
-            boolean idle = holding.demand().perMs(nowMs) <= 0 && account.waiters().isEmpty();
+            boolean idle = holding.demand().tokensPerMs(nowMs) <= 0 && account.waiters().isEmpty();
             long free = idle ? holding.free() : 0;
-            Optional<MovedTokens> parcel =
-                    holding.take(new HolderId(home, 0), free, holding.spent());
-            parcel.ifPresent(p -> account.moves().start(home, p));
+            Optional<MovedTokens> moved =
+                    holding.takeForMove(new HolderId(home, 0), free, holding.spent());
+            moved.ifPresent(m -> account.moves().start(home, m));
             return;
         }
     }
 
-    /** Asks the next peer, where requests wait or little is left. */
+    /** Asks the next peer if requests wait or few tokens are left, unless an ask is in flight. */
     void ask(
             long nowMs,
             BudgetAccount account,
             BudgetPreference preference,
             Supplier<List<VmId>> candidates,
-            DeferredActions effects,
+            DeferredActions actions,
             OrganisationBudgets budgets) {
-        AskRound round = account.asks();
+        AskRound round = account.askRound();
         Holding holding = account.holding();
         long waiting = account.waitingTokens();
         double horizonMs = preference.demandHorizonMs() * PEER_HORIZON_SHARE;
-        long target = Math.max(waiting, (long) (holding.demand().perMs(nowMs) * horizonMs));
-        boolean enough = holding.free() >= Math.max(waiting, (long) (target * REFILL_BELOW));
+        long target = Math.max(waiting, (long) (holding.demand().tokensPerMs(nowMs) * horizonMs));
+        boolean sufficient = holding.free() >= Math.max(waiting, (long) (target * REFILL_BELOW));
         if (round.inFlight()) {
             return;
         }
-        if (target == 0 || enough) {
+        if (target == 0 || sufficient) {
             if (round.running()) {
                 round.end(nowMs, false);
             }
@@ -104,9 +108,9 @@
             }
             round.start(candidates.get());
         }
-        Optional<VmId> peer = round.next();
+        Optional<VmId> peer = round.nextPeer();
         if (peer.isEmpty()) {
-            boolean failed = waiting > 0 && !round.anyGiven();
+            boolean failed = waiting > 0 && !round.anyTokensReceived();
             round.end(nowMs + (failed ? mContext.settings().askTimeoutMs() : 0), failed);
             return;
         }
@@ -117,7 +121,7 @@
                         mContext.self(),
                         Math.max(0, waiting - holding.free()),
                         target - holding.free());
-        send(nowMs, account, peer.get(), ask, effects, budgets);
+        send(nowMs, account, peer.get(), ask, actions, budgets);
     }
 
     private void send(
@@ -125,9 +129,9 @@
             BudgetAccount account,
             VmId peer,
             AskGrant ask,
-            DeferredActions effects,
+            DeferredActions actions,
             OrganisationBudgets budgets) {
-        effects.add(
+        actions.add(
                 () ->
                         mContext.peers()
                                 .request(
@@ -140,8 +144,8 @@
     }
 
     /**
-     * Answers a peer that asks: by the move it has not acknowledged, by a new one, or, where this
-     * VM may draw soon, later.
+     * Answers a peer's ask: with the move to that peer that is not acknowledged yet, with a new
+     * move, or, if this VM may soon draw enough tokens, later.
      */
     void answer(
             long nowMs,
@@ -149,27 +153,30 @@
             AskGrant ask,
             boolean mayDraw,
             Consumer<PeerMessage> reply,
-            DeferredActions effects) {
+            DeferredActions actions) {
         DeferredAsk deferred =
                 new DeferredAsk(ask, nowMs + mContext.settings().askTimeoutMs() / 2, reply);
-        boolean room = account.deferred().size() < mContext.settings().maxWaiters();
-        if (mayDraw && room && ask.atLeast() > 0 && !canAnswer(account, ask)) {
-            account.deferred().add(deferred);
+        boolean hasCapacity = account.deferredAsks().size() < mContext.settings().maxWaiters();
+        if (mayDraw && hasCapacity && ask.atLeast() > 0 && !canAnswer(account, ask)) {
+            account.deferredAsks().add(deferred);
             return;
         }
-        answer(nowMs, account, deferred, effects);
+        answer(nowMs, account, deferred, actions);
     }
 
-    /** Answers the asks that wait, where there is enough by now or their time is over. */
+    /**
+     * Answers the deferred asks for which enough tokens are free now or whose time limit has
+     * passed.
+     */
     void answerDeferred(
-            long nowMs, BudgetAccount account, boolean mayDraw, DeferredActions effects) {
-        Iterator<DeferredAsk> each = account.deferred().iterator();
-        while (each.hasNext()) {
-            DeferredAsk deferred = each.next();
-            boolean over = !mayDraw || nowMs >= deferred.untilMs();
-            if (over || canAnswer(account, deferred.ask())) {
-                each.remove();
-                answer(nowMs, account, deferred, effects);
+            long nowMs, BudgetAccount account, boolean mayDraw, DeferredActions actions) {
+        Iterator<DeferredAsk> asks = account.deferredAsks().iterator();
+        while (asks.hasNext()) {
+            DeferredAsk deferred = asks.next();
+            boolean due = !mayDraw || nowMs >= deferred.untilMs();
+            if (due || canAnswer(account, deferred.ask())) {
+                asks.remove();
+                answer(nowMs, account, deferred, actions);
             }
         }
     }
@@ -180,7 +187,7 @@
     }
 
     private void answer(
-            long nowMs, BudgetAccount account, DeferredAsk deferred, DeferredActions effects) {
+            long nowMs, BudgetAccount account, DeferredAsk deferred, DeferredActions actions) {
         AskGrant ask = deferred.ask();
         PeerMessage message =
                 account.moves()
@@ -188,38 +195,45 @@
                         .or(() -> startMove(nowMs, account, ask))
                         .map(PeerMessage.class::cast)
                         .orElseGet(() -> new AskRefused(ask.organisation(), ask.budget()));
-        effects.add(() -> deferred.reply().accept(message));
+        actions.add(() -> deferred.reply().accept(message));
     }
 
     private Optional<MoveGrant> startMove(long nowMs, BudgetAccount account, AskGrant ask) {
         HolderId preferred = new HolderId(ask.asker(), 0);
-        Optional<MovedTokens> parcel =
-                account.holding().take(preferred, give(nowMs, account, ask), 0);
-        parcel.ifPresent(
-                p -> account.moves().sent(ask.asker(), nowMs + mContext.settings().askTimeoutMs()));
-        return parcel.map(p -> account.moves().start(ask.asker(), p));
+        Optional<MovedTokens> moved =
+                account.holding().takeForMove(preferred, tokensToGive(nowMs, account, ask), 0);
+        moved.ifPresent(
+                m ->
+                        account.moves()
+                                .delayResend(
+                                        ask.asker(), nowMs + mContext.settings().askTimeoutMs()));
+        return moved.map(m -> account.moves().start(ask.asker(), m));
     }
 
-    private long give(long nowMs, BudgetAccount account, AskGrant ask) {
+    private long tokensToGive(long nowMs, BudgetAccount account, AskGrant ask) {
         if (!account.waiters().isEmpty()) {
             return 0;
         }
         Holding holding = account.holding();
-        long keep = (long) (holding.demand().perMs(nowMs) * KEEP_MS);
+        long keep = (long) (holding.demand().tokensPerMs(nowMs) * KEEP_HORIZON_MS);
         long spare = Math.max(holding.free() / 2, holding.free() - keep);
         long wanted = Math.min(Math.max(ask.wanted(), ask.atLeast()), spare);
         return Math.max(wanted, Math.min(ask.atLeast(), holding.free()));
     }
 
-    /** Adds a move once, where it is addressed to this incarnation. */
+    /** Adds the tokens of a move, once, if it is addressed to this incarnation. */
     MoveAck receive(long nowMs, BudgetAccount account, MoveGrant move) {
-        boolean mine = move.receiver().equals(mContext.self());
-        if (mine && account.moves().receive(move)) {
+        boolean addressedHere = move.receiver().equals(mContext.self());
+        if (addressedHere && account.moves().recordReceived(move)) {
             Holding holding = account.holding();
-            holding.put(move.parcel());
-            holding.demand().addFlow(nowMs, move.spent());
+            holding.addMoved(move.movedTokens());
+            holding.demand().addPeerSpending(nowMs, move.spent());
         }
         return new MoveAck(
-                move.organisation(), move.budget(), move.receiver(), move.sequence(), mine);
+                move.organisation(),
+                move.budget(),
+                move.receiver(),
+                move.sequence(),
+                addressedHere);
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/Holding.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/Holding.java
@@ -13,40 +13,40 @@
 import java.util.TreeMap;
 
 /**
- * What this VM holds of one budget.
+ * Tokens of one budget that this VM holds.
  *
- * <p>Invariants: tokens are added only by a grant seen in the platform's record or by a move that
- * its giver subtracted first, and are subtracted before a return is written or a move is sent. So
- * whatever the VM believes to hold, it alone may spend, with no regard to messages or clocks. Every
- * token held or spent and not yet reported is charged to one holder's entry in the record: this
- * VM's own, or one of {@code mForeign} or {@code mAdopting}. Not thread-safe; guarded by its
- * organisation's lock.
+ * <p>Invariants: tokens are added only by a grant in the platform's record or by a move that its
+ * giver subtracted first. Tokens are subtracted before a return is written or a move is sent. So
+ * only this VM can spend the tokens that it counts as held, regardless of lost messages and wrong
+ * clocks. Every token that is held, or spent and not yet reported, is charged to the entry of one
+ * holder in the record: this VM's own entry, or one in {@code mForeignCharges} or {@code
+ * mTransferringCharges}. Not thread-safe; guarded by its organisation's lock.
  */
 final class Holding {
     private static final long NO_RESERVATION = -1;
 
     private final BudgetKey mKey;
-    private final Long2LongHashMap mOpen = new Long2LongHashMap(NO_RESERVATION);
+    private final Long2LongHashMap mOpenReservations = new Long2LongHashMap(NO_RESERVATION);
     private final DemandRate mDemand = new DemandRate();
-    private final TreeMap<HolderId, Long> mForeign = new TreeMap<>();
-    private final TreeMap<HolderId, Long> mAdopting = new TreeMap<>();
+    private final TreeMap<HolderId, Long> mForeignCharges = new TreeMap<>();
+    private final TreeMap<HolderId, Long> mTransferringCharges = new TreeMap<>();
     private HolderId mHolder;
     private boolean mRegistered;
     private long mFree;
     private long mReserved;
     private long mGranted;
     private long mReturned;
-    private long mReturnedSeen;
-    private long mReturnedAtRisk;
+    private long mReturnedInRecord;
+    private long mReturnedInUnknownWrite;
     private long mSpent;
-    private long mSpentSeen;
-    private long mSpentWritten;
-    private long mSpentHigh;
-    private long mHoldBack;
-    private boolean mWriteAtRisk;
-    private boolean mEverAtRisk;
+    private long mSpentInRecord;
+    private long mSpentInLastWrite;
+    private long mMaxSpentWritten;
+    private long mTokensToWithhold;
+    private boolean mLastWriteUnknown;
+    private boolean mAnyWriteUnknown;
     private long mMovedIn;
-    private long mRefundDue;
+    private long mUnnettedRefund;
     private long mOverrun;
 
     Holding(BudgetKey key, HolderId holder) {
@@ -86,28 +86,28 @@
         return mOverrun;
     }
 
-    /** Returns what this VM drew and did not return. */
+    /** Returns the tokens that this VM drew and did not return. */
     long drawn() {
         return mGranted - mReturned;
     }
 
-    /** Sets tokens aside where enough are free. */
+    /** Reserves tokens, or returns empty if too few are free. */
     Optional<Reservation> reserve(RequestId request, long tokens, long number) {
         if (mFree < tokens) {
             return Optional.empty();
         }
         mFree -= tokens;
         mReserved += tokens;
-        mOpen.put(number, tokens);
+        mOpenReservations.put(number, tokens);
         return Optional.of(new Reservation(mKey, request, tokens, number));
     }
 
     /**
-     * Ends a reservation with what was really used, capped at what was reserved; ending it again
-     * has no effect.
+     * Ends a reservation with the number of tokens used, capped at the tokens reserved. Ending it
+     * again has no effect.
      */
     void settle(long number, long usedTokens) {
-        long tokens = mOpen.remove(number);
+        long tokens = mOpenReservations.remove(number);
         if (tokens == NO_RESERVATION) {
             return;
         }
@@ -115,211 +115,231 @@
         mOverrun += Math.max(0, usedTokens - tokens);
         mReserved -= tokens;
         mFree += tokens - used;
-        spend(used);
-        setAside();
+        addSpending(used);
+        withholdFree();
     }
 
-    private void spend(long used) {
-        long covered = Math.min(used, mHoldBack);
-        mHoldBack -= covered;
-        long netted = Math.min(used - covered, mRefundDue);
-        mRefundDue -= netted;
+    private void addSpending(long used) {
+        long covered = Math.min(used, mTokensToWithhold);
+        mTokensToWithhold -= covered;
+        long netted = Math.min(used - covered, mUnnettedRefund);
+        mUnnettedRefund -= netted;
         mFree += netted;
         mSpent += used - covered - netted;
     }
 
-    /** Takes settled tokens back as unspent; what was already reported elsewhere nets later. */
+    /**
+     * Makes settled tokens free again. Tokens beyond those that this VM still counts as spent are
+     * netted against later spending.
+     */
     void refund(long tokens) {
-        long now = Math.min(tokens, mSpent);
-        mSpent -= now;
-        mFree += now;
-        mRefundDue += tokens - now;
+        long refundable = Math.min(tokens, mSpent);
+        mSpent -= refundable;
+        mFree += refundable;
+        mUnnettedRefund += tokens - refundable;
     }
 
-    /** Subtracts free tokens that the next write returns. */
+    /** Subtracts free tokens, which the next write returns to the platform. */
     void giveBack(long tokens) {
         long given = Math.max(0, Math.min(tokens, mFree));
         mFree -= given;
         mReturned += given;
     }
 
-    /** Returns whether the record lacks anything that this VM should report. */
-    boolean unreported(HolderRecord seen) {
-        return seen.spent() != mSpent
-                || seen.returned() != mReturned
-                || !mForeign.isEmpty()
-                || !mAdopting.isEmpty();
+    /**
+     * Returns whether this VM has spending, returns or charges that the record does not contain
+     * yet.
+     */
+    boolean hasUnreportedChanges(HolderRecord recorded) {
+        return recorded.spent() != mSpent
+                || recorded.returned() != mReturned
+                || !mForeignCharges.isEmpty()
+                || !mTransferringCharges.isEmpty();
     }
 
-    /** Returns what the record does not yet say to be spent. */
-    long unreportedSpent(HolderRecord seen) {
-        return mSpent - seen.spent();
+    /** Returns the spent tokens that the record does not contain yet; negative after a refund. */
+    long unreportedSpent(HolderRecord recorded) {
+        return mSpent - recorded.spent();
     }
 
-    /** Returns whether tokens are subtracted here that the record does not yet say are returned. */
-    boolean returning() {
-        return mReturned != mReturnedSeen;
+    /**
+     * Returns whether tokens were subtracted here to be returned and the record does not show the
+     * return yet.
+     */
+    boolean hasUnreportedReturns() {
+        return mReturned != mReturnedInRecord;
     }
 
     /**
-     * Takes over what the record says: grants, the end of an adoption, or that this holder was
-     * closed while its VM still ran.
+     * Applies a record: adds its grants, completes a transfer of charges, or opens the next
+     * generation if this holder's entry was closed while its VM still ran.
      */
-    void see(BudgetRecord record) {
+    void applyRecord(BudgetRecord record) {
         HolderRecord entry = record.holders().get(mHolder);
         if (entry == null) {
             if (mRegistered) {
-                reopen();
+                openNextGeneration();
             }
-            mWriteAtRisk = false;
+            mLastWriteUnknown = false;
             return;
         }
         mRegistered = true;
-        mWriteAtRisk = false;
-        mReturnedSeen = entry.returned();
-        mSpentSeen = entry.spent();
+        mLastWriteUnknown = false;
+        mReturnedInRecord = entry.returned();
+        mSpentInRecord = entry.spent();
         mFree += entry.granted() - mGranted;
         mGranted = entry.granted();
-        if (!mAdopting.isEmpty() && entry.movedIn() != mMovedIn) {
+        if (!mTransferringCharges.isEmpty() && entry.movedIn() != mMovedIn) {
             mMovedIn = entry.movedIn();
-            mAdopting.clear();
+            mTransferringCharges.clear();
         }
     }
 
-    /** Returns whether the platform may hold an entry, or a newer one than was seen. */
+    /**
+     * Returns whether the platform may hold an entry of this holder, or a newer one than the last
+     * record received shows.
+     */
     boolean mayHaveEntry() {
-        return mRegistered || mWriteAtRisk;
+        return mRegistered || mLastWriteUnknown;
     }
 
-    /** Notes that a write with this holding's entry may take effect, now or late. */
-    void noteAmbiguous() {
-        mReturnedAtRisk = mReturned;
-        mWriteAtRisk = true;
-        mEverAtRisk = true;
+    /**
+     * Records that a write of this holder's entry has an unknown outcome: it may take effect now,
+     * later or never.
+     */
+    void onWriteOutcomeUnknown() {
+        mReturnedInUnknownWrite = mReturned;
+        mLastWriteUnknown = true;
+        mAnyWriteUnknown = true;
     }
 
     /**
-     * Goes on as a new holder. All that the closed entry drew counts as spent in the record, and
-     * this VM alone may spend it: so it is kept, and charged to the closed entry until adopted.
+     * Continues as the next generation of this holder. The record counts all tokens drawn by the
+     * closed entry as spent, and only this VM can spend them. So they are kept, and charged to the
+     * closed entry until the new entry takes over the charge.
      */
-    private void reopen() {
-        mFree += mReturned - Math.max(mReturnedSeen, mReturnedAtRisk);
+    private void openNextGeneration() {
+        mFree += mReturned - Math.max(mReturnedInRecord, mReturnedInUnknownWrite);
         HolderId closed = mHolder;
-        if (!mWriteAtRisk) {
-            mAdopting.forEach((from, tokens) -> mForeign.merge(from, tokens, Long::sum));
+        if (!mLastWriteUnknown) {
+            mTransferringCharges.forEach(
+                    (from, tokens) -> mForeignCharges.merge(from, tokens, Long::sum));
         }
-        mAdopting.clear();
-        carrySpending();
+        mTransferringCharges.clear();
+        carryUnreportedSpending();
         long charged = mFree + mReserved + mSpent - foreignCharge();
         if (charged > 0) {
-            mForeign.merge(closed, charged, Long::sum);
+            mForeignCharges.merge(closed, charged, Long::sum);
         }
         mHolder = closed.next();
         mRegistered = false;
         mGranted = 0;
         mReturned = 0;
-        mReturnedSeen = 0;
-        mReturnedAtRisk = 0;
-        mWriteAtRisk = false;
-        mEverAtRisk = false;
-        mSpentSeen = 0;
-        mSpentHigh = 0;
-        mSpentWritten = 0;
+        mReturnedInRecord = 0;
+        mReturnedInUnknownWrite = 0;
+        mLastWriteUnknown = false;
+        mAnyWriteUnknown = false;
+        mSpentInRecord = 0;
+        mMaxSpentWritten = 0;
+        mSpentInLastWrite = 0;
         mMovedIn = 0;
     }
 
     /**
-     * Keeps what the closed entry does not say to be spent. Where it may or may not hold the last
-     * write, the larger figure is taken, and tokens refunded since are set aside until they net
-     * with later spending: so they are never counted as settled and given back as well.
+     * Keeps the spending that the closed entry does not contain. If it is unknown whether the entry
+     * contains the last write, the largest spending written is assumed. Tokens refunded since are
+     * withheld until they are netted against later spending, so that they are never both counted as
+     * settled and returned.
      */
-    private void carrySpending() {
-        if (!mEverAtRisk) {
-            mSpent -= mSpentSeen;
+    private void carryUnreportedSpending() {
+        if (!mAnyWriteUnknown) {
+            mSpent -= mSpentInRecord;
             return;
         }
-        mSpent -= mSpentHigh;
+        mSpent -= mMaxSpentWritten;
         if (mSpent < 0) {
-            mHoldBack -= mSpent;
+            mTokensToWithhold -= mSpent;
             mSpent = 0;
-            setAside();
+            withholdFree();
         }
     }
 
-    /** Takes free tokens out of use, up to what is to be held back. */
-    private void setAside() {
-        long aside = Math.min(mFree, mHoldBack);
-        mFree -= aside;
-        mHoldBack -= aside;
-        mRefundDue += aside;
+    /** Withholds free tokens from use, up to {@code mTokensToWithhold}. */
+    private void withholdFree() {
+        long withheld = Math.min(mFree, mTokensToWithhold);
+        mFree -= withheld;
+        mTokensToWithhold -= withheld;
+        mUnnettedRefund += withheld;
     }
 
     /**
-     * Notes that the last write took effect as it was planned: earlier ones of unknown effect
-     * expected an older version, so they can't take effect any more.
+     * Records that the last write took effect as planned. Earlier writes of unknown outcome
+     * expected an older version, so they can no longer take effect.
      */
-    void noteWritten() {
-        mWriteAtRisk = false;
-        mEverAtRisk = false;
-        mSpentSeen = mSpentWritten;
-        mSpentHigh = mSpentWritten;
-        mReturnedSeen = mReturned;
-        mMovedIn += adoptingTotal();
-        mAdopting.clear();
+    void onWritten() {
+        mLastWriteUnknown = false;
+        mAnyWriteUnknown = false;
+        mSpentInRecord = mSpentInLastWrite;
+        mMaxSpentWritten = mSpentInLastWrite;
+        mReturnedInRecord = mReturned;
+        mMovedIn += transferringTotal();
+        mTransferringCharges.clear();
     }
 
     /**
      * Returns this holder's entry for the next write.
      *
-     * <p>The first entry carries a grant only: if its reply is lost and the entry is closed before
-     * it is read, writing it again must not repeat a return.
+     * <p>The first entry contains a grant only. If its reply is lost and the entry is closed before
+     * it is read, the entry is written again, which must not repeat a return.
      */
-    HolderRecord entry(Optional<HolderRecord> seen, long draw) {
-        if (seen.isEmpty()) {
+    HolderRecord nextEntry(Optional<HolderRecord> recorded, long draw) {
+        if (recorded.isEmpty()) {
             return new HolderRecord(draw, 0, 0, 0, 0, 0, 0, 0);
         }
-        HolderRecord now = seen.get();
-        mSpentWritten = mSpent;
-        mSpentHigh = Math.max(mSpentHigh, mSpent);
+        HolderRecord current = recorded.get();
+        mSpentInLastWrite = mSpent;
+        mMaxSpentWritten = Math.max(mMaxSpentWritten, mSpent);
         return new HolderRecord(
-                now.granted() + draw,
+                current.granted() + draw,
                 mReturned,
                 mSpent,
-                mMovedIn + adoptingTotal(),
-                now.movedOut(),
+                mMovedIn + transferringTotal(),
+                current.movedOut(),
                 mReserved,
                 mFree + draw,
                 0);
     }
 
     /**
-     * Fixes which foreign charges the next write takes over, and returns those that the record seen
-     * does not yet hold; the set stays the same until the record shows it.
+     * Selects the foreign charges that the next write takes over, and returns those that the last
+     * record received does not show as taken over. The selection does not change until a record
+     * shows it.
      */
-    Map<HolderId, Long> adopt(HolderRecord seen) {
-        if (seen.movedIn() != mMovedIn) {
+    Map<HolderId, Long> transferCharges(HolderRecord recorded) {
+        if (recorded.movedIn() != mMovedIn) {
             return Map.of();
         }
-        if (mAdopting.isEmpty()) {
-            mAdopting.putAll(mForeign);
-            mForeign.clear();
+        if (mTransferringCharges.isEmpty()) {
+            mTransferringCharges.putAll(mForeignCharges);
+            mForeignCharges.clear();
         }
-        return Map.copyOf(mAdopting);
+        return Map.copyOf(mTransferringCharges);
     }
 
-    private long adoptingTotal() {
-        return mAdopting.values().stream().mapToLong(Long::longValue).sum();
+    private long transferringTotal() {
+        return mTransferringCharges.values().stream().mapToLong(Long::longValue).sum();
     }
 
     /**
-     * Subtracts tokens to move to another VM: free ones and, where this VM has no entry of its own,
-     * spent ones with them.
+     * Subtracts tokens to move to another VM: free tokens and, if this VM has no entry of its own,
+     * also spent ones.
      *
-     * @param preferred the charge that the receiver would like best
+     * @param preferred the holder whose charge the receiver prefers to get
+     * @return the tokens to move; empty if there are none
      */
-    Optional<MovedTokens> take(HolderId preferred, long free, long spent) {
+    Optional<MovedTokens> takeForMove(HolderId preferred, long free, long spent) {
         if (mRegistered) {
-            long given = Math.max(0, Math.min(free, mFree - refundedUnseen()));
+            long given = Math.max(0, Math.min(free, mFree - unreportedRefunds()));
             mFree -= given;
             return given == 0 ? Optional.empty() : Optional.of(new MovedTokens(mHolder, given, 0));
         }
@@ -327,41 +347,41 @@
         if (charge.isEmpty()) {
             return Optional.empty();
         }
-        long lot = mForeign.get(charge.get());
-        long givenFree = Math.max(0, Math.min(lot, Math.min(free, mFree)));
-        long givenSpent = Math.max(0, Math.min(lot - givenFree, Math.min(spent, mSpent)));
+        long charged = mForeignCharges.get(charge.get());
+        long givenFree = Math.max(0, Math.min(charged, Math.min(free, mFree)));
+        long givenSpent = Math.max(0, Math.min(charged - givenFree, Math.min(spent, mSpent)));
         if (givenFree + givenSpent == 0) {
             return Optional.empty();
         }
         mFree -= givenFree;
         mSpent -= givenSpent;
-        mForeign.merge(charge.get(), -givenFree - givenSpent, Holding::sumOrNull);
+        mForeignCharges.merge(charge.get(), -givenFree - givenSpent, Holding::sumOrNull);
         return Optional.of(new MovedTokens(charge.get(), givenFree, givenSpent));
     }
 
     /**
-     * Returns refunded tokens that the record may still say to be spent. They stay here until a
-     * write is known to have lowered that figure: if the entry is closed first, nobody else may
-     * spend or return what it counts as settled.
+     * Returns refunded tokens that the record may still count as spent. They are not moved until a
+     * write is known to have lowered the recorded spending. If the entry is closed before that, no
+     * other VM may spend or return tokens that the entry counts as settled.
      */
-    private long refundedUnseen() {
-        return Math.max(0, Math.max(mSpentSeen, mSpentHigh) - mSpent);
+    private long unreportedRefunds() {
+        return Math.max(0, Math.max(mSpentInRecord, mMaxSpentWritten) - mSpent);
     }
 
-    /** Adds what another VM moved here. */
-    void put(MovedTokens parcel) {
-        mFree += parcel.free();
-        mSpent += parcel.spent();
-        if (!parcel.charge().equals(mHolder)) {
-            mForeign.merge(parcel.charge(), parcel.free() + parcel.spent(), Long::sum);
+    /** Adds tokens that another VM moved to this one. */
+    void addMoved(MovedTokens moved) {
+        mFree += moved.free();
+        mSpent += moved.spent();
+        if (!moved.charge().equals(mHolder)) {
+            mForeignCharges.merge(moved.charge(), moved.free() + moved.spent(), Long::sum);
         }
     }
 
     private Optional<HolderId> chargeToMove(HolderId preferred) {
-        if (mForeign.containsKey(preferred)) {
+        if (mForeignCharges.containsKey(preferred)) {
             return Optional.of(preferred);
         }
-        return mForeign.entrySet().stream()
+        return mForeignCharges.entrySet().stream()
                 .max(Map.Entry.comparingByValue())
                 .map(Map.Entry::getKey);
     }
@@ -372,6 +392,6 @@
     }
 
     private long foreignCharge() {
-        return mForeign.values().stream().mapToLong(Long::longValue).sum();
+        return mForeignCharges.values().stream().mapToLong(Long::longValue).sum();
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/LedgerSync.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/LedgerSync.java
@@ -10,11 +10,12 @@
 import java.util.Optional;
 
 /**
- * What this VM knows of one organisation's record, and when it may call the platform again.
+ * Holds the last record received of one organisation, and controls when the platform may be called
+ * again.
  *
- * <p>Invariant: at most one call is in flight; {@code mBase} is a record that the platform held at
- * {@code mAsOfMs} or later, together with its version. Not thread-safe; guarded by its
- * organisation's lock.
+ * <p>Invariant: at most one call is in flight. {@code mLastRecord} is a record that the platform
+ * held at {@code mAsOfMs} or later, and {@code mVersion} is its version. Not thread-safe; guarded
+ * by its organisation's lock.
  */
 final class LedgerSync {
     private static final int MAX_CONFLICTS_IN_A_ROW = 3;
@@ -23,13 +24,13 @@
     private final OrganisationId mOrganisation;
     private final BudgetSettings mSettings;
     private final int mJitterSeed;
-    private Optional<LedgerRecord> mBase = Optional.empty();
+    private Optional<LedgerRecord> mLastRecord = Optional.empty();
     private long mVersion;
     private long mAsOfMs;
     private boolean mInFlight;
     private int mFailures;
     private int mConflicts;
-    private long mNextMs = Long.MIN_VALUE;
+    private long mNextCallMs = Long.MIN_VALUE;
     private long mReads;
     private long mWrites;
 
@@ -39,81 +40,84 @@
         mJitterSeed = jitterSeed;
     }
 
-    /** Returns the platform's key of an organisation's record. */
-    static String key(OrganisationId organisation) {
+    /** Returns the key of an organisation's record on the platform. */
+    static String objectKey(OrganisationId organisation) {
         return "budgets/" + organisation.value();
     }
 
-    Optional<LedgerRecord> base() {
-        return mBase;
+    Optional<LedgerRecord> lastRecord() {
+        return mLastRecord;
     }
 
     boolean mayCall(long nowMs) {
-        return !mInFlight && nowMs >= mNextMs;
+        return !mInFlight && nowMs >= mNextCallMs;
     }
 
     boolean inFlight() {
         return mInFlight;
     }
 
-    /** Returns whether the last call had no reply, so that the platform may be out of reach. */
+    /** Returns whether the last call failed, so that the platform may be unreachable. */
     boolean unreachable() {
         return mFailures > 0;
     }
 
-    long nextMs() {
-        return mNextMs;
+    long nextCallMs() {
+        return mNextCallMs;
     }
 
-    /** Returns whether the record was read or written no longer ago than a bound. */
+    /** Returns whether the last record received is not older than {@code boundMs} milliseconds. */
     boolean freshWithin(long nowMs, long boundMs) {
-        return mBase.isPresent() && nowMs - mAsOfMs <= boundMs;
+        return mLastRecord.isPresent() && nowMs - mAsOfMs <= boundMs;
     }
 
     long calls() {
         return mReads + mWrites;
     }
 
-    /** Makes the record known too old to act on, so that the next call is a read. */
-    void expire() {
-        mBase = Optional.empty();
+    /** Discards the last record received, so that the next call is a read. */
+    void discardRecord() {
+        mLastRecord = Optional.empty();
     }
 
-    /** Starts a read. */
-    PlatformCall read() {
+    /** Starts a read and returns the call to submit. */
+    PlatformCall startRead() {
         mInFlight = true;
         mReads++;
-        return new PlatformCall.Get(key(mOrganisation));
+        return new PlatformCall.Get(objectKey(mOrganisation));
     }
 
-    /** Starts a conditional write over the record known. */
-    PlatformCall write(LedgerRecord next) {
+    /** Starts a conditional update of the last record received and returns the call to submit. */
+    PlatformCall startWrite(LedgerRecord next) {
         mInFlight = true;
         mWrites++;
         String value = Json.encode(next);
         return mVersion == 0
-                ? new PlatformCall.Create(key(mOrganisation), value)
-                : new PlatformCall.Update(key(mOrganisation), value, mVersion);
+                ? new PlatformCall.Create(objectKey(mOrganisation), value)
+                : new PlatformCall.Update(objectKey(mOrganisation), value, mVersion);
     }
 
-    /** Ends a read; returns whether the record is known now. */
-    boolean readDone(long submittedMs, long nowMs, PlatformReply reply) {
+    /** Ends a read. Returns whether the record was received. */
+    boolean onReadReply(long submittedMs, long nowMs, PlatformReply reply) {
         mInFlight = false;
         if (reply instanceof PlatformReply.Found found) {
-            return know(submittedMs, nowMs, Optional.of(found.object()));
+            return setRecord(submittedMs, nowMs, Optional.of(found.object()));
         }
         if (reply instanceof PlatformReply.Missing) {
-            return know(submittedMs, nowMs, Optional.empty());
+            return setRecord(submittedMs, nowMs, Optional.empty());
         }
-        fail(nowMs);
+        onFailure(nowMs);
         return false;
     }
 
-    /** Ends a write; returns whether the record as it is now is known. */
-    boolean writeDone(long submittedMs, long nowMs, LedgerRecord written, PlatformReply reply) {
+    /**
+     * Ends a write. Returns whether the current record is known, either as written or from a
+     * conflict reply.
+     */
+    boolean onWriteReply(long submittedMs, long nowMs, LedgerRecord written, PlatformReply reply) {
         mInFlight = false;
         if (reply instanceof PlatformReply.Written done) {
-            mBase = Optional.of(written);
+            mLastRecord = Optional.of(written);
             mVersion = done.version();
             mAsOfMs = submittedMs;
             mFailures = 0;
@@ -122,27 +126,27 @@
         }
         if (reply instanceof PlatformReply.Conflict conflict) {
             mConflicts++;
-            boolean known = know(submittedMs, nowMs, conflict.current());
-            if (known && mConflicts > MAX_CONFLICTS_IN_A_ROW) {
-                mNextMs = nowMs + jitter(mConflicts);
+            boolean received = setRecord(submittedMs, nowMs, conflict.current());
+            if (received && mConflicts > MAX_CONFLICTS_IN_A_ROW) {
+                mNextCallMs = nowMs + jitter(mConflicts);
             }
-            return known;
+            return received;
         }
-        fail(nowMs);
+        onFailure(nowMs);
         return false;
     }
 
-    private boolean know(long submittedMs, long nowMs, Optional<StoredObject> object) {
+    private boolean setRecord(long submittedMs, long nowMs, Optional<StoredObject> object) {
         if (object.isEmpty()) {
-            mBase = Optional.of(LedgerRecord.empty());
+            mLastRecord = Optional.of(LedgerRecord.empty());
             mVersion = 0;
         } else {
             var decoded = Json.decode(object.get().value(), LedgerRecord.class);
             if (decoded.isLeft()) {
-                fail(nowMs);
+                onFailure(nowMs);
                 return false;
             }
-            mBase = Optional.of(decoded.get());
+            mLastRecord = Optional.of(decoded.get());
             mVersion = object.get().version();
         }
         mAsOfMs = submittedMs;
@@ -150,15 +154,18 @@
         return true;
     }
 
-    private void fail(long nowMs) {
-        mBase = Optional.empty();
+    private void onFailure(long nowMs) {
+        mLastRecord = Optional.empty();
         mFailures = Math.min(mFailures + 1, 30);
-        long doubled = mSettings.backoffMinMs() << Math.min(mFailures - 1, 10);
-        long wait = Math.min(mSettings.backoffMaxMs(), doubled);
-        mNextMs = nowMs + wait / 2 + jitter(mFailures) % (wait / 2 + 1);
+        long backoff = mSettings.backoffMinMs() << Math.min(mFailures - 1, 10);
+        long wait = Math.min(mSettings.backoffMaxMs(), backoff);
+        mNextCallMs = nowMs + wait / 2 + jitter(mFailures) % (wait / 2 + 1);
     }
 
-    /** Spreads the VMs that lost the same race; the same at each run. */
+    /**
+     * Returns a delay that differs between VMs, so that those that lost the same race do not retry
+     * together. It is deterministic, so that simulations are repeatable.
+     */
     private long jitter(int attempt) {
         long window = mSettings.backoffMinMs() << Math.min(attempt, MAX_JITTER_DOUBLINGS);
         int hash = (mJitterSeed * 31 + attempt) * 0x9E3779B9;
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/PeerMoves.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/PeerMoves.java
@@ -10,34 +10,34 @@
 import java.util.Optional;
 
 /**
- * The moves of one budget between this VM and its peers, each applied at most once.
+ * Moves of one budget between this VM and its peers, each applied at most once.
  *
- * <p>Invariant: at most one move to a receiver is unacknowledged; a receiver adds a giver's moves
- * in the order of their sequence and each once. Not thread-safe; guarded by its organisation's
- * lock.
+ * <p>Invariant: at most one move to each receiver is unacknowledged. A receiver adds the moves of a
+ * giver in the order of their sequence, and each only once. Not thread-safe; guarded by its
+ * organisation's lock.
  */
 final class PeerMoves {
     private final BudgetKey mKey;
     private final VmId mSelf;
     private final Map<VmId, MoveGrant> mPending = new HashMap<>();
     private final Map<VmId, Long> mRetryAtMs = new HashMap<>();
-    private final Map<VmId, Long> mSent = new HashMap<>();
-    private final Map<VmId, Long> mReceived = new HashMap<>();
-    private long mNextPassMs = Long.MIN_VALUE;
+    private final Map<VmId, Long> mMovesStarted = new HashMap<>();
+    private final Map<VmId, Long> mLastSequenceReceived = new HashMap<>();
+    private long mNextHomeReportMs = Long.MIN_VALUE;
 
     PeerMoves(BudgetKey key, VmId self) {
         mKey = key;
         mSelf = self;
     }
 
-    /** Returns the move to a receiver that is not acknowledged yet. */
+    /** Returns the unacknowledged move to a receiver, if any. */
     Optional<MoveGrant> pending(VmId receiver) {
         return Optional.ofNullable(mPending.get(receiver));
     }
 
-    /** Returns the VMs that tokens were moved to, those with most moves first. */
+    /** Returns the VMs to which tokens were moved, sorted by descending number of moves. */
     List<VmId> receivers() {
-        return mSent.entrySet().stream()
+        return mMovesStarted.entrySet().stream()
                 .sorted(
                         Map.Entry.<VmId, Long>comparingByValue()
                                 .reversed()
@@ -46,14 +46,14 @@
                 .toList();
     }
 
-    /** Returns whether any move is not acknowledged yet. */
+    /** Returns whether any move is unacknowledged. */
     boolean anyPending() {
         return !mPending.isEmpty();
     }
 
-    /** Starts a move of tokens that the caller has subtracted. */
-    MoveGrant start(VmId receiver, MovedTokens parcel) {
-        long sequence = mSent.merge(receiver, 1L, Long::sum);
+    /** Starts a move of tokens that the caller has subtracted already. */
+    MoveGrant start(VmId receiver, MovedTokens moved) {
+        long sequence = mMovesStarted.merge(receiver, 1L, Long::sum);
         MoveGrant move =
                 new MoveGrant(
                         mKey.organisation(),
@@ -61,15 +61,18 @@
                         mSelf,
                         receiver,
                         sequence,
-                        parcel.charge(),
-                        parcel.free(),
-                        parcel.spent());
+                        moved.charge(),
+                        moved.free(),
+                        moved.spent());
         mPending.put(receiver, move);
         return move;
     }
 
-    /** Returns the unacknowledged moves whose next sending is due, and puts it off. */
-    List<MoveGrant> due(long nowMs, long retryMs) {
+    /**
+     * Returns the unacknowledged moves whose next transmission is due, and schedules the following
+     * one after {@code retryMs} milliseconds.
+     */
+    List<MoveGrant> takeDueMoves(long nowMs, long retryMs) {
         List<MoveGrant> due = new ArrayList<>();
         for (MoveGrant move : mPending.values()) {
             if (mRetryAtMs.getOrDefault(move.receiver(), Long.MIN_VALUE) <= nowMs) {
@@ -80,12 +83,12 @@
         return due;
     }
 
-    /** Puts off the next sending of a move that was sent just now. */
-    void sent(VmId receiver, long nextMs) {
+    /** Delays the next transmission of a move that was just sent until {@code nextMs}. */
+    void delayResend(VmId receiver, long nextMs) {
         mRetryAtMs.put(receiver, nextMs);
     }
 
-    /** Ends a move that was added, or whose receiver runs no more. */
+    /** Ends a move whose tokens were added or whose receiver no longer runs. */
     void acknowledge(MoveAck ack) {
         MoveGrant move = mPending.get(ack.receiver());
         if (move != null && move.sequence() == ack.sequence()) {
@@ -94,27 +97,35 @@
         }
     }
 
-    /** Returns whether a move that came in is to be added; true once for each. */
-    boolean receive(MoveGrant move) {
-        if (move.sequence() <= mReceived.getOrDefault(move.giver(), 0L)) {
+    /**
+     * Records a received move. Returns whether its tokens are to be added, which is true only once
+     * for each move.
+     */
+    boolean recordReceived(MoveGrant move) {
+        if (move.sequence() <= mLastSequenceReceived.getOrDefault(move.giver(), 0L)) {
             return false;
         }
-        mReceived.put(move.giver(), move.sequence());
+        mLastSequenceReceived.put(move.giver(), move.sequence());
         return true;
     }
 
-    /** Forgets a VM that is proved gone: what was on its way to it stays charged as it was. */
-    void forget(VmId gone) {
+    /**
+     * Ends the move to a VM that is proved gone. The tokens of that move stay charged as before.
+     */
+    void removeReceiver(VmId gone) {
         mPending.remove(gone);
         mRetryAtMs.remove(gone);
     }
 
-    /** Returns whether it is time to pass spending on, and puts the next time off. */
-    boolean passDue(long nowMs, long intervalMs) {
-        if (nowMs < mNextPassMs) {
+    /**
+     * Returns whether spending is to be moved to a home now; if so, the next time is {@code
+     * intervalMs} milliseconds later.
+     */
+    boolean takeHomeReportDue(long nowMs, long intervalMs) {
+        if (nowMs < mNextHomeReportMs) {
             return false;
         }
-        mNextPassMs = nowMs + intervalMs;
+        mNextHomeReportMs = nowMs + intervalMs;
         return true;
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/budget/TopUp.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/budget/TopUp.java
@@ -18,21 +18,23 @@
 import java.util.function.BiConsumer;
 
 /**
- * Adds one top-up to a budget exactly once, whoever repeats it and whatever reply is lost.
+ * Adds one top-up to a budget exactly once, even if it is repeated by several operators and replies
+ * are lost.
  *
- * <p>Invariants: the top-up's own object is created first and kept for ever; the record holds the
- * id from the write that adds the tokens until the object is known to say {@code added}. The record
- * is read before the object: if the object then does not say {@code added}, and the record does not
- * hold the id, no write before that version added it, and the conditional write finds any later
- * one. Used once; its callbacks may run on any thread, one after the other.
+ * <p>Invariants: the top-up's own object is created first and kept forever. The record contains the
+ * top-up's id from the write that adds the tokens until the object is known to say {@code added}.
+ * The record is read before the object. If the object then does not say {@code added} and the
+ * record does not contain the id, no write up to that version of the record added the tokens, and a
+ * later write makes the conditional update fail. Each instance is used once; its callbacks may run
+ * on any thread, one after the other.
  */
 final class TopUp {
     private static final int MAX_ATTEMPTS = 12;
-    private static final int MAX_OPEN = 256;
+    private static final int MAX_OPEN_TOP_UPS = 256;
 
     private final Platform mPlatform;
     private final BudgetKey mKey;
-    private final String mId;
+    private final String mTopUpId;
     private final long mTokens;
     private final String mObjectKey;
     private final BiConsumer<Long, Either<Failure, Boolean>> mDone;
@@ -41,7 +43,8 @@
     /**
      * Creates a top-up.
      *
-     * @param done takes whether this run added the tokens (false: an earlier one had); or a failure
+     * @param done receives true if this run added the tokens, false if an earlier one did; or an
+     *     error
      */
     TopUp(
             Platform platform,
@@ -51,22 +54,22 @@
             BiConsumer<Long, Either<Failure, Boolean>> done) {
         mPlatform = platform;
         mKey = key;
-        mId = id;
+        mTopUpId = id;
         mTokens = tokens;
         mObjectKey = TopUpRecord.key(key, id);
         mDone = done;
     }
 
-    /** Creates the top-up's object, or finds it. */
+    /** Creates the top-up's object or reads the existing one, then adds the tokens. */
     void start(long nowMs) {
-        if (exhausted(nowMs)) {
+        if (attemptsExhausted(nowMs)) {
             return;
         }
         String value = Json.encode(new TopUpRecord(mTokens, false));
         mPlatform.submit(nowMs, new PlatformCall.Create(mObjectKey, value), this::onCreated);
     }
 
-    private boolean exhausted(long nowMs) {
+    private boolean attemptsExhausted(long nowMs) {
         if (++mAttempts <= MAX_ATTEMPTS) {
             return false;
         }
@@ -91,17 +94,17 @@
     }
 
     private void readLedger(long nowMs) {
-        if (exhausted(nowMs)) {
+        if (attemptsExhausted(nowMs)) {
             return;
         }
-        PlatformCall get = new PlatformCall.Get(LedgerSync.key(mKey.organisation()));
+        PlatformCall get = new PlatformCall.Get(LedgerSync.objectKey(mKey.organisation()));
         mPlatform.submit(nowMs, get, this::onLedger);
     }
 
     private void onLedger(long nowMs, PlatformReply reply) {
-        boolean known =
+        boolean read =
                 reply instanceof PlatformReply.Found || reply instanceof PlatformReply.Missing;
-        if (!known) {
+        if (!read) {
             readLedger(nowMs);
             return;
         }
@@ -130,10 +133,10 @@
                     Failure.of(
                             ErrorKind.IDEMPOTENCY_KEY_REUSED,
                             "top-up "
-                                    + mId
+                                    + mTopUpId
                                     + " of budget "
                                     + mKey
-                                    + " was made with "
+                                    + " was requested before with "
                                     + decoded.get().tokens()
                                     + " tokens; use a new id for another top-up"));
             return;
@@ -159,17 +162,17 @@
             return;
         }
         BudgetRecord budget = decoded.get().budget(mKey.budget());
-        if (budget.openTopUps().contains(mId)) {
+        if (budget.openTopUps().contains(mTopUpId)) {
             markAdded(nowMs, object, false);
             return;
         }
-        Optional<Failure> wrong = check(budget);
-        if (wrong.isPresent()) {
-            fail(nowMs, wrong.get());
+        Optional<Failure> invalid = checkLimits(budget);
+        if (invalid.isPresent()) {
+            fail(nowMs, invalid.get());
             return;
         }
-        LedgerRecord next = decoded.get().with(mKey.budget(), budget.withTopUp(mId, mTokens));
-        String ledgerKey = LedgerSync.key(mKey.organisation());
+        LedgerRecord next = decoded.get().with(mKey.budget(), budget.withTopUp(mTopUpId, mTokens));
+        String ledgerKey = LedgerSync.objectKey(mKey.organisation());
         String value = Json.encode(next);
         PlatformCall call =
                 ledger instanceof PlatformReply.Found found
@@ -187,7 +190,7 @@
                 });
     }
 
-    private Optional<Failure> check(BudgetRecord budget) {
+    private Optional<Failure> checkLimits(BudgetRecord budget) {
         if (budget.paid() > BudgetRecord.MAX_TOKENS - mTokens) {
             return Optional.of(
                     Failure.of(
@@ -196,19 +199,22 @@
                                     + mKey
                                     + " would exceed "
                                     + BudgetRecord.MAX_TOKENS
-                                    + " tokens; top up by less"));
+                                    + " tokens; use a smaller top-up"));
         }
-        if (budget.openTopUps().size() >= MAX_OPEN) {
+        if (budget.openTopUps().size() >= MAX_OPEN_TOP_UPS) {
             return Optional.of(
                     Failure.retryAfter(
                             ErrorKind.OVERLOADED,
-                            "too many top-ups of budget " + mKey + " are under way; retry later",
+                            "too many top-ups of budget " + mKey + " are in progress; retry later",
                             1_000));
         }
         return Optional.empty();
     }
 
-    /** Notes in the object that the tokens are added; from here on the top-up can't be lost. */
+    /**
+     * Records in the object that the tokens are added. From then on the top-up can't be added
+     * again, even without its id in the record.
+     */
     private void markAdded(long nowMs, StoredObject object, boolean byThisRun) {
         String value = Json.encode(new TopUpRecord(mTokens, true));
         mPlatform.submit(
@@ -216,27 +222,27 @@
                 new PlatformCall.Update(mObjectKey, value, object.version()),
                 (at, reply) -> {
                     if (reply instanceof PlatformReply.Written) {
-                        forgetId(at, byThisRun);
+                        removeOpenId(at, byThisRun);
                     } else {
                         mDone.accept(at, Either.right(byThisRun));
                     }
                 });
     }
 
-    private void forgetId(long nowMs, boolean byThisRun) {
+    private void removeOpenId(long nowMs, boolean byThisRun) {
         new LedgerEdit(
                         mPlatform,
                         mKey.organisation(),
-                        record -> Either.right(without(record)),
+                        record -> Either.right(withoutOpenId(record)),
                         (at, ignored) -> mDone.accept(at, Either.right(byThisRun)))
                 .start(nowMs);
     }
 
-    private Optional<LedgerRecord> without(LedgerRecord record) {
+    private Optional<LedgerRecord> withoutOpenId(LedgerRecord record) {
         BudgetRecord budget = record.budget(mKey.budget());
-        if (!budget.openTopUps().contains(mId)) {
+        if (!budget.openTopUps().contains(mTopUpId)) {
             return Optional.empty();
         }
-        return Optional.of(record.with(mKey.budget(), budget.withoutTopUps(Set.of(mId))));
+        return Optional.of(record.with(mKey.budget(), budget.withoutTopUps(Set.of(mTopUpId))));
     }
 }
--- a/coordination/src/test/java/org/hornbeampass/coordination/budget/BudgetSimulation.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/budget/BudgetSimulation.java
@@ -35,10 +35,10 @@
 import java.util.function.Consumer;
 
 /**
- * A few VMs, a platform and a network in virtual time, with faults that a test sets.
+ * Simulates a few VMs, a platform and a network in virtual time, with faults set by a test.
  *
- * <p>Everything that happens is an event in one queue, run in the order of time; so a run depends
- * on nothing but what the test does. Not thread-safe.
+ * <p>Every action is an event in one queue ordered by time, so a run is determined by the test and
+ * its seed alone. Not thread-safe.
  */
 final class BudgetSimulation implements BudgetHomes {
     static final OrganisationId ORGANISATION = new OrganisationId("flights");
@@ -57,16 +57,16 @@
                                     Set.of(KEY.budget()),
                                     Map.of())),
                     Map.of());
-    private static final long CALL_MS = 2;
+    private static final long MIN_LATENCY_MS = 2;
     private static final long TIMEOUT_MS = 500;
     private static final long TICK_MS = 100;
 
     private final MemoryPlatform mStore = new MemoryPlatform();
     private final PriorityQueue<Event> mEvents = new PriorityQueue<>();
-    private final List<SimulatedRouter> mNodes = new ArrayList<>();
+    private final List<SimulatedRouter> mRouters = new ArrayList<>();
     private final GrantPolicy mPolicy;
-    private final int mHomes;
-    private final BudgetAdmin mAccounts;
+    private final int mHomeCount;
+    private final BudgetAdmin mAdmin;
     private final BudgetMutant mMutant;
     private final Random mRandom;
     private PlatformFault mOperatorFault = PlatformFault.NONE;
@@ -77,7 +77,9 @@
     private long mOrder;
     private long mRequests;
 
-    /** Something that happens at a time; events of one time keep their order. */
+    /**
+     * An action at a time. Events with the same time keep the order in which they were scheduled.
+     */
     private record Event(long atMs, long order, Runnable action) implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
@@ -86,28 +88,28 @@
         }
     }
 
-    /** What the next platform call of a VM meets. */
+    /** Faults of the next platform call of a VM. */
     enum PlatformFault {
         NONE,
-        /** The call never arrives. */
+        /** The call never reaches the platform. */
         LOST,
-        /** The call takes effect and its reply is lost. */
+        /** The call takes effect but its reply is lost. */
         REPLY_LOST,
-        /** The call takes effect long after its sender gave up. */
+        /** The call takes effect after the caller has timed out. */
         LATE
     }
 
-    /** One VM: its ledger and its links. */
+    /** A simulated VM with its ledger and the state of its connections. */
     static final class SimulatedRouter {
         final BudgetLedger mLedger;
         final VmId mId;
-        PlatformFault mFault = PlatformFault.NONE;
+        PlatformFault mNextFault = PlatformFault.NONE;
         boolean mCutFromPlatform;
         boolean mCutFromPeers;
         boolean mDropNextReply;
         boolean mPaused;
-        boolean mDead;
-        final List<Runnable> mHeld = new ArrayList<>();
+        boolean mCrashed;
+        final List<Runnable> mDelayedActions = new ArrayList<>();
 
         SimulatedRouter(VmId id, BudgetLedger ledger) {
             mId = id;
@@ -119,28 +121,30 @@
         this(vms, policy, homes, BudgetMutant.NONE, 0);
     }
 
-    /** Creates a world in which one rule may be broken, with latencies drawn from a seed. */
+    /**
+     * Creates a simulation with an optional broken rule and with latencies generated from a seed.
+     */
     BudgetSimulation(int vms, GrantPolicy policy, int homes, BudgetMutant mutant, long seed) {
         mPolicy = policy;
-        mHomes = homes;
+        mHomeCount = homes;
         mMutant = mutant;
         mRandom = new Random(seed);
-        mAccounts = new BudgetAdmin(new VmId("operator", 1), operatorPlatform());
+        mAdmin = new BudgetAdmin(new VmId("operator", 1), operatorPlatform());
         for (int i = 0; i < vms; i++) {
             start("vm" + i, 1);
         }
     }
 
-    /** Stops a VM's process for good. */
-    void die(int vm) {
-        mNodes.get(vm).mDead = true;
+    /** Stops the process of a VM permanently. */
+    void crash(int vm) {
+        mRouters.get(vm).mCrashed = true;
         mLive = Optional.empty();
     }
 
-    /** Starts a VM, or its next incarnation. */
+    /** Starts a VM or its next incarnation; returns its index. */
     int start(String name, long incarnation) {
         VmId id = new VmId(name, incarnation);
-        int index = mNodes.size();
+        int index = mRouters.size();
         BudgetLedger ledger =
                 new BudgetLedger(
                         id,
@@ -150,34 +154,34 @@
                         BudgetSettings.defaults(),
                         mPolicy);
         ledger.onConfig(mNowMs, CONFIG);
-        mNodes.add(new SimulatedRouter(id, ledger));
+        mRouters.add(new SimulatedRouter(id, ledger));
         mLive = Optional.empty();
         scheduleTick(index);
         return index;
     }
 
-    /** Sets what is run after each write to the store. */
+    /** Sets an action to run after each write to the store. */
     void onWrite(Runnable action) {
         mOnWrite = action;
     }
 
-    /** Sets what the operators' next platform call meets. */
+    /** Sets the fault of the operators' next platform call. */
     void operatorFault(PlatformFault fault) {
         operatorFaultAt(0, fault);
     }
 
-    /** Sets what one of the operators' platform calls meets, counted from the next one. */
+    /** Sets the fault of one of the operators' platform calls, where 0 is the next one. */
     void operatorFaultAt(int callsLater, PlatformFault fault) {
         mOperatorFault = fault;
         mOperatorCallsLater = callsLater;
     }
 
-    SimulatedRouter node(int vm) {
-        return mNodes.get(vm);
+    SimulatedRouter router(int vm) {
+        return mRouters.get(vm);
     }
 
     BudgetLedger ledger(int vm) {
-        return mNodes.get(vm).mLedger;
+        return mRouters.get(vm).mLedger;
     }
 
     long nowMs() {
@@ -185,17 +189,19 @@
     }
 
     int size() {
-        return mNodes.size();
+        return mRouters.size();
     }
 
-    BudgetAdmin accounts() {
-        return mAccounts;
+    BudgetAdmin admin() {
+        return mAdmin;
     }
 
     @Override
     public List<VmId> live() {
         if (mLive.isEmpty()) {
-            mLive = Optional.of(mNodes.stream().filter(n -> !n.mDead).map(n -> n.mId).toList());
+            mLive =
+                    Optional.of(
+                            mRouters.stream().filter(n -> !n.mCrashed).map(n -> n.mId).toList());
         }
         return mLive.get();
     }
@@ -203,49 +209,52 @@
     @Override
     public List<VmId> homes(OrganisationId organisation) {
         List<VmId> live = live();
-        return live.subList(0, Math.min(mHomes, live.size()));
+        return live.subList(0, Math.min(mHomeCount, live.size()));
     }
 
     private void scheduleTick(int vm) {
-        at(
+        schedule(
                 mNowMs + TICK_MS,
                 () -> {
-                    if (mNodes.get(vm).mDead || !mMutant.ticks()) {
+                    if (mRouters.get(vm).mCrashed || !mMutant.ticks()) {
                         return;
                     }
-                    at(vm, () -> ledger(vm).tick(mNowMs));
+                    runOn(vm, () -> ledger(vm).tick(mNowMs));
                     scheduleTick(vm);
                 });
     }
 
-    private void at(long atMs, Runnable action) {
+    private void schedule(long atMs, Runnable action) {
         mEvents.add(new Event(atMs, mOrder++, action));
     }
 
-    /** Runs an action on a VM: now, once it wakes, or never. */
-    void at(int vm, Runnable action) {
-        SimulatedRouter node = mNodes.get(vm);
-        if (node.mDead) {
+    /**
+     * Runs an action on a VM: now, or when the VM resumes if it is paused, or never if it has
+     * crashed.
+     */
+    void runOn(int vm, Runnable action) {
+        SimulatedRouter router = mRouters.get(vm);
+        if (router.mCrashed) {
             return;
         }
-        if (node.mPaused) {
-            node.mHeld.add(action);
+        if (router.mPaused) {
+            router.mDelayedActions.add(action);
             return;
         }
         action.run();
     }
 
-    void wake(int vm) {
-        SimulatedRouter node = mNodes.get(vm);
-        node.mPaused = false;
-        List<Runnable> held = List.copyOf(node.mHeld);
-        node.mHeld.clear();
-        if (!node.mDead) {
-            held.forEach(Runnable::run);
+    void resume(int vm) {
+        SimulatedRouter router = mRouters.get(vm);
+        router.mPaused = false;
+        List<Runnable> delayed = List.copyOf(router.mDelayedActions);
+        router.mDelayedActions.clear();
+        if (!router.mCrashed) {
+            delayed.forEach(Runnable::run);
         }
     }
 
-    /** Runs all events of a span of time. */
+    /** Advances the virtual time and runs all events due until then. */
     void run(long forMs) {
         long untilMs = mNowMs + forMs;
         while (!mEvents.isEmpty() && mEvents.peek().atMs() <= untilMs) {
@@ -256,8 +265,8 @@
         mNowMs = untilMs;
     }
 
-    /** Runs a span of time and returns the statement after it. */
-    BudgetStatement settle(long forMs) {
+    /** Advances the virtual time and returns the statement after it. */
+    BudgetStatement runAndGetStatement(long forMs) {
         run(forMs);
         return statement();
     }
@@ -283,18 +292,21 @@
     }
 
     Either<Failure, BudgetStatement> topUp(String id, long tokens) {
-        return await(done -> mAccounts.topUp(mNowMs, KEY, id, tokens, done));
+        return await(done -> mAdmin.topUp(mNowMs, KEY, id, tokens, done));
     }
 
     Either<Failure, BudgetStatement> setPaid(long tokens) {
-        return await(done -> mAccounts.setPaid(mNowMs, KEY, tokens, done));
+        return await(done -> mAdmin.setPaid(mNowMs, KEY, tokens, done));
     }
 
     Either<Failure, BudgetStatement> lower(long tokens) {
-        return await(done -> mAccounts.lowerPaid(mNowMs, KEY, tokens, done));
+        return await(done -> mAdmin.lowerPaid(mNowMs, KEY, tokens, done));
     }
 
-    /** Starts something and runs until its outcome is there. */
+    /**
+     * Starts an operation and advances the time until its outcome is received; returns null after
+     * 10 s of virtual time.
+     */
     <T> T await(Consumer<BiConsumer<Long, T>> start) {
         AtomicReference<T> result = new AtomicReference<>();
         start.accept((at, r) -> result.set(r));
@@ -304,7 +316,7 @@
         return result.get();
     }
 
-    /** Reserves with a wait of two seconds and runs until the outcome is there. */
+    /** Reserves with a wait of two seconds and advances the time until the outcome is received. */
     Either<Failure, Reservation> reserve(int vm, long tokens) {
         RequestId id = new RequestId("r" + mRequests++);
         return await(done -> ledger(vm).reserve(mNowMs, KEY, id, tokens, 2_000, done));
@@ -319,31 +331,33 @@
 
     private Platform operatorPlatform() {
         return (nowMs, call, done) -> {
-            boolean now = mOperatorCallsLater-- == 0;
-            PlatformFault fault = now ? mOperatorFault : PlatformFault.NONE;
+            boolean faulty = mOperatorCallsLater-- == 0;
+            PlatformFault fault = faulty ? mOperatorFault : PlatformFault.NONE;
             call(fault, call, r -> done.accept(mNowMs, r));
         };
     }
 
     private Platform platformOf(int vm) {
         return (nowMs, call, done) -> {
-            SimulatedRouter node = mNodes.get(vm);
-            PlatformFault fault = node.mCutFromPlatform ? PlatformFault.LOST : node.mFault;
-            node.mFault = PlatformFault.NONE;
-            call(fault, call, r -> at(vm, () -> done.accept(mNowMs, r)));
+            SimulatedRouter router = mRouters.get(vm);
+            PlatformFault fault = router.mCutFromPlatform ? PlatformFault.LOST : router.mNextFault;
+            router.mNextFault = PlatformFault.NONE;
+            call(fault, call, r -> runOn(vm, () -> done.accept(mNowMs, r)));
         };
     }
 
     private void call(PlatformFault fault, PlatformCall call, Consumer<PlatformReply> reply) {
         boolean lost = fault != PlatformFault.NONE;
         if (lost) {
-            at(mNowMs + TIMEOUT_MS, () -> reply.accept(new PlatformReply.Unavailable("timeout")));
+            schedule(
+                    mNowMs + TIMEOUT_MS,
+                    () -> reply.accept(new PlatformReply.Unavailable("timeout")));
         }
         if (fault == PlatformFault.LOST) {
             return;
         }
         long arrivesMs = fault == PlatformFault.LATE ? 3 * TIMEOUT_MS : latency();
-        at(mNowMs + arrivesMs, () -> apply(call, lost, reply));
+        schedule(mNowMs + arrivesMs, () -> apply(call, lost, reply));
     }
 
     private void apply(PlatformCall call, boolean lost, Consumer<PlatformReply> reply) {
@@ -356,27 +370,29 @@
                         mOnWrite.run();
                     }
                     if (!lost) {
-                        at(mNowMs + latency(), () -> reply.accept(r));
+                        schedule(mNowMs + latency(), () -> reply.accept(r));
                     }
                 });
     }
 
-    /** Mostly a few milliseconds, now and then longer than any timeout. */
+    /**
+     * Returns a latency of a few milliseconds or, in one of 50 cases, one longer than any timeout.
+     */
     private long latency() {
-        return mRandom.nextInt(50) == 0 ? 1_200 : CALL_MS + mRandom.nextInt(8);
+        return mRandom.nextInt(50) == 0 ? 1_200 : MIN_LATENCY_MS + mRandom.nextInt(8);
     }
 
     private int find(String name) {
-        for (int i = mNodes.size() - 1; i >= 0; i--) {
-            if (mNodes.get(i).mId.name().equals(name)) {
+        for (int i = mRouters.size() - 1; i >= 0; i--) {
+            if (mRouters.get(i).mId.name().equals(name)) {
                 return i;
             }
         }
         return -1;
     }
 
-    private boolean linked(int from, int to) {
-        return to >= 0 && !mNodes.get(from).mCutFromPeers && !mNodes.get(to).mCutFromPeers;
+    private boolean arePeersConnected(int from, int to) {
+        return to >= 0 && !mRouters.get(from).mCutFromPeers && !mRouters.get(to).mCutFromPeers;
     }
 
     private PeerNetwork peersOf(int vm) {
@@ -393,12 +409,12 @@
                     PeerMessage request,
                     long timeoutMs,
                     BiConsumer<Long, Either<Failure, PeerMessage>> done) {
-                ask(vm, find(vmName), request, timeoutMs, done);
+                sendRequest(vm, find(vmName), request, timeoutMs, done);
             }
         };
     }
 
-    private void ask(
+    private void sendRequest(
             int from,
             int to,
             PeerMessage request,
@@ -408,31 +424,31 @@
         Consumer<Either<Failure, PeerMessage>> once =
                 r -> {
                     if (answered.compareAndSet(false, true)) {
-                        at(from, () -> done.accept(mNowMs, r));
+                        runOn(from, () -> done.accept(mNowMs, r));
                     }
                 };
-        Failure late = Failure.of(ErrorKind.DEADLINE_EXCEEDED, "no reply");
-        at(mNowMs + timeoutMs, () -> once.accept(Either.left(late)));
+        Failure timeout = Failure.of(ErrorKind.DEADLINE_EXCEEDED, "no reply");
+        schedule(mNowMs + timeoutMs, () -> once.accept(Either.left(timeout)));
         deliver(
                 from,
                 to,
                 request,
                 reply -> {
-                    boolean dropped = mNodes.get(to).mDropNextReply;
-                    mNodes.get(to).mDropNextReply = false;
-                    if (linked(from, to) && !dropped) {
-                        at(mNowMs + latency(), () -> once.accept(Either.right(reply)));
+                    boolean dropped = mRouters.get(to).mDropNextReply;
+                    mRouters.get(to).mDropNextReply = false;
+                    if (arePeersConnected(from, to) && !dropped) {
+                        schedule(mNowMs + latency(), () -> once.accept(Either.right(reply)));
                     }
                 });
     }
 
     private void deliver(int from, int to, PeerMessage message, Consumer<PeerMessage> reply) {
-        if (!linked(from, to)) {
+        if (!arePeersConnected(from, to)) {
             return;
         }
-        VmId sender = mNodes.get(from).mId;
-        PeerMessage sent = mMutant.sent(message, mOrder);
-        at(mNowMs + latency(), () -> at(to, () -> handle(to, sender, sent, reply)));
+        VmId sender = mRouters.get(from).mId;
+        PeerMessage sent = mMutant.rewriteMessage(message, mOrder);
+        schedule(mNowMs + latency(), () -> runOn(to, () -> handle(to, sender, sent, reply)));
     }
 
     private void handle(int to, VmId from, PeerMessage message, Consumer<PeerMessage> reply) {
