--- a/router/src/main/java/org/hornbeampass/router/daemon/ControlMetrics.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/ControlMetrics.java
@@ -6,7 +6,7 @@
 import org.hornbeampass.coordination.platform.CallPriority;
 import org.hornbeampass.coordination.platform.PlatformCall;
 import org.hornbeampass.router.serve.FlowRunner;
-import org.hornbeampass.router.upstream.UpstreamNews;
+import org.hornbeampass.router.upstream.LoadPoller;
 import org.hornbeampass.transport.peer.PeerCounters;
 
 import java.util.Locale;
@@ -24,7 +24,7 @@
             MetricRegistry registry,
             Coordination parts,
             PeerCounters peers,
-            UpstreamNews news,
+            LoadPoller news,
             FlowRunner runner) {
         for (PlatformCall.Kind kind : PlatformCall.Kind.values()) {
             for (CallPriority priority : CallPriority.values()) {
--- a/router/src/main/java/org/hornbeampass/router/daemon/GrantLog.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/GrantLog.java
@@ -18,7 +18,7 @@
 
     @Override
     public void onGrant(long nowMs, String organisation, Change change) {
-        mLog.believes(
+        mLog.logStateChange(
                 nowMs,
                 change.after() >= change.before() ? "grant-taken" : "grant-returned",
                 new LogFields()
@@ -32,7 +32,7 @@
 
     @Override
     public void onLoan(long nowMs, String organisation, long tokens) {
-        mLog.believes(
+        mLog.logStateChange(
                 nowMs,
                 "tokens-borrowed",
                 new LogFields().add("organisation", organisation).add("tokens", tokens));
--- a/router/src/main/java/org/hornbeampass/router/daemon/ObservedStore.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/ObservedStore.java
@@ -129,7 +129,7 @@
         if (open.mBytes < LARGE_BYTES) {
             return;
         }
-        mLog.believes(
+        mLog.logStateChange(
                 nowMs,
                 "store-answer-large",
                 new LogFields()
@@ -144,7 +144,7 @@
         }
         mLost = true;
         mLostAtMs = nowMs;
-        mLog.believes(
+        mLog.logStateChange(
                 nowMs,
                 "store-lost",
                 new LogFields()
@@ -159,7 +159,8 @@
             return;
         }
         mLost = false;
-        mLog.believes(nowMs, "store-regained", new LogFields().add("lost_ms", nowMs - mLostAtMs));
+        mLog.logStateChange(
+                nowMs, "store-regained", new LogFields().add("lost_ms", nowMs - mLostAtMs));
         mOnRegained.accept(nowMs);
     }
 
--- a/router/src/main/java/org/hornbeampass/router/daemon/PeerLog.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/PeerLog.java
@@ -39,7 +39,7 @@
     }
 
     private void log(long nowMs, Member member, Optional<MemberState> before) {
-        mLog.believes(
+        mLog.logStateChange(
                 nowMs,
                 "peer-" + text(member.state()),
                 new LogFields()
--- a/router/src/main/java/org/hornbeampass/router/daemon/QuarantineLog.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/QuarantineLog.java
@@ -27,7 +27,7 @@
                 crashes.stream()
                         .map(UpstreamIncarnation::upstream)
                         .collect(Collectors.joining(" "));
-        mLog.believes(
+        mLog.logStateChange(
                 nowMs,
                 "request-quarantined",
                 new LogFields()
@@ -38,12 +38,13 @@
 
     @Override
     public void onReleased(long nowMs, RequestDigest digest) {
-        mLog.believes(nowMs, "request-released", new LogFields().add("digest", digest.toString()));
+        mLog.logStateChange(
+                nowMs, "request-released", new LogFields().add("digest", digest.toString()));
     }
 
     @Override
     public void onRecordFailed(long nowMs, String key, String reason) {
-        mLog.believes(
+        mLog.logStateChange(
                 nowMs,
                 "quarantine-record-failed",
                 new LogFields().add("key", key).add("reason", reason));
--- a/router/src/main/java/org/hornbeampass/router/daemon/RelayDaemon.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/RelayDaemon.java
@@ -29,9 +29,9 @@
 import org.hornbeampass.coordination.service.SignalReport;
 import org.hornbeampass.coordination.service.SignalTable;
 import org.hornbeampass.coordination.service.UpstreamBoard;
+import org.hornbeampass.router.relay.RelayContext;
 import org.hornbeampass.router.relay.RelayHandler;
 import org.hornbeampass.router.relay.RelayLog;
-import org.hornbeampass.router.relay.RelayParts;
 import org.hornbeampass.router.relay.WireFormat;
 import org.hornbeampass.state.VmId;
 import org.hornbeampass.state.service.CallerLimits;
@@ -93,7 +93,7 @@
     private final SignalExchange mSignals;
     private final UpstreamPool mPool;
     private final Quarantine mQuarantine;
-    private final RelayParts mParts;
+    private final RelayContext mParts;
     private final StoreChanges mChanges;
     private final CallerServer mCallers;
     private final CallerServer mDirectory;
@@ -157,8 +157,8 @@
         return new RelayDaemon(settings, wire, platforms);
     }
 
-    private RelayParts parts() {
-        return new RelayParts(
+    private RelayContext parts() {
+        return new RelayContext(
                 mWire,
                 mSettings.relay(),
                 loop(),
--- a/router/src/main/java/org/hornbeampass/router/daemon/RelayShutdown.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/RelayShutdown.java
@@ -1,7 +1,7 @@
 package org.hornbeampass.router.daemon;
 
 import org.hornbeampass.coordination.escrow.EscrowBook;
-import org.hornbeampass.router.relay.RelayParts;
+import org.hornbeampass.router.relay.RelayContext;
 import org.hornbeampass.transport.relay.CallerServer;
 
 import java.util.concurrent.CompletableFuture;
@@ -30,7 +30,7 @@
     private final CallerServer mCallers;
     private final EscrowBook mBudgets;
     private final FleetView mFleet;
-    private final RelayParts mParts;
+    private final RelayContext mParts;
     private final CompletableFuture<Void> mDone = new CompletableFuture<>();
     private boolean mBegun;
     private boolean mStopped;
@@ -42,7 +42,7 @@
             CallerServer callers,
             EscrowBook budgets,
             FleetView fleet,
-            RelayParts parts) {
+            RelayContext parts) {
         mGraceMs = graceMs;
         mCallers = callers;
         mBudgets = budgets;
@@ -76,7 +76,7 @@
         if (sinceMs >= TAKE_MS && !mStopped) {
             mStopped = true;
             mCallers.stopAccepting();
-            mParts.refuseNew();
+            mParts.refuseNewRequests();
             mCallers.closeIdle();
             mBudgets.giveBack(nowMs);
         }
--- a/router/src/main/java/org/hornbeampass/router/daemon/RevisionNews.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/RevisionNews.java
@@ -106,7 +106,7 @@
             return;
         }
         mNewer = Optional.empty();
-        mLog.believes(
+        mLog.logStateChange(
                 nowMs,
                 "view-behind",
                 new LogFields()
--- a/router/src/main/java/org/hornbeampass/router/daemon/RouterDaemon.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/RouterDaemon.java
@@ -13,8 +13,8 @@
 import org.hornbeampass.router.serve.RouterMetrics;
 import org.hornbeampass.router.serve.ServeParts;
 import org.hornbeampass.router.serve.WheelTimers;
-import org.hornbeampass.router.upstream.UpstreamCalls;
-import org.hornbeampass.router.upstream.UpstreamNews;
+import org.hornbeampass.router.upstream.AttemptContext;
+import org.hornbeampass.router.upstream.LoadPoller;
 import org.hornbeampass.state.ErrorKind;
 import org.hornbeampass.state.Failure;
 import org.hornbeampass.state.VmId;
@@ -78,8 +78,8 @@
         mTicks = new TickLoop(mNetwork.control(), clock);
         mTicks.every(TickLoop.OFTEN_MS, mParts::tickOften);
         mTicks.every(TickLoop.SELDOM_MS, mParts::tick);
-        UpstreamNews news =
-                new UpstreamNews(
+        LoadPoller news =
+                new LoadPoller(
                         mParts.table(), mParts.config()::snapshot, mNetwork.platform(), clock);
         mTicks.every(TickLoop.SELDOM_MS, news::tick);
         VmList list =
@@ -141,8 +141,8 @@
     }
 
     private ServeParts serveParts(RouterSettings settings) {
-        UpstreamCalls upstreams =
-                new UpstreamCalls(
+        AttemptContext upstreams =
+                new AttemptContext(
                         mVm,
                         mParts.table(),
                         mParts.chooser(),
--- a/router/src/main/java/org/hornbeampass/router/daemon/SignalLog.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/SignalLog.java
@@ -23,7 +23,7 @@
 
     @Override
     public void onLeaving(long nowMs, UpstreamIncarnation upstream, String toldBy) {
-        mLog.believes(nowMs, "upstream-leaving", fields(upstream).add("told_by", toldBy));
+        mLog.logStateChange(nowMs, "upstream-leaving", fields(upstream).add("told_by", toldBy));
     }
 
     @Override
@@ -33,7 +33,7 @@
                 fields(upstream)
                         .add("per_second", Double.toString(perSecond.orElse(NO_LIMIT)))
                         .add("told_by", toldBy);
-        mLog.believes(nowMs, "upstream-limit", fields);
+        mLog.logStateChange(nowMs, "upstream-limit", fields);
     }
 
     private static LogFields fields(UpstreamIncarnation upstream) {
--- a/router/src/main/java/org/hornbeampass/router/daemon/StoreChanges.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/StoreChanges.java
@@ -5,7 +5,7 @@
 import org.hornbeampass.coordination.service.EntryVerdict;
 import org.hornbeampass.coordination.service.RouteTable;
 import org.hornbeampass.router.relay.LogFields;
-import org.hornbeampass.router.relay.RelayParts;
+import org.hornbeampass.router.relay.RelayContext;
 import org.hornbeampass.state.Failure;
 import org.hornbeampass.state.service.FleetConfig;
 import org.hornbeampass.state.service.UpstreamEntry;
@@ -21,10 +21,10 @@
     /** How long after an outage entries may be missing that will be back, in milliseconds. */
     private static final long AFTER_OUTAGE_MS = 2_500;
 
-    private final RelayParts mParts;
+    private final RelayContext mParts;
     private final WatchedView mUpstreams;
 
-    StoreChanges(RelayParts parts, WatchedView upstreams) {
+    StoreChanges(RelayContext parts, WatchedView upstreams) {
         mParts = parts;
         mUpstreams = upstreams;
     }
@@ -48,13 +48,13 @@
     private void apply(long nowMs, FleetConfig config, long revision) {
         LogFields fields = new LogFields().add("version", config.version());
         if (config.version() < configVersion()) {
-            mParts.log().believes(nowMs, "config-too-old", fields);
+            mParts.log().logStateChange(nowMs, "config-too-old", fields);
             return;
         }
         mParts.setRoutes(new RouteTable(config));
         mParts.budgets().onOrganisations(config.organisations());
         mParts.budgets().tick(nowMs);
-        mParts.log().believes(nowMs, "config-in-force", fields.add("revision", revision));
+        mParts.log().logStateChange(nowMs, "config-in-force", fields.add("revision", revision));
     }
 
     /** Takes a change of an upstream's entry. */
@@ -77,7 +77,7 @@
         boolean afterOutage = mUpstreams.failedWithin(nowMs, AFTER_OUTAGE_MS);
         mParts.board().onRemoved(nowMs, id, afterOutage);
         mParts.log()
-                .believes(
+                .logStateChange(
                         nowMs,
                         "upstream-removed",
                         new LogFields().add("upstream", id).add("after_outage", afterOutage));
@@ -89,7 +89,7 @@
             mParts.pool().forget(entry.address());
         }
         mParts.log()
-                .believes(
+                .logStateChange(
                         nowMs,
                         verdict.taken() ? "upstream-listed" : "upstream-entry-too-old",
                         new LogFields()
@@ -111,7 +111,7 @@
 
     private void notUnderstood(long nowMs, String decision, Change change, Failure failure) {
         mParts.log()
-                .believes(
+                .logStateChange(
                         nowMs,
                         decision,
                         new LogFields()
--- a/router/src/main/java/org/hornbeampass/router/relay/AnswerHead.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/AnswerHead.java
@@ -8,8 +8,8 @@
  *
  * <p>Immutable; safe for use by any thread.
  *
- * @param kind what became of the request
- * @param proven whether it bears what proves that the upstream itself made it
+ * @param outcome what became of the request
+ * @param hasSeal whether it bears what proves that the upstream itself made it
  * @param leaving whether the upstream says that it leaves
  * @param pauseMs for how long the upstream wants nothing from this VM, in milliseconds, where it
  *     says so
@@ -17,8 +17,8 @@
  *     empty where it names no limit
  */
 public record AnswerHead(
-        AnswerClass kind,
-        boolean proven,
+        AnswerOutcome outcome,
+        boolean hasSeal,
         boolean leaving,
         OptionalLong pauseMs,
         OptionalDouble limitPerSecond) {}
--- a/router/src/main/java/org/hornbeampass/router/relay/AnswerClass.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/AnswerOutcome.java
@@ -5,17 +5,17 @@
  *
  * <p>Immutable; safe for use by any thread.
  */
-public enum AnswerClass {
+public enum AnswerOutcome {
     /** The request was run well. */
-    GOOD,
+    SUCCEEDED,
     /** The request was run, and failed. */
     FAILED,
     /** The upstream had no room, and did not run it. */
     NOT_RUN,
     /** Another upstream has this address by now, and did not run it. */
-    ANOTHER_UPSTREAM,
+    WRONG_UPSTREAM,
     /** It claims success but lacks what proves it, and is not passed on. */
-    SPOILED,
+    UNVERIFIED,
     /** It answers another request. */
     UNRELATED
 }
--- a/router/src/main/java/org/hornbeampass/router/relay/AnswerSignals.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/AnswerSignals.java
@@ -29,14 +29,14 @@
      * @param answer the head
      */
     void onAnswer(long nowMs, long askedMs, UpstreamInstance upstream, AnswerHead answer) {
-        if (answer.kind() == AnswerClass.ANOTHER_UPSTREAM) {
+        if (answer.outcome() == AnswerOutcome.WRONG_UPSTREAM) {
             return;
         }
-        boolean current = answer.kind() != AnswerClass.UNRELATED;
+        boolean current = answer.outcome() != AnswerOutcome.UNRELATED;
         if (current && answer.pauseMs().isPresent()) {
             long pauseMs = answer.pauseMs().getAsLong();
             upstream.onPauseAsked(nowMs, pauseMs);
-            mLog.believes(
+            mLog.logStateChange(
                     nowMs,
                     "upstream-pauses",
                     new LogFields().add("upstream", upstream.id()).add("pause_ms", pauseMs));
@@ -47,7 +47,7 @@
 
     /** Only a proven answer tells that there is no limit: refusals and errors may name none. */
     private static RateLimit rateLimit(long nowMs, long askedMs, AnswerHead answer) {
-        boolean tells = answer.limitPerSecond().isPresent() || answer.proven();
+        boolean tells = answer.limitPerSecond().isPresent() || answer.hasSeal();
         return tells ? new RateLimit(answer.limitPerSecond(), askedMs, nowMs) : RateLimit.UNKNOWN;
     }
 }
--- a/router/src/main/java/org/hornbeampass/router/relay/CallerAnswer.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/CallerAnswer.java
@@ -22,7 +22,7 @@
                 new AnswerStream(
                         call.caller(),
                         plan.route().resumable(),
-                        plan.head().resumesAfter().orElse(-1));
+                        plan.head().lastEventId().orElse(-1));
         mHeld = new HeldAnswer(call);
     }
 
--- a/router/src/main/java/org/hornbeampass/router/relay/CallerHead.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/CallerHead.java
@@ -12,15 +12,15 @@
  *
  * @param id names this attempt of the caller; no two attempts share one
  * @param host the host asked for
- * @param budgetMs how long the caller waits, in milliseconds from the head's arrival
- * @param key the key that the caller shows
+ * @param timeoutMs how long the caller waits, in milliseconds from the head's arrival
+ * @param apiKey the key that the caller shows
  * @param prompt what a model reads and may write for it
- * @param resumesAfter the last event that the caller has, where it goes on with a stream
+ * @param lastEventId the last event that the caller has, where it goes on with a stream
  */
 public record CallerHead(
         String id,
         String host,
-        OptionalLong budgetMs,
-        Optional<String> key,
+        OptionalLong timeoutMs,
+        Optional<String> apiKey,
         Prompt prompt,
-        OptionalLong resumesAfter) {}
+        OptionalLong lastEventId) {}
--- a/router/src/main/java/org/hornbeampass/router/relay/CrashDetector.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/CrashDetector.java
@@ -77,7 +77,7 @@
 
     private void report(long nowMs, UpstreamIncarnation crash, Set<RequestDigest> requests) {
         mQuarantine.onCrash(nowMs, crash, requests);
-        mLog.believes(
+        mLog.logStateChange(
                 nowMs,
                 "upstream-crashed",
                 new LogFields()
--- a/router/src/main/java/org/hornbeampass/router/relay/CrashHistory.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/CrashHistory.java
@@ -14,13 +14,13 @@
  * <p>Confined to one event loop.
  */
 final class CrashHistory {
-    private final RelayParts mParts;
+    private final RelayContext mParts;
     private final RequestIdentity mIdentity;
     private final String mRequestId;
     private boolean mTellsItsEnd;
     private boolean mTrial;
 
-    CrashHistory(RelayParts parts, RequestIdentity identity, String requestId) {
+    CrashHistory(RelayContext parts, RequestIdentity identity, String requestId) {
         mParts = parts;
         mIdentity = identity;
         mRequestId = requestId;
--- a/router/src/main/java/org/hornbeampass/router/relay/RelayAttempts.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/RelayAttempts.java
@@ -24,7 +24,7 @@
  * event loop.
  */
 final class RelayAttempts implements UpstreamListener, UpstreamSearch.Listener {
-    private final RelayParts mParts;
+    private final RelayContext mParts;
     private final RelayCall mCall;
     private final RelayPlan mPlan;
     private final RequestBody mBody;
@@ -40,7 +40,7 @@
     private long mFirstByteMs = -1;
 
     RelayAttempts(
-            RelayParts parts,
+            RelayContext parts,
             RelayCall call,
             RelayPlan plan,
             RequestBody body,
@@ -109,17 +109,17 @@
     public boolean onHead(long nowMs, HttpResponse head) {
         AnswerHead said = mParts.wire().readAnswer(head, mPlan.head().id());
         mParts.answerSignals().onAnswer(nowMs, mSentMs, mUse.orElseThrow().instance(), said);
-        AnswerClass answer = said.kind();
-        if (answer == AnswerClass.UNRELATED) {
+        AnswerOutcome answer = said.outcome();
+        if (answer == AnswerOutcome.UNRELATED) {
             decided(nowMs, "unrelated-answer", mUse.get().fields());
             return false;
         }
         mSilence.stop();
-        if (answer == AnswerClass.NOT_RUN || answer == AnswerClass.ANOTHER_UPSTREAM) {
+        if (answer == AnswerOutcome.NOT_RUN || answer == AnswerOutcome.WRONG_UPSTREAM) {
             onNotRun(nowMs, answer);
             return true;
         }
-        if (answer == AnswerClass.SPOILED) {
+        if (answer == AnswerOutcome.UNVERIFIED) {
             mUse.get().instance().onBad(nowMs);
             dropConnectionOnly();
             onLost(nowMs, "its answer lacks what proves it", mCrashes.standing());
@@ -129,15 +129,15 @@
         return true;
     }
 
-    private void onNotRun(long nowMs, AnswerClass answer) {
+    private void onNotRun(long nowMs, AnswerOutcome answer) {
         UpstreamInstance instance = mUse.orElseThrow().instance();
         mCounts.onNotRun(answer);
-        if (answer == AnswerClass.ANOTHER_UPSTREAM) {
+        if (answer == AnswerOutcome.WRONG_UPSTREAM) {
             mParts.board().onMismatch(nowMs, instance);
         } else {
             instance.onFull(nowMs, RelayBounds.FULL_PAUSE_MS);
         }
-        String decision = answer == AnswerClass.NOT_RUN ? "upstream-full" : "upstream-replaced";
+        String decision = answer == AnswerOutcome.NOT_RUN ? "upstream-full" : "upstream-replaced";
         decided(nowMs, decision, mUse.get().fields());
         dropConnection();
         if (mCounts.mayGoOn() && mBody.complete()) {
@@ -147,10 +147,10 @@
         }
     }
 
-    private void onRun(long nowMs, HttpResponse head, AnswerClass answer) {
+    private void onRun(long nowMs, HttpResponse head, AnswerOutcome answer) {
         UpstreamInstance instance = mUse.orElseThrow().instance();
         mCrashes.onHead(head);
-        if (answer == AnswerClass.FAILED) {
+        if (answer == AnswerOutcome.FAILED) {
             instance.onBad(nowMs);
             if (mayRunAgain() && !mAnswer.begun()) {
                 LogFields fields = mUse.get().fields().add("status", head.status().code());
@@ -166,7 +166,7 @@
             mFirstByteMs = nowMs;
         }
         if (mAnswer.begun()) {
-            if (answer != AnswerClass.GOOD) {
+            if (answer != AnswerOutcome.SUCCEEDED) {
                 dropConnection();
                 breakOff(nowMs, "the stream could not go on at another upstream");
                 return;
@@ -177,7 +177,7 @@
         HttpResponse copy =
                 new DefaultHttpResponse(
                         HttpVersion.HTTP_1_1, head.status(), EndToEndHeaders.of(head.headers()));
-        boolean streams = mPlan.route().kind().streams() && answer == AnswerClass.GOOD;
+        boolean streams = mPlan.route().kind().streams() && answer == AnswerOutcome.SUCCEEDED;
         if (streams) {
             mAnswer.startStream(copy);
             mSilence.awaitEvent();
--- a/router/src/main/java/org/hornbeampass/router/relay/RelayCall.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/RelayCall.java
@@ -38,7 +38,7 @@
     /** How much earlier than the caller's own time an answer is given, so that it arrives. */
     private static final long ANSWER_MARGIN_MS = 20;
 
-    private final RelayParts mParts;
+    private final RelayContext mParts;
     private final CallerConnection mCaller;
     private final HttpRequest mRequest;
     private final long mArrivedMs;
@@ -65,7 +65,7 @@
     private Runnable mDeadlineTimer = () -> {};
     private Runnable mGrantTimer = () -> {};
 
-    RelayCall(RelayParts parts, CallerConnection caller, HttpRequest request, long nowMs) {
+    RelayCall(RelayContext parts, CallerConnection caller, HttpRequest request, long nowMs) {
         mParts = parts;
         mCaller = caller;
         mRequest = request;
@@ -118,7 +118,7 @@
         if (mRoute.get().open() || !routes.checksKeys()) {
             return Optional.empty();
         }
-        mOrganisation = mHead.key().flatMap(routes::organisationOf);
+        mOrganisation = mHead.apiKey().flatMap(routes::organisationOf);
         return mOrganisation.isPresent()
                 ? Optional.empty()
                 : Optional.of(
@@ -134,7 +134,7 @@
         if (mService.isEmpty()) {
             return Optional.of(Refusals.noUpstream("the route has no service"));
         }
-        long budgetMs = mHead.budgetMs().orElse(DEFAULT_TIMEOUT_MS) - ANSWER_MARGIN_MS;
+        long budgetMs = mHead.timeoutMs().orElse(DEFAULT_TIMEOUT_MS) - ANSWER_MARGIN_MS;
         mDeadlineMs = nowMs + Math.max(1, Math.min(budgetMs, route.timeoutMs()));
         return Optional.empty();
     }
@@ -290,7 +290,7 @@
 
     /** Returns what identifies the request; its caller is the organisation that pays. */
     private RequestIdentity identity() {
-        String caller = mOrganisation.map(PrepaidOrganisation::name).or(mHead::key).orElse("");
+        String caller = mOrganisation.map(PrepaidOrganisation::name).or(mHead::apiKey).orElse("");
         RequestIdentity identity =
                 new RequestIdentity(mParts.hasher(), mHead.host(), mRequest.uri(), caller, mBody);
         if (mBody.large()) {
--- a/router/src/main/java/org/hornbeampass/router/relay/RelayParts.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/RelayContext.java
@@ -26,7 +26,7 @@
  *
  * <p>Confined to one event loop, but for its construction.
  */
-public final class RelayParts {
+public final class RelayContext {
     private final WireFormat mWire;
     private RelaySettings mSettings;
     private final EventLoop mLoop;
@@ -52,7 +52,7 @@
      * Gathers the parts; {@code vms} tells how many VMs share the fleet's budgets, and {@code
      * mayBeBehind} whether there may be a newer configuration, at a time in milliseconds.
      */
-    public RelayParts(
+    public RelayContext(
             WireFormat wire,
             RelaySettings settings,
             EventLoop loop,
@@ -170,7 +170,7 @@
     }
 
     /** Refuses requests that come from now on. */
-    public void refuseNew() {
+    public void refuseNewRequests() {
         mRefusing = true;
     }
 
--- a/router/src/main/java/org/hornbeampass/router/relay/RelayHandler.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/RelayHandler.java
@@ -12,10 +12,10 @@
  * <p>Confined to one event loop.
  */
 public final class RelayHandler implements CallerHandler {
-    private final RelayParts mParts;
+    private final RelayContext mParts;
 
     /** Makes the handler of one VM. */
-    public RelayHandler(RelayParts parts) {
+    public RelayHandler(RelayContext parts) {
         mParts = parts;
     }
 
--- a/router/src/main/java/org/hornbeampass/router/relay/RelayLog.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/RelayLog.java
@@ -75,7 +75,7 @@
     }
 
     /** Logs a change of what this VM believes. */
-    public void believes(long nowMs, String decision, LogFields inputs) {
+    public void logStateChange(long nowMs, String decision, LogFields inputs) {
         mMetrics.counter("decisions{kind=\"" + decision + "\"}").inc();
         line(nowMs, roomForBelief(nowMs), decision, "", inputs);
     }
--- a/router/src/main/java/org/hornbeampass/router/relay/RelayPlan.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/RelayPlan.java
@@ -57,7 +57,7 @@
             copy.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
         }
         OptionalLong leftMs =
-                head.budgetMs().isPresent()
+                head.timeoutMs().isPresent()
                         ? OptionalLong.of(Math.max(1, deadlineMs - nowMs))
                         : OptionalLong.empty();
         OptionalLong after = lastEvent >= 0 ? OptionalLong.of(lastEvent) : OptionalLong.empty();
--- a/router/src/main/java/org/hornbeampass/router/relay/SendCounts.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/SendCounts.java
@@ -28,9 +28,9 @@
     }
 
     /** Counts the word of an upstream that it did not run the last send. */
-    void onNotRun(AnswerClass answer) {
+    void onNotRun(AnswerOutcome answer) {
         mRuns--;
-        if (answer == AnswerClass.ANOTHER_UPSTREAM) {
+        if (answer == AnswerOutcome.WRONG_UPSTREAM) {
             mMismatches++;
         }
     }
--- a/router/src/main/java/org/hornbeampass/router/relay/UpstreamHead.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/UpstreamHead.java
@@ -11,13 +11,13 @@
  *
  * @param upstreamId the upstream that must run it; any other refuses
  * @param organisation the organisation that pays
- * @param budgetMs how long the caller still waits, in milliseconds
- * @param resumesAfter the last event that the caller has, where this VM goes on with a stream
+ * @param remainingMs how long the caller still waits, in milliseconds
+ * @param lastEventId the last event that the caller has, where this VM goes on with a stream
  * @param urgency how soon an engine should take it up, from 0 for the first to 9
  */
 public record UpstreamHead(
         String upstreamId,
         Optional<String> organisation,
-        OptionalLong budgetMs,
-        OptionalLong resumesAfter,
+        OptionalLong remainingMs,
+        OptionalLong lastEventId,
         OptionalInt urgency) {}
--- a/router/src/main/java/org/hornbeampass/router/relay/UpstreamSearch.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/UpstreamSearch.java
@@ -34,7 +34,7 @@
         void onGivenUp(long nowMs, String why);
     }
 
-    private final RelayParts mParts;
+    private final RelayContext mParts;
     private final RelayCall mCall;
     private final RelayPlan mPlan;
     private final CrashHistory mCrashes;
@@ -56,7 +56,7 @@
      * @param onInstanceEnd hears of the end of an upstream that was found
      */
     UpstreamSearch(
-            RelayParts parts,
+            RelayContext parts,
             RelayCall call,
             RelayPlan plan,
             CrashHistory crashes,
--- a/router/src/main/java/org/hornbeampass/router/serve/FlowRunner.java
+++ b/router/src/main/java/org/hornbeampass/router/serve/FlowRunner.java
@@ -15,8 +15,8 @@
 import org.hornbeampass.router.front.RequestRunner;
 import org.hornbeampass.router.front.ServiceOrder;
 import org.hornbeampass.router.front.ServingConfig;
-import org.hornbeampass.router.upstream.ChatRoute;
-import org.hornbeampass.router.upstream.ServiceRoute;
+import org.hornbeampass.router.upstream.ChatDispatcher;
+import org.hornbeampass.router.upstream.ServiceDispatcher;
 import org.hornbeampass.state.BudgetKey;
 import org.hornbeampass.state.PromptTokens;
 import org.hornbeampass.state.config.WorkKind;
@@ -80,8 +80,8 @@
                         new Deadline(order.plan().deadlineMs()));
         PrefixDigests prefix =
                 PrefixDigests.of(PromptTokens.blockHashes(PromptText.of(request.body())));
-        ChatRoute route =
-                new ChatRoute(
+        ChatDispatcher route =
+                new ChatDispatcher(
                         mParts.upstreams(),
                         order.key().request().value(),
                         query(admitted, prefix),
@@ -108,8 +108,8 @@
                         WorkTarget.service(order.call().service()),
                         1,
                         new Deadline(order.plan().deadlineMs()));
-        ServiceRoute route =
-                new ServiceRoute(
+        ServiceDispatcher route =
+                new ServiceDispatcher(
                         mParts.upstreams(),
                         order.key().request().value(),
                         query(admitted, PrefixDigests.none()),
--- a/router/src/main/java/org/hornbeampass/router/serve/ServeParts.java
+++ b/router/src/main/java/org/hornbeampass/router/serve/ServeParts.java
@@ -4,7 +4,7 @@
 import org.hornbeampass.coordination.limit.OrganisationLimits;
 import org.hornbeampass.coordination.requests.RequestLedger;
 import org.hornbeampass.router.flow.TimerPort;
-import org.hornbeampass.router.upstream.UpstreamCalls;
+import org.hornbeampass.router.upstream.AttemptContext;
 import org.hornbeampass.state.VmId;
 import org.hornbeampass.transport.Clock;
 
@@ -30,7 +30,7 @@
         RequestLedger requests,
         OrganisationLimits limits,
         TargetQueues queues,
-        UpstreamCalls upstreams,
+        AttemptContext upstreams,
         TimerPort timers,
         RouterMetrics metrics,
         Clock clock,
--- a/router/src/main/java/org/hornbeampass/router/upstream/UpstreamCalls.java
+++ b/router/src/main/java/org/hornbeampass/router/upstream/AttemptContext.java
@@ -24,7 +24,7 @@
  * @param clock the present time
  * @param settings times and bounds
  */
-public record UpstreamCalls(
+public record AttemptContext(
         VmId vm,
         UpstreamTable table,
         UpstreamChooser chooser,
--- a/router/src/main/java/org/hornbeampass/router/upstream/ChatRoute.java
+++ b/router/src/main/java/org/hornbeampass/router/upstream/ChatDispatcher.java
@@ -11,7 +11,7 @@
  *
  * <p>Not thread-safe: confined to the request's flow.
  */
-public final class ChatRoute extends UpstreamRoute {
+public final class ChatDispatcher extends UpstreamDispatcher {
     private final byte[] mBody;
     private final boolean mStream;
 
@@ -24,8 +24,8 @@
      * @param body the body that is sent
      * @param stream whether the answer is streamed
      */
-    public ChatRoute(
-            UpstreamCalls calls,
+    public ChatDispatcher(
+            AttemptContext calls,
             String requestId,
             RoutingQuery query,
             byte[] body,
--- a/router/src/main/java/org/hornbeampass/router/upstream/ChatStreamAttempt.java
+++ b/router/src/main/java/org/hornbeampass/router/upstream/ChatStreamAttempt.java
@@ -32,7 +32,7 @@
      * @param resumeOffset the token at which the answer goes on; 0 for its start
      */
     ChatStreamAttempt(
-            UpstreamCalls calls,
+            AttemptContext calls,
             UpstreamChoice choice,
             int number,
             AttemptListener listener,
--- a/router/src/main/java/org/hornbeampass/router/upstream/HttpAttempt.java
+++ b/router/src/main/java/org/hornbeampass/router/upstream/HttpAttempt.java
@@ -29,7 +29,7 @@
 class HttpAttempt implements Attempt, HttpClient.Listener {
     private static final String JSON = "application/json";
 
-    private final UpstreamCalls mCalls;
+    private final AttemptContext mCalls;
     private final UpstreamChoice mChoice;
     private final int mNumber;
     private final AttemptListener mListener;
@@ -46,7 +46,7 @@
     private boolean mFirstSeen;
 
     HttpAttempt(
-            UpstreamCalls calls,
+            AttemptContext calls,
             UpstreamChoice choice,
             int number,
             AttemptListener listener,
@@ -263,7 +263,7 @@
         return mListener;
     }
 
-    final UpstreamCalls calls() {
+    final AttemptContext calls() {
         return mCalls;
     }
 }
--- a/router/src/main/java/org/hornbeampass/router/upstream/UpstreamNews.java
+++ b/router/src/main/java/org/hornbeampass/router/upstream/LoadPoller.java
@@ -24,7 +24,7 @@
  * control costs does not grow with the fleet; each engine is asked at most every {@value
  * #MIN_INTERVAL_MS} ms. Used on the control loop only, but for the counts.
  */
-public final class UpstreamNews {
+public final class LoadPoller {
     /** How many engines are asked in a second; an answer takes about 700 bytes with its request. */
     static final int POLLS_PER_SECOND = 3;
 
@@ -52,7 +52,7 @@
      * @param client sends the questions, on the control loop
      * @param clock the present time
      */
-    public UpstreamNews(
+    public LoadPoller(
             UpstreamTable table, Supplier<ConfigSnapshot> config, HttpClient client, Clock clock) {
         mTable = table;
         mConfig = config;
--- a/router/src/main/java/org/hornbeampass/router/upstream/ServiceAttempt.java
+++ b/router/src/main/java/org/hornbeampass/router/upstream/ServiceAttempt.java
@@ -16,7 +16,7 @@
     private final boolean mRepeatable;
 
     ServiceAttempt(
-            UpstreamCalls calls,
+            AttemptContext calls,
             UpstreamChoice choice,
             int number,
             AttemptListener listener,
--- a/router/src/main/java/org/hornbeampass/router/upstream/ServiceRoute.java
+++ b/router/src/main/java/org/hornbeampass/router/upstream/ServiceDispatcher.java
@@ -10,7 +10,7 @@
  *
  * <p>Not thread-safe: confined to the call's flow.
  */
-public final class ServiceRoute extends UpstreamRoute {
+public final class ServiceDispatcher extends UpstreamDispatcher {
     private final ServiceCall mCall;
     private final boolean mRepeatable;
 
@@ -23,8 +23,8 @@
      * @param call what is sent
      * @param repeatable whether the call may run more than once
      */
-    public ServiceRoute(
-            UpstreamCalls calls,
+    public ServiceDispatcher(
+            AttemptContext calls,
             String requestId,
             RoutingQuery query,
             ServiceCall call,
--- a/router/src/main/java/org/hornbeampass/router/upstream/UpstreamRoute.java
+++ b/router/src/main/java/org/hornbeampass/router/upstream/UpstreamDispatcher.java
@@ -28,10 +28,10 @@
  *
  * <p>Not thread-safe: confined to the request's flow.
  */
-abstract class UpstreamRoute implements UpstreamPort {
+abstract class UpstreamDispatcher implements UpstreamPort {
     private static final String JSON = "application/json";
 
-    private final UpstreamCalls mCalls;
+    private final AttemptContext mCalls;
     private final String mRequestId;
     private final boolean mRepeatable;
     private RoutingQuery mQuery;
@@ -39,7 +39,8 @@
     private boolean mSentBefore;
     private UpstreamId mLast;
 
-    UpstreamRoute(UpstreamCalls calls, String requestId, boolean repeatable, RoutingQuery query) {
+    UpstreamDispatcher(
+            AttemptContext calls, String requestId, boolean repeatable, RoutingQuery query) {
         mCalls = calls;
         mRequestId = requestId;
         mRepeatable = repeatable;
@@ -141,7 +142,7 @@
         return Optional.ofNullable(mLast);
     }
 
-    final UpstreamCalls calls() {
+    final AttemptContext calls() {
         return mCalls;
     }
 }
--- a/router/src/test/java/org/hornbeampass/router/relay/AnswerSignalsTest.java
+++ b/router/src/test/java/org/hornbeampass/router/relay/AnswerSignalsTest.java
@@ -61,7 +61,7 @@
         mUpstream = mBoard.choose(0, SERVICE, Prompt.NONE, Set.of()).orElseThrow().instance();
     }
 
-    private void answer(AnswerClass kind, boolean proven, OptionalDouble limit, long askedMs) {
+    private void answer(AnswerOutcome kind, boolean proven, OptionalDouble limit, long askedMs) {
         mSignals.onAnswer(
                 askedMs + HEARD_MS - ASKED_MS,
                 askedMs,
@@ -70,7 +70,7 @@
     }
 
     private void nameOne() {
-        answer(AnswerClass.GOOD, true, OptionalDouble.of(1), ASKED_MS);
+        answer(AnswerOutcome.SUCCEEDED, true, OptionalDouble.of(1), ASKED_MS);
     }
 
     private OptionalDouble limit() {
@@ -79,34 +79,34 @@
 
     @Test
     void refusalThatNamesALimit_counts() {
-        answer(AnswerClass.NOT_RUN, false, OptionalDouble.of(1), ASKED_MS);
+        answer(AnswerOutcome.NOT_RUN, false, OptionalDouble.of(1), ASKED_MS);
         assertThat(limit()).hasValue(1);
     }
 
     @Test
     void provenAnswerWithoutALimit_endsIt() {
         nameOne();
-        answer(AnswerClass.GOOD, true, OptionalDouble.empty(), HEARD_MS);
+        answer(AnswerOutcome.SUCCEEDED, true, OptionalDouble.empty(), HEARD_MS);
         assertThat(limit()).isEmpty();
     }
 
     @Test
     void refusalsAndErrorsWithoutALimit_doNotEndIt() {
         nameOne();
-        answer(AnswerClass.NOT_RUN, false, OptionalDouble.empty(), HEARD_MS);
-        answer(AnswerClass.GOOD, false, OptionalDouble.empty(), HEARD_MS);
-        answer(AnswerClass.FAILED, false, OptionalDouble.empty(), HEARD_MS);
+        answer(AnswerOutcome.NOT_RUN, false, OptionalDouble.empty(), HEARD_MS);
+        answer(AnswerOutcome.SUCCEEDED, false, OptionalDouble.empty(), HEARD_MS);
+        answer(AnswerOutcome.FAILED, false, OptionalDouble.empty(), HEARD_MS);
         assertThat(limit()).hasValue(1);
     }
 
     @Test
     void answersOfOtherUpstreamsAndToOtherRequests_sayNothing() {
-        answer(AnswerClass.ANOTHER_UPSTREAM, true, OptionalDouble.of(1), ASKED_MS);
-        answer(AnswerClass.UNRELATED, true, OptionalDouble.of(1), ASKED_MS);
+        answer(AnswerOutcome.WRONG_UPSTREAM, true, OptionalDouble.of(1), ASKED_MS);
+        answer(AnswerOutcome.UNRELATED, true, OptionalDouble.of(1), ASKED_MS);
         assertThat(limit()).isEmpty();
     }
 
-    private void answerWithPause(AnswerClass kind) {
+    private void answerWithPause(AnswerOutcome kind) {
         mSignals.onAnswer(
                 HEARD_MS,
                 ASKED_MS,
@@ -117,13 +117,13 @@
 
     @Test
     void lateAnswerToAnotherRequest_asksForNoPause() {
-        answerWithPause(AnswerClass.UNRELATED);
+        answerWithPause(AnswerOutcome.UNRELATED);
         assertThat(mBoard.pauseLeftMs(HEARD_MS, "s")).isEmpty();
     }
 
     @Test
     void refusalOfTheRequest_asksForAPause() {
-        answerWithPause(AnswerClass.NOT_RUN);
+        answerWithPause(AnswerOutcome.NOT_RUN);
         assertThat(mBoard.pauseLeftMs(HEARD_MS, "s")).hasValue(60_000);
     }
 
@@ -134,7 +134,7 @@
                 ASKED_MS,
                 mUpstream,
                 new AnswerHead(
-                        AnswerClass.UNRELATED,
+                        AnswerOutcome.UNRELATED,
                         false,
                         true,
                         OptionalLong.empty(),
--- a/router/src/test/java/org/hornbeampass/router/upstream/HttpAttemptTest.java
+++ b/router/src/test/java/org/hornbeampass/router/upstream/HttpAttemptTest.java
@@ -25,7 +25,7 @@
 
     @Test
     void frozenBeforeFirstToken_isCancelledAndRetriedElsewhere() {
-        ChatRoute route = chat(true);
+        ChatDispatcher route = chat(true);
         start(route, 1, Relayed.NOTHING);
         mWorld.call(0).head();
         mWorld.advance(4_700);
@@ -43,7 +43,7 @@
 
     @Test
     void frozenInStream_isCancelledAndResumedAtExactOffset() {
-        ChatRoute route = chat(true);
+        ChatDispatcher route = chat(true);
         start(route, 1, Relayed.NOTHING);
         mWorld.call(0).head();
         for (int token = 0; token < 3; token++) {
@@ -103,7 +103,7 @@
     void callThatMayNotBeRepeated_isLeftToItsDeadline() {
         ServiceCall call = new ServiceCall("records", "POST", "/", "text/plain", new byte[0]);
         RoutingQuery query = query(WorkTarget.service("records"));
-        ServiceRoute route = new ServiceRoute(mWorld.calls(), "r", query, call, false);
+        ServiceDispatcher route = new ServiceDispatcher(mWorld.calls(), "r", query, call, false);
         route.start(mWorld.nowMs(), 1, Relayed.NOTHING, mWorld.listener());
         mWorld.advance(DEADLINE_MS - 1);
 
@@ -123,13 +123,13 @@
         return outcome == AttemptOutcome.SILENT;
     }
 
-    private Attempt start(ChatRoute route, int number, Relayed relayed) {
+    private Attempt start(ChatDispatcher route, int number, Relayed relayed) {
         return route.start(mWorld.nowMs(), number, relayed, mWorld.listener()).get();
     }
 
-    private ChatRoute chat(boolean stream) {
+    private ChatDispatcher chat(boolean stream) {
         RoutingQuery query = query(WorkTarget.model(UpstreamWorld.MODEL));
-        return new ChatRoute(mWorld.calls(), "r", query, new byte[0], stream);
+        return new ChatDispatcher(mWorld.calls(), "r", query, new byte[0], stream);
     }
 
     private static RoutingQuery query(WorkTarget target) {
--- a/router/src/test/java/org/hornbeampass/router/upstream/UpstreamWorld.java
+++ b/router/src/test/java/org/hornbeampass/router/upstream/UpstreamWorld.java
@@ -43,7 +43,7 @@
     private final List<FakeCall> mCalls = new ArrayList<>();
     private final List<Timer> mTimers = new ArrayList<>();
     private final List<AttemptFault> mFaults = new ArrayList<>();
-    private final UpstreamCalls mShared;
+    private final AttemptContext mShared;
     private long mNowMs;
     private int mChunks;
 
@@ -116,7 +116,7 @@
                                 new UpstreamId("b"), spec("b", Optional.of(MODEL)),
                                 new UpstreamId("s"), spec("s", Optional.empty()))));
         mShared =
-                new UpstreamCalls(
+                new AttemptContext(
                         new VmId("vm-0", 1),
                         table,
                         new UpstreamChooser(table, RoutingPolicy.PREDICTED_WAIT, 1),
@@ -128,7 +128,7 @@
                         UpstreamSettings.defaults());
     }
 
-    UpstreamCalls calls() {
+    AttemptContext calls() {
         return mShared;
     }
 
