--- a/router/src/main/java/org/hornbeampass/router/relay/AnswerStream.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/AnswerStream.java
@@ -19,9 +19,9 @@
     private final CallerConnection mCaller;
     private final boolean mWholeEvents;
     private EventScanner mScanner = new EventScanner();
-    private ByteBuf mTail = Unpooled.EMPTY_BUFFER;
-    private long mEvents;
-    private long mLastId = NONE;
+    private ByteBuf mPartialEvent = Unpooled.EMPTY_BUFFER;
+    private long mEventCount;
+    private long mLastEventId = NONE;
     private boolean mGap;
 
     /**
@@ -29,22 +29,22 @@
      *
      * @param caller gets the events
      * @param wholeEvents whether only whole events are passed on
-     * @param resumesAfter the last event that the caller had before; -1 where none
+     * @param lastEventId the last event that the caller had before; -1 where none
      */
-    AnswerStream(CallerConnection caller, boolean wholeEvents, long resumesAfter) {
+    AnswerStream(CallerConnection caller, boolean wholeEvents, long lastEventId) {
         mCaller = caller;
         mWholeEvents = wholeEvents;
-        mLastId = resumesAfter;
+        mLastEventId = lastEventId;
     }
 
     /** Returns how many whole events were passed on. */
-    long events() {
-        return mEvents;
+    long eventCount() {
+        return mEventCount;
     }
 
     /** Returns the id of the last event that was passed on whole; -1 where there is none. */
-    long lastId() {
-        return mLastId;
+    long lastEventId() {
+        return mLastEventId;
     }
 
     /** Returns whether an upstream left events out, so that the stream can't go on. */
@@ -53,57 +53,58 @@
     }
 
     /** Forgets the part of an event that another upstream will send again. */
-    void restart() {
-        mTail.release();
-        mTail = Unpooled.EMPTY_BUFFER;
+    void discardPartialEvent() {
+        mPartialEvent.release();
+        mPartialEvent = Unpooled.EMPTY_BUFFER;
         mScanner = new EventScanner();
     }
 
     /** Takes bytes of the answer; they are released. */
-    void take(ByteBuf part) {
+    void append(ByteBuf part) {
         if (!mWholeEvents) {
-            mScanner.scan(part, (end, id) -> count(id));
+            mScanner.scan(part, (end, id) -> countEvent(id));
             mCaller.sendPart(new DefaultHttpContent(part));
             return;
         }
-        int before = mTail.readableBytes();
-        ByteBuf whole = before == 0 ? part : Unpooled.wrappedBuffer(mTail, part);
+        int before = mPartialEvent.readableBytes();
+        ByteBuf whole = before == 0 ? part : Unpooled.wrappedBuffer(mPartialEvent, part);
         int offset = whole.readerIndex() + before - part.readerIndex();
-        mScanner.scan(part.duplicate(), (end, id) -> passOn(whole, end + offset, id));
-        mTail = Unpooled.copiedBuffer(whole);
+        mScanner.scan(part.duplicate(), (end, id) -> forward(whole, end + offset, id));
+        mPartialEvent = Unpooled.copiedBuffer(whole);
         whole.release();
     }
 
-    private void passOn(ByteBuf whole, int endIndex, long id) {
+    private void forward(ByteBuf whole, int endIndex, long id) {
         int length = endIndex - whole.readerIndex();
-        boolean repeated = id != NONE && id <= mLastId;
-        mGap |= id != NONE && mLastId != NONE && id > mLastId + 1;
+        boolean repeated = id != NONE && id <= mLastEventId;
+        mGap |= id != NONE && mLastEventId != NONE && id > mLastEventId + 1;
         if (repeated || mGap) {
             whole.skipBytes(length);
             return;
         }
         mCaller.sendPart(new DefaultHttpContent(whole.readRetainedSlice(length)));
-        count(id);
+        countEvent(id);
     }
 
-    private void count(long id) {
-        mEvents++;
+    private void countEvent(long id) {
+        mEventCount++;
         if (id != NONE) {
-            mLastId = id;
+            mLastEventId = id;
         }
     }
 
     /** Passes on what follows the last whole event, at the proper end of the answer. */
     void end() {
-        if (mTail.isReadable()) {
+        if (mPartialEvent.isReadable()) {
             mCaller.sendPart(
-                    new DefaultHttpContent(mTail.readRetainedSlice(mTail.readableBytes())));
+                    new DefaultHttpContent(
+                            mPartialEvent.readRetainedSlice(mPartialEvent.readableBytes())));
         }
         release();
     }
 
     void release() {
-        mTail.release();
-        mTail = Unpooled.EMPTY_BUFFER;
+        mPartialEvent.release();
+        mPartialEvent = Unpooled.EMPTY_BUFFER;
     }
 }
--- a/router/src/main/java/org/hornbeampass/router/relay/HeldAnswer.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/BufferedAnswer.java
@@ -14,16 +14,16 @@
  * <p>Invariant: an answer larger than the bound is passed on as it comes from then on. Confined to
  * one event loop.
  */
-final class HeldAnswer {
-    private static final long MAX_HELD_BYTES = 64 << 10;
+final class BufferedAnswer {
+    private static final long MAX_BUFFERED_BYTES = 64 << 10;
 
     private final RelayCall mCall;
     private final List<ByteBuf> mParts = new ArrayList<>();
     private Optional<HttpResponse> mHead = Optional.empty();
     private long mBytes;
-    private boolean mPassedOn;
+    private boolean mForwarded;
 
-    HeldAnswer(RelayCall call) {
+    BufferedAnswer(RelayCall call) {
         mCall = call;
     }
 
@@ -38,28 +38,28 @@
     }
 
     /** Returns whether the caller has got a part of it. */
-    boolean passedOn() {
-        return mPassedOn;
+    boolean forwarded() {
+        return mForwarded;
     }
 
     /** Takes a part; returns whether the head was written for it. */
-    boolean take(ByteBuf part) {
+    boolean append(ByteBuf part) {
         mParts.add(part);
         mBytes += part.readableBytes();
-        if (mPassedOn || mBytes > MAX_HELD_BYTES) {
-            passOn();
+        if (mForwarded || mBytes > MAX_BUFFERED_BYTES) {
+            forward();
         }
-        return mPassedOn;
+        return mForwarded;
     }
 
     /** Writes what is held; the end is the caller's to write. */
     void end() {
-        passOn();
+        forward();
     }
 
-    private void passOn() {
-        if (!mPassedOn) {
-            mPassedOn = true;
+    private void forward() {
+        if (!mForwarded) {
+            mForwarded = true;
             mCall.sendHead(mHead.orElseThrow());
         }
         mParts.forEach(p -> mCall.caller().sendPart(new DefaultHttpContent(p)));
--- a/router/src/main/java/org/hornbeampass/router/relay/CallerAnswer.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/CallerAnswer.java
@@ -13,8 +13,8 @@
 final class CallerAnswer {
     private final RelayCall mCall;
     private final AnswerStream mStream;
-    private final HeldAnswer mHeld;
-    private boolean mBegun;
+    private final BufferedAnswer mBuffered;
+    private boolean mHeadSent;
 
     CallerAnswer(RelayCall call, RelayPlan plan) {
         mCall = call;
@@ -23,77 +23,77 @@
                         call.caller(),
                         plan.route().resumable(),
                         plan.head().lastEventId().orElse(-1));
-        mHeld = new HeldAnswer(call);
+        mBuffered = new BufferedAnswer(call);
     }
 
     /** Returns whether its head was written. */
-    boolean begun() {
-        return mBegun;
+    boolean headSent() {
+        return mHeadSent;
     }
 
     /** Returns whether the caller gets a stream, whose head was written. */
     boolean streaming() {
-        return mBegun && !mHeld.started();
+        return mHeadSent && !mBuffered.started();
     }
 
     /** Begins a stream. */
     void startStream(HttpResponse head) {
-        mBegun = true;
+        mHeadSent = true;
         mCall.sendHead(head);
     }
 
     /** Begins an answer in one piece. */
-    void startHeld(HttpResponse head) {
-        mHeld.start(head);
+    void startBuffered(HttpResponse head) {
+        mBuffered.start(head);
     }
 
     /** Takes a part; returns whether a stream goes on without gaps. */
-    boolean take(ByteBuf part) {
+    boolean append(ByteBuf part) {
         if (!streaming()) {
-            mBegun |= mHeld.take(part);
+            mHeadSent |= mBuffered.append(part);
             return true;
         }
         if (mCall.callerGone()) {
             part.release();
             return true;
         }
-        mStream.take(part);
+        mStream.append(part);
         return !mStream.hasGap();
     }
 
     /** Writes what is left of it; the end itself is the call's to write. */
     void end() {
-        if (mHeld.started()) {
-            mHeld.end();
+        if (mBuffered.started()) {
+            mBuffered.end();
         } else {
             mStream.end();
         }
     }
 
     /** Returns whether another upstream may answer instead, or go on with the stream. */
-    boolean mayRestart() {
-        return !mHeld.passedOn();
+    boolean canRestart() {
+        return !mBuffered.forwarded();
     }
 
     /** Drops what came of an answer that was lost. */
-    void restart() {
-        mHeld.reset();
-        mStream.restart();
+    void discardUnsent() {
+        mBuffered.reset();
+        mStream.discardPartialEvent();
     }
 
     /** Drops what was not written. */
     void release() {
-        mHeld.release();
+        mBuffered.release();
         mStream.release();
     }
 
     /** Returns how many events of a stream were passed on. */
-    long events() {
-        return mStream.events();
+    long eventCount() {
+        return mStream.eventCount();
     }
 
     /** Returns after which event of a stream another upstream would go on; -1 where none. */
-    long lastId() {
-        return mStream.lastId();
+    long lastEventId() {
+        return mStream.lastEventId();
     }
 }
--- a/router/src/main/java/org/hornbeampass/router/relay/CrashDetector.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/CrashDetector.java
@@ -25,7 +25,7 @@
     private final Clock mClock;
     private final RelayLog mLog;
     private final Quarantine mQuarantine;
-    private final Map<UpstreamIncarnation, Set<RequestDigest>> mProbed = new HashMap<>();
+    private final Map<UpstreamIncarnation, Set<RequestDigest>> mPendingProbes = new HashMap<>();
 
     CrashDetector(UpstreamPool pool, Clock clock, RelayLog log, Quarantine quarantine) {
         mPool = pool;
@@ -41,27 +41,27 @@
      * @param instance the upstream
      * @param digest the request
      */
-    void onBroken(UpstreamInstance instance, RequestDigest digest) {
+    void onConnectionLost(UpstreamInstance instance, RequestDigest digest) {
         if (instance.leaving()) {
             return;
         }
-        UpstreamIncarnation crash = instance.incarnation();
-        Set<RequestDigest> waiting = mProbed.get(crash);
-        if (waiting != null) {
-            waiting.add(digest);
+        UpstreamIncarnation incarnation = instance.incarnation();
+        Set<RequestDigest> pending = mPendingProbes.get(incarnation);
+        if (pending != null) {
+            pending.add(digest);
             return;
         }
-        mProbed.put(crash, new LinkedHashSet<>(Set.of(digest)));
+        mPendingProbes.put(incarnation, new LinkedHashSet<>(Set.of(digest)));
         mPool.probe(
                 instance.entry().address(),
                 RelayBounds.CONNECT_TIMEOUT_MS,
-                listens -> onProbed(crash, listens));
+                listens -> onProbed(incarnation, listens));
     }
 
-    private void onProbed(UpstreamIncarnation crash, boolean listens) {
-        Set<RequestDigest> requests = mProbed.remove(crash);
-        if (!listens) {
-            report(mClock.nowMs(), crash, requests);
+    private void onProbed(UpstreamIncarnation incarnation, boolean listening) {
+        Set<RequestDigest> requests = mPendingProbes.remove(incarnation);
+        if (!listening) {
+            report(mClock.nowMs(), incarnation, requests);
         }
     }
 
@@ -69,20 +69,20 @@
      * Records a crash of an upstream whose entry tells a later start while a request was in
      * progress there.
      */
-    void onStartedAgain(long nowMs, UpstreamInstance instance, RequestDigest digest) {
+    void onRestarted(long nowMs, UpstreamInstance instance, RequestDigest digest) {
         if (!instance.leaving()) {
             report(nowMs, instance.incarnation(), Set.of(digest));
         }
     }
 
-    private void report(long nowMs, UpstreamIncarnation crash, Set<RequestDigest> requests) {
-        mQuarantine.onCrash(nowMs, crash, requests);
+    private void report(long nowMs, UpstreamIncarnation incarnation, Set<RequestDigest> requests) {
+        mQuarantine.onCrash(nowMs, incarnation, requests);
         mLog.logStateChange(
                 nowMs,
                 "upstream-crashed",
                 new LogFields()
-                        .add("upstream", crash.upstream())
-                        .add("born_ms", crash.bornMs())
+                        .add("upstream", incarnation.upstream())
+                        .add("born_ms", incarnation.bornMs())
                         .add("requests", requests.size()));
     }
 }
--- a/router/src/main/java/org/hornbeampass/router/relay/CrashHistory.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/CrashHistory.java
@@ -14,14 +14,14 @@
  * <p>Confined to one event loop.
  */
 final class CrashHistory {
-    private final RelayContext mParts;
+    private final RelayContext mContext;
     private final RequestIdentity mIdentity;
     private final String mRequestId;
-    private boolean mTellsItsEnd;
+    private boolean mDelimited;
     private boolean mTrial;
 
-    CrashHistory(RelayContext parts, RequestIdentity identity, String requestId) {
-        mParts = parts;
+    CrashHistory(RelayContext context, RequestIdentity identity, String requestId) {
+        mContext = context;
         mIdentity = identity;
         mRequestId = requestId;
     }
@@ -32,53 +32,52 @@
 
     /** Returns the verdict on the request as of now. */
     RequestStanding standing() {
-        return mIdentity.standing(mParts.quarantine().suspects());
+        return mIdentity.standing(mContext.quarantine().suspects());
     }
 
     /** Takes the loss of the request's connection; returns the verdict before it. */
-    RequestStanding onBroken(UpstreamInstance instance) {
+    RequestStanding onConnectionLost(UpstreamInstance instance) {
         RequestStanding before = standing();
-        mParts.crashes().onBroken(instance, digest());
+        mContext.crashDetector().onConnectionLost(instance, digest());
         return before;
     }
 
     /** Records that the request's upstream has started again; returns the verdict before it. */
-    RequestStanding onStartedAgain(long nowMs, UpstreamInstance instance) {
+    RequestStanding onUpstreamRestarted(long nowMs, UpstreamInstance instance) {
         RequestStanding before = standing();
-        mParts.crashes().onStartedAgain(nowMs, instance, digest());
+        mContext.crashDetector().onRestarted(nowMs, instance, digest());
         return before;
     }
 
     /** Returns whether the request may go to an upstream as of now, be it as a trial. */
     boolean mayBeSent(long nowMs) {
-        return standing().mayBeSent() || mParts.quarantine().trialDue(nowMs, digest());
+        return standing().mayBeSent() || mContext.quarantine().trialDue(nowMs, digest());
     }
 
     /** Returns whether the request may go out at this moment; a trial is counted and logged. */
-    boolean takeSend(long nowMs) {
+    boolean tryBeginSend(long nowMs) {
         if (standing().mayBeSent()) {
             return true;
         }
-        mTrial = mParts.quarantine().takeTrial(nowMs, digest());
+        mTrial = mContext.quarantine().takeTrial(nowMs, digest());
         if (mTrial) {
             LogFields fields = new LogFields().add("digest", digest().toString());
-            mParts.log().decided(nowMs, mRequestId, "quarantine-trial", fields);
+            mContext.log().logDecision(nowMs, mRequestId, "quarantine-trial", fields);
         }
         return mTrial;
     }
 
     /** The request has left its upstream; what that told is known. */
-    void onLeft(long nowMs) {
+    void onSendEnded(long nowMs) {
         if (mTrial) {
             mTrial = false;
-            mParts.quarantine().endTrial(nowMs, digest());
+            mContext.quarantine().endTrial(nowMs, digest());
         }
     }
 
     /** Takes the head of an answer to the request. */
-    void onHead(HttpResponse head) {
-        mTellsItsEnd =
-                HttpUtil.isContentLengthSet(head) || HttpUtil.isTransferEncodingChunked(head);
+    void onAnswerHead(HttpResponse head) {
+        mDelimited = HttpUtil.isContentLengthSet(head) || HttpUtil.isTransferEncodingChunked(head);
     }
 
     /**
@@ -86,10 +85,10 @@
      * tell its end, the end of the connection may be a crash.
      */
     void onAnswered(long nowMs, UpstreamInstance instance) {
-        if (!mTellsItsEnd) {
-            mParts.crashes().onBroken(instance, digest());
+        if (!mDelimited) {
+            mContext.crashDetector().onConnectionLost(instance, digest());
         } else if (standing() != RequestStanding.UNSUSPECTED) {
-            mParts.quarantine().clear(nowMs, digest());
+            mContext.quarantine().clear(nowMs, digest());
         }
     }
 }
--- a/router/src/main/java/org/hornbeampass/router/relay/EndToEndHeaders.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/EndToEndHeaders.java
@@ -15,7 +15,7 @@
  * <p>Stateless; safe for use by any thread.
  */
 final class EndToEndHeaders {
-    private static final Set<String> OF_THE_CONNECTION =
+    private static final Set<String> HOP_BY_HOP =
             Set.of(
                     "connection",
                     "keep-alive",
@@ -34,17 +34,17 @@
     static HttpHeaders of(HttpHeaders headers) {
         HttpHeaders copy =
                 DefaultHttpHeadersFactory.headersFactory().withValidation(false).newHeaders();
-        List<String> named = headers.getAll(HttpHeaderNames.CONNECTION);
+        List<String> listed = headers.getAll(HttpHeaderNames.CONNECTION);
         for (Map.Entry<String, String> entry : headers) {
             String name = entry.getKey().toLowerCase(Locale.ROOT);
-            if (!OF_THE_CONNECTION.contains(name) && !isNamed(named, name)) {
+            if (!HOP_BY_HOP.contains(name) && !isListed(listed, name)) {
                 copy.add(entry.getKey(), entry.getValue());
             }
         }
         return copy;
     }
 
-    private static boolean isNamed(List<String> connection, String name) {
+    private static boolean isListed(List<String> connection, String name) {
         for (String value : connection) {
             for (String each : value.split(",", -1)) {
                 if (each.strip().equalsIgnoreCase(name)) {
--- a/router/src/main/java/org/hornbeampass/router/relay/InstanceUse.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/InFlightSend.java
@@ -10,14 +10,14 @@
  * <p>Invariant: what was counted at the start is taken back once, at the end at the latest.
  * Confined to one event loop.
  */
-final class InstanceUse implements IncarnationListener {
+final class InFlightSend implements IncarnationListener {
     private final UpstreamInstance mInstance;
     private final long mTokensToRead;
     private final IncarnationListener mOnInstanceEnd;
     private boolean mPromptRead;
-    private boolean mLeft;
+    private boolean mReleased;
 
-    InstanceUse(UpstreamChoice choice, IncarnationListener onInstanceEnd) {
+    InFlightSend(UpstreamChoice choice, IncarnationListener onInstanceEnd) {
         mInstance = choice.instance();
         mTokensToRead = choice.tokensToRead();
         mOnInstanceEnd = onInstanceEnd;
@@ -29,7 +29,7 @@
     }
 
     /** Takes the first part of an answer as evidence. */
-    void onAnswering(long nowMs, long sentMs) {
+    void onAnswerPart(long nowMs, long sentMs) {
         if (!mPromptRead) {
             mPromptRead = true;
             mInstance.onPromptRead(mTokensToRead);
@@ -42,11 +42,11 @@
         return mTokensToRead;
     }
 
-    void leave() {
-        if (mLeft) {
+    void release() {
+        if (mReleased) {
             return;
         }
-        mLeft = true;
+        mReleased = true;
         if (!mPromptRead) {
             mInstance.onPromptRead(mTokensToRead);
         }
--- a/router/src/main/java/org/hornbeampass/router/relay/LogFields.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/LogFields.java
@@ -13,7 +13,7 @@
 
     /** Adds a text. */
     public LogFields add(String name, String value) {
-        name(name).append('"');
+        appendName(name).append('"');
         JsonStringEncoder.getInstance().quoteAsString(value, mText);
         mText.append('"');
         return this;
@@ -21,20 +21,20 @@
 
     /** Adds a number. */
     public LogFields add(String name, long value) {
-        name(name).append(value);
+        appendName(name).append(value);
         return this;
     }
 
     /** Adds a truth value. */
     public LogFields add(String name, boolean value) {
-        name(name).append(value);
+        appendName(name).append(value);
         return this;
     }
 
     /** Adds all fields of another. */
     public LogFields addAll(LogFields other) {
         if (!other.isEmpty()) {
-            separate();
+            appendSeparator();
             mText.append(other.mText);
         }
         return this;
@@ -44,12 +44,12 @@
         return mText.length() == 0;
     }
 
-    private StringBuilder name(String name) {
-        separate();
+    private StringBuilder appendName(String name) {
+        appendSeparator();
         return mText.append('"').append(name).append("\":");
     }
 
-    private void separate() {
+    private void appendSeparator() {
         if (!isEmpty()) {
             mText.append(',');
         }
--- a/router/src/main/java/org/hornbeampass/router/relay/Refusals.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/Refusals.java
@@ -12,65 +12,65 @@
  */
 final class Refusals {
     /** Why a request is kept from upstreams, for its caller. */
-    static final String QUARANTINED =
+    static final String QUARANTINED_MESSAGE =
             "upstreams crashed each time that they ran this request, so it is kept from the others";
 
     /** When a caller may come back for tokens: after the next exchange with the store. */
-    private static final long TOKENS_RETRY_MS = 200;
+    private static final long STORE_EXCHANGE_RETRY_MS = 200;
 
     /**
      * When a caller may come back for tokens while the store can't be reached; one that comes back
      * during the same cut is refused again.
      */
-    private static final long CUT_RETRY_MS = 2_500;
+    private static final long STORE_UNREACHABLE_RETRY_MS = 2_500;
 
     /**
      * When a caller may come back where the store is reached, but neither it nor other VMs have the
      * tokens: once requests in progress have ended and given back what they did not use.
      */
-    private static final long SCARCE_RETRY_MS = 1_500;
+    private static final long TOKENS_IN_USE_RETRY_MS = 1_500;
 
     /** When a caller may come back where no upstream has room. */
-    private static final long ROOM_RETRY_MS = 250;
+    private static final long NO_UPSTREAM_RETRY_MS = 250;
 
     /** When a caller may come back to a VM that knows no configuration yet, or not the newest. */
-    private static final long START_RETRY_MS = 300;
+    private static final long CONFIGURATION_RETRY_MS = 300;
 
     /** Over what time callers come back once an upstream's rate limit allows a request again. */
-    private static final long RATE_SPREAD_MS = 500;
+    private static final long RATE_LIMIT_JITTER_MS = 500;
 
     private Refusals() {}
 
     /** What is known of the tokens that a request lacks. */
-    enum Lack {
+    enum TokenShortage {
         /** The store can't be reached, nor anything that it holds. */
-        STORE_UNREACHABLE(CUT_RETRY_MS),
+        STORE_UNREACHABLE(STORE_UNREACHABLE_RETRY_MS),
 
         /** The store may hold more. */
-        STORE_MAY_HAVE_MORE(TOKENS_RETRY_MS),
+        STORE_MAY_HAVE_MORE(STORE_EXCHANGE_RETRY_MS),
 
         /** Requests in progress hold what is left. */
-        SCARCE(SCARCE_RETRY_MS);
+        TOKENS_IN_USE(TOKENS_IN_USE_RETRY_MS);
 
         private final long mRetryMs;
 
-        Lack(long retryMs) {
+        TokenShortage(long retryMs) {
             mRetryMs = retryMs;
         }
     }
 
     /** No configuration is known here yet. */
-    static Failure withoutConfiguration() {
-        return behind("no configuration is known here yet; try again or elsewhere");
+    static Failure noConfiguration() {
+        return notReady("no configuration is known here yet; try again or elsewhere");
     }
 
     /** The configuration known here lacks something, and may not be the newest. */
-    static Failure unknownHere(String lack) {
-        return behind(lack + " as far as is known here; try again or elsewhere");
+    static Failure missingHere(String missing) {
+        return notReady(missing + " as far as is known here; try again or elsewhere");
     }
 
-    private static Failure behind(String why) {
-        return Failure.retryAfter(ErrorKind.NOT_READY, why, START_RETRY_MS);
+    private static Failure notReady(String why) {
+        return Failure.retryAfter(ErrorKind.NOT_READY, why, CONFIGURATION_RETRY_MS);
     }
 
     /** This router ends. */
@@ -87,11 +87,11 @@
     }
 
     /** The organisation has tokens left, but too few here. */
-    static Failure tooFewTokens(Lack lack) {
+    static Failure tooFewTokens(TokenShortage shortage) {
         return Failure.retryAfter(
                 ErrorKind.BUDGET_UNREACHABLE,
                 "this router holds too few tokens now; try again or elsewhere",
-                lack.mRetryMs);
+                shortage.mRetryMs);
     }
 
     /**
@@ -102,13 +102,13 @@
     static Failure quarantined(long retryAfterMs) {
         return Failure.retryAfter(
                 ErrorKind.REQUEST_QUARANTINED,
-                QUARANTINED + "; repeating it is of no use before then",
+                QUARANTINED_MESSAGE + "; repeating it is of no use before then",
                 retryAfterMs);
     }
 
     /** No upstream could take the request. */
     static Failure noUpstream(String why) {
-        return Failure.retryAfter(ErrorKind.NO_UPSTREAM, why, ROOM_RETRY_MS);
+        return Failure.retryAfter(ErrorKind.NO_UPSTREAM, why, NO_UPSTREAM_RETRY_MS);
     }
 
     /**
@@ -116,7 +116,7 @@
      *
      * @param pauseLeftMs for how long the shortest one lasts still, in milliseconds
      */
-    static Failure upstreamsPause(long pauseLeftMs) {
+    static Failure upstreamsPaused(long pauseLeftMs) {
         return Failure.retryAfter(
                 ErrorKind.NO_UPSTREAM, "all upstreams have asked for a pause", pauseLeftMs);
     }
@@ -131,6 +131,6 @@
         return Failure.retryAfter(
                 ErrorKind.NO_UPSTREAM,
                 "all upstreams have got as many requests as they take now",
-                leftMs + random.nextLong(RATE_SPREAD_MS));
+                leftMs + random.nextLong(RATE_LIMIT_JITTER_MS));
     }
 }
--- a/router/src/main/java/org/hornbeampass/router/relay/RelayAttempts.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/RelayAttempts.java
@@ -24,57 +24,58 @@
  * event loop.
  */
 final class RelayAttempts implements UpstreamListener, UpstreamSearch.Listener {
-    private final RelayContext mParts;
+    private final RelayContext mContext;
     private final RelayCall mCall;
     private final RelayPlan mPlan;
     private final RequestBody mBody;
     private final CrashHistory mCrashes;
     private final CallerAnswer mAnswer;
     private final SendCounts mCounts;
-    private final SilenceWatch mSilence;
+    private final SilenceTimeout mSilenceTimeout;
     private final UpstreamSearch mSearch;
-    private Optional<InstanceUse> mUse = Optional.empty();
+    private Optional<InFlightSend> mSend = Optional.empty();
     private Optional<UpstreamConnection> mConnection = Optional.empty();
     private boolean mBodySent;
     private long mSentMs;
     private long mFirstByteMs = -1;
 
     RelayAttempts(
-            RelayContext parts,
+            RelayContext context,
             RelayCall call,
             RelayPlan plan,
             RequestBody body,
             CrashHistory crashes) {
-        mParts = parts;
+        mContext = context;
         mCall = call;
         mPlan = plan;
         mBody = body;
         mCrashes = crashes;
         mAnswer = new CallerAnswer(call, plan);
         mCounts = new SendCounts(plan.route());
-        mSilence = new SilenceWatch(call, plan.route(), this::onSilent);
+        mSilenceTimeout = new SilenceTimeout(call, plan.route(), this::onSilent);
         mSearch =
                 new UpstreamSearch(
-                        parts, call, plan, crashes, mCounts, this, this::onInstanceEnded);
+                        context, call, plan, crashes, mCounts, this, this::onInstanceEnded);
     }
 
     /** Sends the request to an upstream that it was not sent to yet. */
-    void attempt(long nowMs) {
+    void startAttempt(long nowMs) {
         mSearch.start(nowMs);
     }
 
     @Override
-    public void onFound(long nowMs, InstanceUse use, UpstreamConnection connection) {
-        mUse = Optional.of(use);
+    public void onFound(long nowMs, InFlightSend send, UpstreamConnection connection) {
+        mSend = Optional.of(send);
         mConnection = Optional.of(connection);
         if (mCounts.onSent()) {
-            mParts.countFirst(nowMs, mPlan.service().name());
+            mContext.countFirstSend(nowMs, mPlan.service().name());
         }
         mSentMs = nowMs;
         mBodySent = false;
-        connection.start(mPlan.upstreamHead(nowMs, mParts.wire(), use, mAnswer.lastId()), this);
+        connection.start(
+                mPlan.upstreamHead(nowMs, mContext.wire(), send, mAnswer.lastEventId()), this);
         sendBody();
-        mSilence.awaitAnswer();
+        mSilenceTimeout.startForAnswer();
     }
 
     /** Sends what has come of the body. */
@@ -86,10 +87,10 @@
 
     private void sendBody() {
         UpstreamConnection connection = mConnection.orElseThrow();
-        for (ByteBuf part : mBody.take()) {
+        for (ByteBuf part : mBody.takeParts()) {
             connection.sendPart(part);
         }
-        if (mBody.whole()) {
+        if (mBody.fullyReceived()) {
             mBodySent = true;
             connection.sendEnd();
             return;
@@ -107,57 +108,57 @@
 
     @Override
     public boolean onHead(long nowMs, HttpResponse head) {
-        AnswerHead said = mParts.wire().readAnswer(head, mPlan.head().id());
-        mParts.answerSignals().onAnswer(nowMs, mSentMs, mUse.orElseThrow().instance(), said);
-        AnswerOutcome answer = said.outcome();
-        if (answer == AnswerOutcome.UNRELATED) {
-            decided(nowMs, "unrelated-answer", mUse.get().fields());
+        AnswerHead answer = mContext.wire().readAnswer(head, mPlan.head().id());
+        mContext.answerSignals().onAnswer(nowMs, mSentMs, mSend.orElseThrow().instance(), answer);
+        AnswerOutcome outcome = answer.outcome();
+        if (outcome == AnswerOutcome.UNRELATED) {
+            logDecision(nowMs, "unrelated-answer", mSend.get().fields());
             return false;
         }
-        mSilence.stop();
-        if (answer == AnswerOutcome.NOT_RUN || answer == AnswerOutcome.WRONG_UPSTREAM) {
-            onNotRun(nowMs, answer);
+        mSilenceTimeout.stop();
+        if (outcome == AnswerOutcome.NOT_RUN || outcome == AnswerOutcome.WRONG_UPSTREAM) {
+            onNotRun(nowMs, outcome);
             return true;
         }
-        if (answer == AnswerOutcome.UNVERIFIED) {
-            mUse.get().instance().onBad(nowMs);
-            dropConnectionOnly();
-            onLost(nowMs, "its answer lacks what proves it", mCrashes.standing());
+        if (outcome == AnswerOutcome.UNVERIFIED) {
+            mSend.get().instance().onBad(nowMs);
+            cancelConnection();
+            onAttemptLost(nowMs, "its answer lacks what proves it", mCrashes.standing());
             return true;
         }
-        onRun(nowMs, head, answer);
+        onProcessed(nowMs, head, outcome);
         return true;
     }
 
-    private void onNotRun(long nowMs, AnswerOutcome answer) {
-        UpstreamInstance instance = mUse.orElseThrow().instance();
-        mCounts.onNotRun(answer);
-        if (answer == AnswerOutcome.WRONG_UPSTREAM) {
-            mParts.board().onMismatch(nowMs, instance);
+    private void onNotRun(long nowMs, AnswerOutcome outcome) {
+        UpstreamInstance instance = mSend.orElseThrow().instance();
+        mCounts.onNotRun(outcome);
+        if (outcome == AnswerOutcome.WRONG_UPSTREAM) {
+            mContext.board().onMismatch(nowMs, instance);
         } else {
             instance.onFull(nowMs, RelayBounds.FULL_PAUSE_MS);
         }
-        String decision = answer == AnswerOutcome.NOT_RUN ? "upstream-full" : "upstream-replaced";
-        decided(nowMs, decision, mUse.get().fields());
-        dropConnection();
-        if (mCounts.mayGoOn() && mBody.complete()) {
-            attempt(nowMs);
+        String decision = outcome == AnswerOutcome.NOT_RUN ? "upstream-full" : "upstream-replaced";
+        logDecision(nowMs, decision, mSend.get().fields());
+        abandonSend();
+        if (mCounts.mayResend() && mBody.replayable()) {
+            startAttempt(nowMs);
         } else {
             giveUp(nowMs, "the upstreams have no room now");
         }
     }
 
-    private void onRun(long nowMs, HttpResponse head, AnswerOutcome answer) {
-        UpstreamInstance instance = mUse.orElseThrow().instance();
-        mCrashes.onHead(head);
-        if (answer == AnswerOutcome.FAILED) {
+    private void onProcessed(long nowMs, HttpResponse head, AnswerOutcome outcome) {
+        UpstreamInstance instance = mSend.orElseThrow().instance();
+        mCrashes.onAnswerHead(head);
+        if (outcome == AnswerOutcome.FAILED) {
             instance.onBad(nowMs);
-            if (mayRunAgain() && !mAnswer.begun()) {
-                LogFields fields = mUse.get().fields().add("status", head.status().code());
-                decided(nowMs, "upstream-failed", fields);
-                if (mSearch.anyLeft(nowMs)) {
-                    dropConnection();
-                    attempt(nowMs);
+            if (mayRetry() && !mAnswer.headSent()) {
+                LogFields fields = mSend.get().fields().add("status", head.status().code());
+                logDecision(nowMs, "upstream-failed", fields);
+                if (mSearch.hasUntriedUpstream(nowMs)) {
+                    abandonSend();
+                    startAttempt(nowMs);
                     return;
                 }
             }
@@ -165,31 +166,31 @@
         if (mFirstByteMs < 0) {
             mFirstByteMs = nowMs;
         }
-        if (mAnswer.begun()) {
-            if (answer != AnswerOutcome.SUCCEEDED) {
-                dropConnection();
-                breakOff(nowMs, "the stream could not go on at another upstream");
+        if (mAnswer.headSent()) {
+            if (outcome != AnswerOutcome.SUCCEEDED) {
+                abandonSend();
+                abortAnswer(nowMs, "the stream could not go on at another upstream");
                 return;
             }
-            mSilence.awaitEvent();
+            mSilenceTimeout.startForEvent();
             return;
         }
         HttpResponse copy =
                 new DefaultHttpResponse(
                         HttpVersion.HTTP_1_1, head.status(), EndToEndHeaders.of(head.headers()));
-        boolean streams = mPlan.route().kind().streams() && answer == AnswerOutcome.SUCCEEDED;
+        boolean streams = mPlan.route().kind().streams() && outcome == AnswerOutcome.SUCCEEDED;
         if (streams) {
             mAnswer.startStream(copy);
-            mSilence.awaitEvent();
+            mSilenceTimeout.startForEvent();
         } else {
-            mAnswer.startHeld(copy);
+            mAnswer.startBuffered(copy);
         }
     }
 
-    private boolean mayRunAgain() {
+    private boolean mayRetry() {
         return mPlan.route().mayRunAgain()
-                && mCounts.attemptsLeft()
-                && mBody.complete()
+                && mCounts.hasAttemptsLeft()
+                && mBody.replayable()
                 && !mCall.callerGone();
     }
 
@@ -199,11 +200,11 @@
             part.release();
             return;
         }
-        mUse.orElseThrow().onAnswering(nowMs, mSentMs);
-        boolean goesOn = mAnswer.take(part);
-        if (!goesOn) {
-            dropConnection();
-            breakOff(nowMs, "an upstream left events out");
+        mSend.orElseThrow().onAnswerPart(nowMs, mSentMs);
+        boolean continuous = mAnswer.append(part);
+        if (!continuous) {
+            abandonSend();
+            abortAnswer(nowMs, "an upstream left events out");
         }
     }
 
@@ -217,7 +218,7 @@
             mConnection.get().reading(false);
         }
         if (mAnswer.streaming()) {
-            mSilence.awaitEvent();
+            mSilenceTimeout.startForEvent();
         }
     }
 
@@ -231,11 +232,11 @@
         if (mCall.ended()) {
             return;
         }
-        mUse.orElseThrow().onAnswering(nowMs, mSentMs);
+        mSend.orElseThrow().onAnswerPart(nowMs, mSentMs);
         mConnection = Optional.empty();
-        mCrashes.onAnswered(nowMs, mUse.orElseThrow().instance());
-        leaveInstance();
-        mSilence.stop();
+        mCrashes.onAnswered(nowMs, mSend.orElseThrow().instance());
+        releaseSend();
+        mSilenceTimeout.stop();
         if (mCall.callerGone()) {
             mAnswer.release();
             mCall.end(nowMs, "caller-gone", usedTokens());
@@ -252,10 +253,10 @@
             return;
         }
         mConnection = Optional.empty();
-        UpstreamInstance instance = mUse.orElseThrow().instance();
+        UpstreamInstance instance = mSend.orElseThrow().instance();
         instance.onSilent(nowMs);
-        RequestStanding before = mCrashes.onBroken(instance);
-        onLost(nowMs, reason, before);
+        RequestStanding before = mCrashes.onConnectionLost(instance);
+        onAttemptLost(nowMs, reason, before);
     }
 
     /** The upstream has started again: what was sent to its former incarnation is lost. */
@@ -263,9 +264,10 @@
         if (mCall.ended() || mConnection.isEmpty()) {
             return;
         }
-        dropConnectionOnly();
-        RequestStanding before = mCrashes.onStartedAgain(nowMs, mUse.orElseThrow().instance());
-        onLost(nowMs, "the upstream has started again", before);
+        cancelConnection();
+        RequestStanding before =
+                mCrashes.onUpstreamRestarted(nowMs, mSend.orElseThrow().instance());
+        onAttemptLost(nowMs, "the upstream has started again", before);
     }
 
     /**
@@ -275,21 +277,21 @@
      * @param reason what happened, for logs
      * @param before the verdict on the request before this loss
      */
-    private void onLost(long nowMs, String reason, RequestStanding before) {
-        LogFields fields = mUse.map(InstanceUse::fields).orElseGet(LogFields::new);
+    private void onAttemptLost(long nowMs, String reason, RequestStanding before) {
+        LogFields fields = mSend.map(InFlightSend::fields).orElseGet(LogFields::new);
         fields.add("reason", reason)
-                .add("events", mAnswer.events())
+                .add("events", mAnswer.eventCount())
                 .add("digest", mCrashes.digest().toString());
-        decided(nowMs, "upstream-lost", fields);
-        leaveInstance();
-        mSilence.stop();
+        logDecision(nowMs, "upstream-lost", fields);
+        releaseSend();
+        mSilenceTimeout.stop();
         if (mCall.callerGone()) {
             mCall.end(nowMs, "caller-gone", usedTokens());
             return;
         }
-        if (mayRunAgain() && before.mayBeSentAgain() && mAnswer.mayRestart()) {
-            mAnswer.restart();
-            attempt(nowMs);
+        if (mayRetry() && before.mayBeSentAgain() && mAnswer.canRestart()) {
+            mAnswer.discardUnsent();
+            startAttempt(nowMs);
             return;
         }
         giveUp(nowMs, "the upstream was lost");
@@ -297,22 +299,22 @@
 
     /** An upstream says nothing: its place is taken by another, where that is allowed. */
     private void onSilent(long nowMs) {
-        if (mConnection.isEmpty() || !mayRunAgain() || !mAnswer.mayRestart()) {
+        if (mConnection.isEmpty() || !mayRetry() || !mAnswer.canRestart()) {
             return;
         }
-        mUse.ifPresent(u -> u.instance().onSilent(nowMs));
-        dropConnectionOnly();
-        onLost(nowMs, "it was silent for too long", mCrashes.standing());
+        mSend.ifPresent(u -> u.instance().onSilent(nowMs));
+        cancelConnection();
+        onAttemptLost(nowMs, "it was silent for too long", mCrashes.standing());
     }
 
     /** The time is over. */
     void onDeadline(long nowMs) {
         if (mConnection.isPresent() && mFirstByteMs < 0) {
-            mUse.ifPresent(u -> u.instance().onSilent(nowMs));
+            mSend.ifPresent(u -> u.instance().onSilent(nowMs));
         }
-        dropConnection();
-        if (mAnswer.begun()) {
-            breakOff(nowMs, "the time was over");
+        abandonSend();
+        if (mAnswer.headSent()) {
+            abortAnswer(nowMs, "the time was over");
             return;
         }
         if (mCounts.mayHaveRun()) {
@@ -324,9 +326,9 @@
 
     /** The request is refused while it is being sent, so that no upstream can run it. */
     void refuse(long nowMs, Failure failure) {
-        dropConnection();
-        if (mAnswer.begun()) {
-            breakOff(nowMs, failure.message());
+        abandonSend();
+        if (mAnswer.headSent()) {
+            abortAnswer(nowMs, failure.message());
         } else {
             fail(nowMs, failure);
         }
@@ -338,7 +340,7 @@
         if (sent && !mPlan.route().kind().cancelsWithCaller()) {
             return;
         }
-        dropConnection();
+        abandonSend();
         mAnswer.release();
         mCall.end(nowMs, "caller-gone", usedTokens());
     }
@@ -346,25 +348,25 @@
     @Override
     public void onQuarantined(long nowMs) {
         if (mCounts.mayHaveRun()) {
-            giveUp(nowMs, Refusals.QUARANTINED);
+            giveUp(nowMs, Refusals.QUARANTINED_MESSAGE);
         } else {
             fail(nowMs, mCall.quarantined(nowMs, mCrashes.digest()));
         }
     }
 
     @Override
-    public void onNoneUsable(long nowMs) {
-        if (mAnswer.begun() || mCounts.mayHaveRun()) {
+    public void onNoneAvailable(long nowMs) {
+        if (mAnswer.headSent() || mCounts.mayHaveRun()) {
             giveUp(nowMs, "no upstream takes requests now");
             return;
         }
         String service = mPlan.service().name();
-        OptionalLong pauseLeftMs = mParts.board().pauseLeftMs(nowMs, service);
-        OptionalLong closedForMs = mParts.board().closedForMs(nowMs, service);
+        OptionalLong pauseLeftMs = mContext.board().pauseLeftMs(nowMs, service);
+        OptionalLong closedForMs = mContext.board().closedForMs(nowMs, service);
         if (pauseLeftMs.isPresent()) {
-            fail(nowMs, Refusals.upstreamsPause(pauseLeftMs.getAsLong()));
+            fail(nowMs, Refusals.upstreamsPaused(pauseLeftMs.getAsLong()));
         } else if (closedForMs.isPresent()) {
-            fail(nowMs, Refusals.rateLimited(closedForMs.getAsLong(), mParts.random()));
+            fail(nowMs, Refusals.rateLimited(closedForMs.getAsLong(), mContext.random()));
         } else {
             giveUp(nowMs, "no upstream takes requests now");
         }
@@ -376,8 +378,8 @@
     }
 
     private void giveUp(long nowMs, String why) {
-        if (mAnswer.begun()) {
-            breakOff(nowMs, why);
+        if (mAnswer.headSent()) {
+            abortAnswer(nowMs, why);
             return;
         }
         if (!mCounts.mayHaveRun()) {
@@ -397,29 +399,29 @@
     }
 
     /** Ends an answer that can't be finished, so that the caller sees that it is not whole. */
-    private void breakOff(long nowMs, String why) {
-        decided(nowMs, "broken-off", new LogFields().add("reason", why));
+    private void abortAnswer(long nowMs, String why) {
+        logDecision(nowMs, "broken-off", new LogFields().add("reason", why));
         mAnswer.release();
         mCall.end(nowMs, "broken", usedTokens());
         mCall.caller().abort();
     }
 
-    private void dropConnection() {
-        dropConnectionOnly();
-        leaveInstance();
-        mSilence.stop();
+    private void abandonSend() {
+        cancelConnection();
+        releaseSend();
+        mSilenceTimeout.stop();
     }
 
-    private void dropConnectionOnly() {
+    private void cancelConnection() {
         mConnection.ifPresent(UpstreamConnection::cancel);
         mConnection = Optional.empty();
     }
 
-    private void leaveInstance() {
+    private void releaseSend() {
         mSearch.cancel();
-        mUse.ifPresent(InstanceUse::leave);
-        mUse = Optional.empty();
-        mCrashes.onLeft(mParts.clock().nowMs());
+        mSend.ifPresent(InFlightSend::release);
+        mSend = Optional.empty();
+        mCrashes.onSendEnded(mContext.clock().nowMs());
     }
 
     /** Returns the tokens that the request has used: its prompt once, and what was delivered. */
@@ -427,17 +429,17 @@
         if (!mCounts.mayHaveRun()) {
             return 0;
         }
-        return mPlan.head().prompt().promptTokens() + mAnswer.events() * mPlan.tokensPerEvent();
+        return mPlan.head().prompt().promptTokens() + mAnswer.eventCount() * mPlan.tokensPerEvent();
     }
 
     /** Returns the sends as fields of a log line. */
     LogFields summary() {
         return mCounts.fields()
-                .add("events", mAnswer.events())
+                .add("events", mAnswer.eventCount())
                 .add("first_ms", mFirstByteMs < 0 ? -1 : mFirstByteMs - mSentMs);
     }
 
-    private void decided(long nowMs, String decision, LogFields fields) {
-        mParts.log().decided(nowMs, mPlan.head().id(), decision, fields);
+    private void logDecision(long nowMs, String decision, LogFields fields) {
+        mContext.log().logDecision(nowMs, mPlan.head().id(), decision, fields);
     }
 }
--- a/router/src/main/java/org/hornbeampass/router/relay/RelayCall.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/RelayCall.java
@@ -38,7 +38,7 @@
     /** How much earlier than the caller's own time an answer is given, so that it arrives. */
     private static final long ANSWER_MARGIN_MS = 20;
 
-    private final RelayContext mParts;
+    private final RelayContext mContext;
     private final CallerConnection mCaller;
     private final HttpRequest mRequest;
     private final long mArrivedMs;
@@ -58,15 +58,15 @@
     private Optional<RelayAttempts> mAttempts = Optional.empty();
     private long mDeadlineMs;
     private long mReserved;
-    private LogFields mTokensLacking = new LogFields();
-    private boolean mAdmitting;
+    private LogFields mShortageFields = new LogFields();
+    private boolean mAdmissionStarted;
     private boolean mEnded;
     private boolean mCallerGone;
     private Runnable mDeadlineTimer = () -> {};
     private Runnable mGrantTimer = () -> {};
 
-    RelayCall(RelayContext parts, CallerConnection caller, HttpRequest request, long nowMs) {
-        mParts = parts;
+    RelayCall(RelayContext context, CallerConnection caller, HttpRequest request, long nowMs) {
+        mContext = context;
         mCaller = caller;
         mRequest = request;
         mArrivedMs = nowMs;
@@ -83,34 +83,34 @@
     }
 
     private Optional<Failure> prepare(long nowMs) {
-        Either<Failure, CallerHead> read = mParts.wire().readHead(mRequest);
+        Either<Failure, CallerHead> read = mContext.wire().readHead(mRequest);
         if (read.isLeft()) {
             return Optional.of(read.getLeft());
         }
         mHead = read.get();
-        if (mParts.routes().isEmpty()) {
-            return Optional.of(Refusals.withoutConfiguration());
+        if (mContext.routes().isEmpty()) {
+            return Optional.of(Refusals.noConfiguration());
         }
-        if (mParts.refusing()) {
+        if (mContext.refusingNewRequests()) {
             return Optional.of(Refusals.shuttingDown());
         }
-        RouteTable routes = mParts.routes().get();
+        RouteTable routes = mContext.routes().get();
         int query = mRequest.uri().indexOf('?');
         String path = query < 0 ? mRequest.uri() : mRequest.uri().substring(0, query);
         mRoute = routes.route(mHead.host(), path);
         if (mRoute.isEmpty()) {
-            return Optional.of(unknown(nowMs, ErrorKind.NOT_FOUND, "no route leads there"));
+            return Optional.of(notConfigured(nowMs, ErrorKind.NOT_FOUND, "no route leads there"));
         }
-        return authorise(nowMs, routes).or(() -> direct(nowMs, routes));
+        return authorise(nowMs, routes).or(() -> selectService(nowMs, routes));
     }
 
     /**
      * Refuses for what the configuration lacks. A VM that may be behind can't know that: its caller
      * is told to come back, here or elsewhere, where 404 would be final.
      */
-    private Failure unknown(long nowMs, ErrorKind kind, String message) {
-        return mParts.mayBeBehind(nowMs)
-                ? Refusals.unknownHere(message)
+    private Failure notConfigured(long nowMs, ErrorKind kind, String message) {
+        return mContext.configMayBeStale(nowMs)
+                ? Refusals.missingHere(message)
                 : Failure.of(kind, message);
     }
 
@@ -122,20 +122,20 @@
         return mOrganisation.isPresent()
                 ? Optional.empty()
                 : Optional.of(
-                        unknown(
+                        notConfigured(
                                 nowMs,
                                 ErrorKind.KEY_MISSING_OR_UNKNOWN,
                                 "show the key of an organisation"));
     }
 
-    private Optional<Failure> direct(long nowMs, RouteTable routes) {
+    private Optional<Failure> selectService(long nowMs, RouteTable routes) {
         Route route = mRoute.get();
-        mService = routes.pickService(route, mParts.random());
+        mService = routes.pickService(route, mContext.random());
         if (mService.isEmpty()) {
             return Optional.of(Refusals.noUpstream("the route has no service"));
         }
-        long budgetMs = mHead.timeoutMs().orElse(DEFAULT_TIMEOUT_MS) - ANSWER_MARGIN_MS;
-        mDeadlineMs = nowMs + Math.max(1, Math.min(budgetMs, route.timeoutMs()));
+        long waitMs = mHead.timeoutMs().orElse(DEFAULT_TIMEOUT_MS) - ANSWER_MARGIN_MS;
+        mDeadlineMs = nowMs + Math.max(1, Math.min(waitMs, route.timeoutMs()));
         return Optional.empty();
     }
 
@@ -168,7 +168,7 @@
     }
 
     private long maxBodyBytes() {
-        return mParts.routes().orElseThrow().config().limits().maxBodyBytes();
+        return mContext.routes().orElseThrow().config().limits().maxBodyBytes();
     }
 
     @Override
@@ -186,11 +186,11 @@
 
     /** Reserves the most that the request may use, and waits a moment where that fails. */
     private void admit(long nowMs) {
-        if (mAdmitting || mEnded) {
+        if (mAdmissionStarted || mEnded) {
             return;
         }
-        mAdmitting = true;
-        CrashHistory crashes = new CrashHistory(mParts, identity(), mHead.id());
+        mAdmissionStarted = true;
+        CrashHistory crashes = new CrashHistory(mContext, identity(), mHead.id());
         mCrashes = Optional.of(crashes);
         if (!crashes.mayBeSent(nowMs)) {
             fail(nowMs, quarantined(nowMs, crashes.digest()));
@@ -217,21 +217,22 @@
     /** Waits for the store or for other VMs, as long as there is hope for tokens. */
     private void waitForTokens(long nowMs) {
         long tokens = mHead.prompt().maxTokens();
-        if (mParts.budgets().mayGetMore(nowMs, organisation(), tokens)) {
-            mParts.budgets().afterNextExchange(nowMs, organisation(), this::admitAgain);
+        if (mContext.budgets().mayGetMore(nowMs, organisation(), tokens)) {
+            mContext.budgets().afterNextExchange(nowMs, organisation(), this::retryAdmission);
             return;
         }
-        boolean searching = mParts.loans().search(nowMs, organisation(), tokens, this::admitAgain);
+        boolean searching =
+                mContext.loans().search(nowMs, organisation(), tokens, this::retryAdmission);
         if (!searching) {
             onAdmission(nowMs, Admission.SHORT);
         }
     }
 
-    private void admitAgain() {
+    private void retryAdmission() {
         if (mEnded || mAttempts.isPresent()) {
             return;
         }
-        long nowMs = mParts.clock().nowMs();
+        long nowMs = mContext.clock().nowMs();
         Admission admission = reserve(nowMs);
         if (admission == Admission.SHORT) {
             waitForTokens(nowMs);
@@ -245,7 +246,7 @@
         if (mOrganisation.isEmpty()) {
             return Admission.UNMETERED;
         }
-        Admission admission = mParts.budgets().admit(nowMs, organisation(), tokens);
+        Admission admission = mContext.budgets().admit(nowMs, organisation(), tokens);
         if (admission == Admission.RESERVED) {
             mReserved = tokens;
         }
@@ -266,7 +267,7 @@
             mAttempts =
                     Optional.of(
                             new RelayAttempts(
-                                    mParts,
+                                    mContext,
                                     this,
                                     new RelayPlan(
                                             mRequest,
@@ -277,41 +278,41 @@
                                             mDeadlineMs),
                                     mBody,
                                     mCrashes.orElseThrow()));
-            mAttempts.get().attempt(nowMs);
+            mAttempts.get().startAttempt(nowMs);
             return;
         }
-        mTokensLacking = lackingFields(nowMs);
+        mShortageFields = shortageFields(nowMs);
         fail(
                 nowMs,
                 admission == Admission.EXHAUSTED
                         ? Refusals.exhausted()
-                        : Refusals.tooFewTokens(lack(nowMs)));
+                        : Refusals.tooFewTokens(tokenShortage(nowMs)));
     }
 
     /** Returns what identifies the request; its caller is the organisation that pays. */
     private RequestIdentity identity() {
         String caller = mOrganisation.map(PrepaidOrganisation::name).or(mHead::apiKey).orElse("");
         RequestIdentity identity =
-                new RequestIdentity(mParts.hasher(), mHead.host(), mRequest.uri(), caller, mBody);
+                new RequestIdentity(mContext.hasher(), mHead.host(), mRequest.uri(), caller, mBody);
         if (mBody.large()) {
             identity.digest();
         }
         return identity;
     }
 
-    private Refusals.Lack lack(long nowMs) {
-        if (mParts.budgets().outOfReach(nowMs, organisation())) {
-            return Refusals.Lack.STORE_UNREACHABLE;
+    private Refusals.TokenShortage tokenShortage(long nowMs) {
+        if (mContext.budgets().outOfReach(nowMs, organisation())) {
+            return Refusals.TokenShortage.STORE_UNREACHABLE;
         }
         long tokens = mHead.prompt().maxTokens();
-        return mParts.budgets().mayGetMore(nowMs, organisation(), tokens)
-                ? Refusals.Lack.STORE_MAY_HAVE_MORE
-                : Refusals.Lack.SCARCE;
+        return mContext.budgets().mayGetMore(nowMs, organisation(), tokens)
+                ? Refusals.TokenShortage.STORE_MAY_HAVE_MORE
+                : Refusals.TokenShortage.TOKENS_IN_USE;
     }
 
     /** Returns what decided against the request, as fields of a log line. */
-    private LogFields lackingFields(long nowMs) {
-        EscrowBook.Standing standing = mParts.budgets().standing(nowMs, organisation());
+    private LogFields shortageFields(long nowMs) {
+        EscrowBook.Standing standing = mContext.budgets().standing(nowMs, organisation());
         return new LogFields()
                 .add("wanted", mHead.prompt().maxTokens())
                 .add("free", standing.free())
@@ -333,10 +334,10 @@
      * Logs that a request is kept from upstreams, and returns the answer to it, which did not run.
      */
     Failure quarantined(long nowMs, RequestDigest digest) {
-        SuspectTable suspects = mParts.quarantine().suspects();
+        SuspectTable suspects = mContext.quarantine().suspects();
         long leftMs = suspects.quarantineLeftMs(nowMs, digest);
-        mParts.log()
-                .decided(
+        mContext.log()
+                .logDecision(
                         nowMs,
                         mHead.id(),
                         "quarantined",
@@ -397,9 +398,9 @@
         mDeadlineTimer.run();
         mGrantTimer.run();
         mBody.release();
-        mParts.budgets().settle(nowMs, organisation(), mReserved, usedTokens);
-        mParts.log()
-                .ended(
+        mContext.budgets().settle(nowMs, organisation(), mReserved, usedTokens);
+        mContext.log()
+                .logEnd(
                         nowMs,
                         mHead,
                         mRoute,
@@ -408,7 +409,7 @@
                                 .add("organisation", organisation())
                                 .add("reserved", mReserved)
                                 .add("used", usedTokens)
-                                .addAll(mTokensLacking)
+                                .addAll(mShortageFields)
                                 .addAll(
                                         mAttempts
                                                 .map(RelayAttempts::summary)
@@ -419,11 +420,11 @@
     /** Runs an action on the loop after a time; the result takes it back. */
     Runnable timer(long delayMs, java.util.function.LongConsumer action) {
         var scheduled =
-                mParts.loop()
+                mContext.loop()
                         .schedule(
                                 () -> {
                                     if (!mEnded) {
-                                        action.accept(mParts.clock().nowMs());
+                                        action.accept(mContext.clock().nowMs());
                                     }
                                 },
                                 Math.max(0, delayMs),
--- a/router/src/main/java/org/hornbeampass/router/relay/RelayContext.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/RelayContext.java
@@ -33,20 +33,20 @@
     private final Clock mClock;
     private final UpstreamBoard mBoard;
     private final UpstreamPool mPool;
-    private final CrashDetector mCrashes;
+    private final CrashDetector mCrashDetector;
     private final RequestHasher mHasher;
     private final Quarantine mQuarantine;
     private final AnswerSignals mAnswerSignals;
-    private final RateLimiter mLimiter;
+    private final RateLimiter mRateLimiter;
     private final EscrowBook mBudgets;
     private final EscrowLoans mLoans;
     private final RelayLog mLog;
     private final RandomGenerator mRandom;
-    private final IntSupplier mVms;
-    private final LongPredicate mMayBeBehind;
-    private final Map<String, RetryWindow> mRetries = new HashMap<>();
+    private final IntSupplier mVmCount;
+    private final LongPredicate mConfigMayBeStale;
+    private final Map<String, RetryWindow> mRetryWindows = new HashMap<>();
     private Optional<RouteTable> mRoutes = Optional.empty();
-    private boolean mRefusing;
+    private boolean mRefusingNewRequests;
 
     /**
      * Gathers the parts; {@code vms} tells how many VMs share the fleet's budgets, and {@code
@@ -62,30 +62,30 @@
             RequestHasher hasher,
             Quarantine quarantine,
             SignalExchange signals,
-            RateLimiter limiter,
+            RateLimiter rateLimiter,
             EscrowBook budgets,
             EscrowLoans loans,
             RelayLog log,
             RandomGenerator random,
-            IntSupplier vms,
-            LongPredicate mayBeBehind) {
+            IntSupplier vmCount,
+            LongPredicate configMayBeStale) {
         mWire = wire;
         mSettings = settings;
         mLoop = loop;
         mClock = clock;
         mBoard = board;
         mPool = pool;
-        mCrashes = new CrashDetector(pool, clock, log, quarantine);
+        mCrashDetector = new CrashDetector(pool, clock, log, quarantine);
         mQuarantine = quarantine;
         mAnswerSignals = new AnswerSignals(signals, log);
-        mLimiter = limiter;
+        mRateLimiter = rateLimiter;
         mHasher = hasher;
         mBudgets = budgets;
         mLoans = loans;
         mLog = log;
         mRandom = random;
-        mVms = vms;
-        mMayBeBehind = mayBeBehind;
+        mVmCount = vmCount;
+        mConfigMayBeStale = configMayBeStale;
     }
 
     /** Returns the installation's words. */
@@ -111,8 +111,8 @@
         return mPool;
     }
 
-    CrashDetector crashes() {
-        return mCrashes;
+    CrashDetector crashDetector() {
+        return mCrashDetector;
     }
 
     RequestHasher hasher() {
@@ -123,8 +123,8 @@
         return mAnswerSignals;
     }
 
-    RateLimiter limiter() {
-        return mLimiter;
+    RateLimiter rateLimiter() {
+        return mRateLimiter;
     }
 
     Quarantine quarantine() {
@@ -155,8 +155,8 @@
     }
 
     /** Returns whether there may be a newer configuration than the one in force. */
-    boolean mayBeBehind(long nowMs) {
-        return mMayBeBehind.test(nowMs);
+    boolean configMayBeStale(long nowMs) {
+        return mConfigMayBeStale.test(nowMs);
     }
 
     /** Puts a configuration in force for the requests that come from now on. */
@@ -171,23 +171,25 @@
 
     /** Refuses requests that come from now on. */
     public void refuseNewRequests() {
-        mRefusing = true;
+        mRefusingNewRequests = true;
     }
 
-    boolean refusing() {
-        return mRefusing;
+    boolean refusingNewRequests() {
+        return mRefusingNewRequests;
     }
 
-    void countFirst(long nowMs, String service) {
-        retries(service).onFirst(nowMs);
+    void countFirstSend(long nowMs, String service) {
+        retryWindow(service).onFirst(nowMs);
     }
 
-    boolean takeRetry(long nowMs, String service) {
-        return retries(service)
-                .tryTake(nowMs, mSettings.retryRatio(), mSettings.retryExtra(), mVms.getAsInt());
+    boolean tryTakeRetry(long nowMs, String service) {
+        return retryWindow(service)
+                .tryTake(
+                        nowMs, mSettings.retryRatio(), mSettings.retryExtra(), mVmCount.getAsInt());
     }
 
-    private RetryWindow retries(String service) {
-        return mRetries.computeIfAbsent(service, s -> new RetryWindow(mSettings.retryWindowMs()));
+    private RetryWindow retryWindow(String service) {
+        return mRetryWindows.computeIfAbsent(
+                service, s -> new RetryWindow(mSettings.retryWindowMs()));
     }
 }
--- a/router/src/main/java/org/hornbeampass/router/relay/RelayHandler.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/RelayHandler.java
@@ -12,16 +12,16 @@
  * <p>Confined to one event loop.
  */
 public final class RelayHandler implements CallerHandler {
-    private final RelayContext mParts;
+    private final RelayContext mContext;
 
     /** Makes the handler of one VM. */
-    public RelayHandler(RelayContext parts) {
-        mParts = parts;
+    public RelayHandler(RelayContext context) {
+        mContext = context;
     }
 
     @Override
     public CallerListener onRequest(long nowMs, CallerConnection caller, HttpRequest head) {
-        RelayCall call = new RelayCall(mParts, caller, head, nowMs);
+        RelayCall call = new RelayCall(mContext, caller, head, nowMs);
         call.start(nowMs);
         return call;
     }
--- a/router/src/main/java/org/hornbeampass/router/relay/RelayLog.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/RelayLog.java
@@ -20,7 +20,7 @@
     private static final Logger LOG = LogManager.getLogger("decisions");
 
     /** Lines on good answers in a second; a calm VM stays below, an overloaded one is cut here. */
-    private static final int GOOD_LINES_PER_S = 20;
+    private static final int SUCCESS_LINES_PER_S = 20;
 
     /** Lines on failures, and on decisions within requests, in a second. */
     private static final int FAILURE_LINES_PER_S = 100;
@@ -29,16 +29,16 @@
      * Lines on what this VM believes in a second. They have room of their own: in a flood of
      * failures those lines are what tells its cause.
      */
-    private static final int BELIEF_LINES_PER_S = 100;
+    private static final int STATE_CHANGE_LINES_PER_S = 100;
 
     private static final long SECOND_MS = 1_000;
 
     private final MetricRegistry mMetrics;
     private long mSecond;
-    private int mGoodLines;
+    private int mSuccessLines;
     private int mFailureLines;
-    private int mBeliefLines;
-    private long mLeftOut;
+    private int mStateChangeLines;
+    private long mDroppedLines;
 
     /** Makes a log that counts in a registry. */
     public RelayLog(MetricRegistry metrics) {
@@ -46,7 +46,7 @@
     }
 
     /** Counts and logs the end of a request. */
-    void ended(
+    void logEnd(
             long nowMs,
             CallerHead head,
             Optional<Route> route,
@@ -64,25 +64,26 @@
                         .add("outcome", outcome)
                         .add("took_ms", tookMs)
                         .addAll(inputs);
-        boolean room = outcome.equals("answered") ? roomForGood(nowMs) : roomForFailure(nowMs);
-        line(nowMs, room, "ended", head.id(), fields);
+        boolean allowed =
+                outcome.equals("answered") ? allowSuccessLine(nowMs) : allowFailureLine(nowMs);
+        write(nowMs, allowed, "ended", head.id(), fields);
     }
 
     /** Logs a decision within a request. */
-    void decided(long nowMs, String id, String decision, LogFields inputs) {
+    void logDecision(long nowMs, String id, String decision, LogFields inputs) {
         mMetrics.counter("decisions{kind=\"" + decision + "\"}").inc();
-        line(nowMs, roomForFailure(nowMs), decision, id, inputs);
+        write(nowMs, allowFailureLine(nowMs), decision, id, inputs);
     }
 
     /** Logs a change of what this VM believes. */
     public void logStateChange(long nowMs, String decision, LogFields inputs) {
         mMetrics.counter("decisions{kind=\"" + decision + "\"}").inc();
-        line(nowMs, roomForBelief(nowMs), decision, "", inputs);
+        write(nowMs, allowStateChangeLine(nowMs), decision, "", inputs);
     }
 
-    private void line(long nowMs, boolean room, String kind, String id, LogFields inputs) {
-        if (!room) {
-            mLeftOut++;
+    private void write(long nowMs, boolean allowed, String kind, String id, LogFields inputs) {
+        if (!allowed) {
+            mDroppedLines++;
             return;
         }
         LogFields fields = new LogFields().add("at_ms", nowMs).add("kind", kind);
@@ -92,31 +93,33 @@
         LOG.info("{" + fields.addAll(inputs) + "}");
     }
 
-    private boolean roomForGood(long nowMs) {
+    private boolean allowSuccessLine(long nowMs) {
         beginSecond(nowMs);
-        return mGoodLines++ < GOOD_LINES_PER_S;
+        return mSuccessLines++ < SUCCESS_LINES_PER_S;
     }
 
-    private boolean roomForFailure(long nowMs) {
+    private boolean allowFailureLine(long nowMs) {
         beginSecond(nowMs);
         return mFailureLines++ < FAILURE_LINES_PER_S;
     }
 
-    private boolean roomForBelief(long nowMs) {
+    private boolean allowStateChangeLine(long nowMs) {
         beginSecond(nowMs);
-        return mBeliefLines++ < BELIEF_LINES_PER_S;
+        return mStateChangeLines++ < STATE_CHANGE_LINES_PER_S;
     }
 
     private void beginSecond(long nowMs) {
         if (nowMs / SECOND_MS != mSecond) {
             mSecond = nowMs / SECOND_MS;
-            mGoodLines = 0;
+            mSuccessLines = 0;
             mFailureLines = 0;
-            mBeliefLines = 0;
-            if (mLeftOut > 0) {
+            mStateChangeLines = 0;
+            if (mDroppedLines > 0) {
                 LOG.info(
-                        "{\"at_ms\":{},\"kind\":\"lines-left-out\",\"count\":{}}", nowMs, mLeftOut);
-                mLeftOut = 0;
+                        "{\"at_ms\":{},\"kind\":\"lines-left-out\",\"count\":{}}",
+                        nowMs,
+                        mDroppedLines);
+                mDroppedLines = 0;
             }
         }
     }
--- a/router/src/main/java/org/hornbeampass/router/relay/RelayPlan.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/RelayPlan.java
@@ -43,10 +43,10 @@
      *
      * @param nowMs the present time in milliseconds
      * @param wire the installation's words
-     * @param use the send at the upstream that must run it
-     * @param lastEvent the last event that the caller has; -1 where it has none
+     * @param send the send at the upstream that must run it
+     * @param lastEventId the last event that the caller has; -1 where it has none
      */
-    HttpRequest upstreamHead(long nowMs, WireFormat wire, InstanceUse use, long lastEvent) {
+    HttpRequest upstreamHead(long nowMs, WireFormat wire, InFlightSend send, long lastEventId) {
         HttpRequest copy =
                 new DefaultHttpRequest(
                         HttpVersion.HTTP_1_1,
@@ -56,18 +56,18 @@
         if (request.headers().contains(HttpHeaderNames.TRANSFER_ENCODING)) {
             copy.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
         }
-        OptionalLong leftMs =
+        OptionalLong remainingMs =
                 head.timeoutMs().isPresent()
                         ? OptionalLong.of(Math.max(1, deadlineMs - nowMs))
                         : OptionalLong.empty();
-        OptionalLong after = lastEvent >= 0 ? OptionalLong.of(lastEvent) : OptionalLong.empty();
+        OptionalLong after = lastEventId >= 0 ? OptionalLong.of(lastEventId) : OptionalLong.empty();
         OptionalInt urgency =
                 service.engine().isPresent()
-                        ? OptionalInt.of(ReadingUrgency.of(use.tokensToRead()).rank())
+                        ? OptionalInt.of(ReadingUrgency.of(send.tokensToRead()).rank())
                         : OptionalInt.empty();
         wire.writeUpstreamHead(
                 copy.headers(),
-                new UpstreamHead(use.instance().id(), organisation, leftMs, after, urgency));
+                new UpstreamHead(send.instance().id(), organisation, remainingMs, after, urgency));
         return copy;
     }
 }
--- a/router/src/main/java/org/hornbeampass/router/relay/RequestBody.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/RequestBody.java
@@ -18,8 +18,8 @@
 
     private final List<ByteBuf> mParts = new ArrayList<>();
     private long mBytes;
-    private boolean mWhole;
-    private boolean mPassedOn;
+    private boolean mFullyReceived;
+    private boolean mForwarded;
 
     void add(ByteBuf part) {
         mBytes += part.readableBytes();
@@ -27,20 +27,20 @@
     }
 
     void end() {
-        mWhole = true;
+        mFullyReceived = true;
     }
 
     long bytes() {
         return mBytes;
     }
 
-    boolean whole() {
-        return mWhole;
+    boolean fullyReceived() {
+        return mFullyReceived;
     }
 
     /** Returns whether it can be sent from its start. */
-    boolean complete() {
-        return !mPassedOn;
+    boolean replayable() {
+        return !mForwarded;
     }
 
     boolean large() {
@@ -48,9 +48,9 @@
     }
 
     /** Returns the parts to send now; those of a large body are given away. */
-    List<ByteBuf> take() {
-        if (large() || mPassedOn) {
-            mPassedOn = true;
+    List<ByteBuf> takeParts() {
+        if (large() || mForwarded) {
+            mForwarded = true;
             List<ByteBuf> parts = List.copyOf(mParts);
             mParts.clear();
             return parts;
@@ -59,7 +59,7 @@
     }
 
     /** Returns what is kept of it, for reading. */
-    List<ByteBuffer> kept() {
+    List<ByteBuffer> keptParts() {
         return mParts.stream().map(ByteBuf::nioBuffer).toList();
     }
 
--- a/router/src/main/java/org/hornbeampass/router/relay/RequestIdentity.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/RequestIdentity.java
@@ -50,7 +50,7 @@
     /** Returns the digest of the request. */
     RequestDigest digest() {
         if (mDigest.isEmpty()) {
-            long content = mHasher.content(mBody.kept(), RequestBody.MAX_KEPT_BYTES);
+            long content = mHasher.content(mBody.keptParts(), RequestBody.MAX_KEPT_BYTES);
             mDigest = Optional.of(new RequestDigest(scope(), content));
         }
         return mDigest.get();
--- a/router/src/main/java/org/hornbeampass/router/relay/SendCounts.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/SendCounts.java
@@ -28,9 +28,9 @@
     }
 
     /** Counts the word of an upstream that it did not run the last send. */
-    void onNotRun(AnswerOutcome answer) {
+    void onNotRun(AnswerOutcome outcome) {
         mRuns--;
-        if (answer == AnswerOutcome.WRONG_UPSTREAM) {
+        if (outcome == AnswerOutcome.WRONG_UPSTREAM) {
             mMismatches++;
         }
     }
@@ -38,13 +38,13 @@
     /** Counts an upstream that can't be reached; returns whether there were too many. */
     boolean onUnreachable() {
         mUnreachable++;
-        return mUnreachable >= RelayBounds.MAX_UNREACHABLE;
+        return mUnreachable >= RelayBounds.MAX_UNREACHABLE_UPSTREAMS;
     }
 
     /** Counts a permit that was denied; returns whether there were too many. */
-    boolean onDenied() {
+    boolean onPermitDenied() {
         mDenied++;
-        return mDenied >= RelayBounds.MAX_DENIED;
+        return mDenied >= RelayBounds.MAX_DENIED_PERMITS;
     }
 
     /** Returns whether a further send has to be taken out of the fleet's budget. */
@@ -58,13 +58,13 @@
     }
 
     /** Returns whether the route's attempts leave another send. */
-    boolean attemptsLeft() {
+    boolean hasAttemptsLeft() {
         return mSends - mMismatches < mRoute.maxAttempts();
     }
 
     /** Returns whether the request may be sent again after it was not run. */
-    boolean mayGoOn() {
-        return mMismatches <= RelayBounds.MAX_MISMATCHES && attemptsLeft();
+    boolean mayResend() {
+        return mMismatches <= RelayBounds.MAX_MISMATCHES && hasAttemptsLeft();
     }
 
     /** Returns the counts as fields of a log line. */
--- a/router/src/main/java/org/hornbeampass/router/relay/SilenceWatch.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/SilenceTimeout.java
@@ -10,7 +10,7 @@
  * <p>Invariant: at most one wait is under way; requests that may not run again are not watched.
  * Confined to one event loop.
  */
-final class SilenceWatch {
+final class SilenceTimeout {
     private final RelayCall mCall;
     private final Route mRoute;
     private final LongConsumer mOnSilent;
@@ -23,25 +23,25 @@
      * @param route tells how long an upstream may be silent
      * @param onSilent takes the time in milliseconds at which it was silent for too long
      */
-    SilenceWatch(RelayCall call, Route route, LongConsumer onSilent) {
+    SilenceTimeout(RelayCall call, Route route, LongConsumer onSilent) {
         mCall = call;
         mRoute = route;
         mOnSilent = onSilent;
     }
 
     /** Waits for the beginning of an answer. */
-    void awaitAnswer() {
-        await(mRoute.objectiveMs() * RelayBounds.SILENCE_OBJECTIVES);
+    void startForAnswer() {
+        schedule(mRoute.objectiveMs() * RelayBounds.SILENCE_OBJECTIVE_FACTOR);
     }
 
     /** Waits for the next event of a stream that can be resumed. */
-    void awaitEvent() {
+    void startForEvent() {
         if (mRoute.resumable() && mRoute.gapTargetMs() > 0) {
-            await(mRoute.gapTargetMs() * RelayBounds.SILENCE_GAPS);
+            schedule(mRoute.gapTargetMs() * RelayBounds.SILENCE_GAP_FACTOR);
         }
     }
 
-    private void await(long ms) {
+    private void schedule(long ms) {
         stop();
         if (mRoute.mayRunAgain()) {
             mTimer = mCall.timer(ms, mOnSilent);
--- a/router/src/main/java/org/hornbeampass/router/relay/UpstreamSearch.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/UpstreamSearch.java
@@ -22,10 +22,10 @@
     /** Takes the end of a search. */
     interface Listener {
         /** A connection is open, on which the request may be sent now. */
-        void onFound(long nowMs, InstanceUse use, UpstreamConnection connection);
+        void onFound(long nowMs, InFlightSend use, UpstreamConnection connection);
 
         /** All upstreams are gone, have been tried or take no requests for now. */
-        void onNoneUsable(long nowMs);
+        void onNoneAvailable(long nowMs);
 
         /** The request is kept from upstreams. */
         void onQuarantined(long nowMs);
@@ -34,7 +34,7 @@
         void onGivenUp(long nowMs, String why);
     }
 
-    private final RelayContext mParts;
+    private final RelayContext mContext;
     private final RelayCall mCall;
     private final RelayPlan mPlan;
     private final CrashHistory mCrashes;
@@ -42,12 +42,12 @@
     private final Listener mListener;
     private final IncarnationListener mOnInstanceEnd;
     private final Set<String> mTried = new HashSet<>();
-    private Optional<InstanceUse> mConnecting = Optional.empty();
+    private Optional<InFlightSend> mConnecting = Optional.empty();
 
     /**
      * Makes a search.
      *
-     * @param parts what all requests share
+     * @param context what all requests share
      * @param call the request
      * @param plan what is to be sent
      * @param crashes tells whether the request may be sent
@@ -56,14 +56,14 @@
      * @param onInstanceEnd hears of the end of an upstream that was found
      */
     UpstreamSearch(
-            RelayContext parts,
+            RelayContext context,
             RelayCall call,
             RelayPlan plan,
             CrashHistory crashes,
             SendCounts counts,
             Listener listener,
             IncarnationListener onInstanceEnd) {
-        mParts = parts;
+        mContext = context;
         mCall = call;
         mPlan = plan;
         mCrashes = crashes;
@@ -80,11 +80,11 @@
         }
         Optional<UpstreamChoice> chosen = choose(nowMs);
         if (chosen.isEmpty()) {
-            mListener.onNoneUsable(nowMs);
+            mListener.onNoneAvailable(nowMs);
             return;
         }
         UpstreamChoice choice = chosen.get();
-        mParts.limiter()
+        mContext.rateLimiter()
                 .acquire(
                         nowMs,
                         choice.instance().incarnation(),
@@ -92,32 +92,32 @@
     }
 
     private Optional<UpstreamChoice> choose(long nowMs) {
-        return mParts.board().choose(nowMs, mPlan.service(), mPlan.head().prompt(), mTried);
+        return mContext.board().choose(nowMs, mPlan.service(), mPlan.head().prompt(), mTried);
     }
 
     /** Returns whether there is an upstream that the request was not sent to yet. */
-    boolean anyLeft(long nowMs) {
+    boolean hasUntriedUpstream(long nowMs) {
         return choose(nowMs).isPresent();
     }
 
     private void onPermit(long nowMs, UpstreamChoice choice, Optional<SendPermit> permit) {
         if (mCall.ended()) {
-            permit.ifPresent(p -> mParts.limiter().giveBack(nowMs, p));
+            permit.ifPresent(p -> mContext.rateLimiter().giveBack(nowMs, p));
             return;
         }
         if (permit.isEmpty()) {
-            decided(
+            logDecision(
                     nowMs,
                     "permit-denied",
                     new LogFields().add("upstream", choice.instance().id()));
-            if (mCounts.onDenied()) {
-                mTried.addAll(mParts.board().rateLimited());
+            if (mCounts.onPermitDenied()) {
+                mTried.addAll(mContext.board().rateLimited());
             }
             start(nowMs);
             return;
         }
-        if (mCounts.sentBefore() && !mParts.takeRetry(nowMs, mPlan.service().name())) {
-            mParts.limiter().giveBack(nowMs, permit.get());
+        if (mCounts.sentBefore() && !mContext.tryTakeRetry(nowMs, mPlan.service().name())) {
+            mContext.rateLimiter().giveBack(nowMs, permit.get());
             mListener.onGivenUp(nowMs, "too many requests are sent again now");
             return;
         }
@@ -127,35 +127,37 @@
     private void connect(long nowMs, UpstreamChoice choice, SendPermit permit) {
         UpstreamInstance instance = choice.instance();
         mTried.add(instance.id());
-        InstanceUse use = new InstanceUse(choice, mOnInstanceEnd);
-        mConnecting = Optional.of(use);
-        long leftMs = mPlan.deadlineMs() - nowMs;
+        InFlightSend send = new InFlightSend(choice, mOnInstanceEnd);
+        mConnecting = Optional.of(send);
+        long remainingMs = mPlan.deadlineMs() - nowMs;
         long maxIdleMs =
-                mPlan.route().mayRunAgain() ? Long.MAX_VALUE : RelayBounds.CAUTIOUS_IDLE_MS;
-        mParts.pool()
+                mPlan.route().mayRunAgain()
+                        ? Long.MAX_VALUE
+                        : RelayBounds.MAX_IDLE_NOT_REPEATABLE_MS;
+        mContext.pool()
                 .connect(
                         nowMs,
                         instance.entry().address(),
                         maxIdleMs,
-                        (int) Math.max(1, Math.min(RelayBounds.CONNECT_TIMEOUT_MS, leftMs)),
-                        connection -> onConnected(use, permit, connection));
+                        (int) Math.max(1, Math.min(RelayBounds.CONNECT_TIMEOUT_MS, remainingMs)),
+                        connection -> onConnected(send, permit, connection));
     }
 
     private void onConnected(
-            InstanceUse use, SendPermit permit, Optional<UpstreamConnection> connection) {
-        long nowMs = mParts.clock().nowMs();
-        UpstreamInstance instance = use.instance();
-        boolean current = mConnecting.equals(Optional.of(use)) && !mCall.ended();
+            InFlightSend send, SendPermit permit, Optional<UpstreamConnection> connection) {
+        long nowMs = mContext.clock().nowMs();
+        UpstreamInstance instance = send.instance();
+        boolean current = mConnecting.equals(Optional.of(send)) && !mCall.ended();
         if (!current) {
-            mParts.limiter().giveBack(nowMs, permit);
+            mContext.rateLimiter().giveBack(nowMs, permit);
             connection.ifPresent(UpstreamConnection::cancel);
             return;
         }
         if (connection.isEmpty()) {
-            mParts.limiter().giveBack(nowMs, permit);
+            mContext.rateLimiter().giveBack(nowMs, permit);
             instance.onSilent(nowMs);
             cancel();
-            decided(nowMs, "unreachable", use.fields());
+            logDecision(nowMs, "unreachable", send.fields());
             if (mCounts.onUnreachable()) {
                 mListener.onGivenUp(nowMs, "the upstreams can't be reached");
             } else {
@@ -164,24 +166,24 @@
             return;
         }
         if (!instance.usable(nowMs)) {
-            mParts.limiter().giveBack(nowMs, permit);
-            lookElsewhere(nowMs, connection.get());
+            mContext.rateLimiter().giveBack(nowMs, permit);
+            closeAndSearchAgain(nowMs, connection.get());
             return;
         }
-        if (!mParts.limiter().redeem(nowMs, permit)) {
+        if (!mContext.rateLimiter().redeem(nowMs, permit)) {
             mTried.remove(instance.id());
-            lookElsewhere(nowMs, connection.get());
+            closeAndSearchAgain(nowMs, connection.get());
             return;
         }
-        if (!mCrashes.takeSend(nowMs)) {
-            lookElsewhere(nowMs, connection.get());
+        if (!mCrashes.tryBeginSend(nowMs)) {
+            closeAndSearchAgain(nowMs, connection.get());
             return;
         }
         mConnecting = Optional.empty();
-        mListener.onFound(nowMs, use, connection.get());
+        mListener.onFound(nowMs, send, connection.get());
     }
 
-    private void lookElsewhere(long nowMs, UpstreamConnection unused) {
+    private void closeAndSearchAgain(long nowMs, UpstreamConnection unused) {
         unused.cancel();
         cancel();
         start(nowMs);
@@ -189,11 +191,11 @@
 
     /** Ends the search; a connection that is opened still is closed. */
     void cancel() {
-        mConnecting.ifPresent(InstanceUse::leave);
+        mConnecting.ifPresent(InFlightSend::release);
         mConnecting = Optional.empty();
     }
 
-    private void decided(long nowMs, String decision, LogFields fields) {
-        mParts.log().decided(nowMs, mPlan.head().id(), decision, fields);
+    private void logDecision(long nowMs, String decision, LogFields fields) {
+        mContext.log().logDecision(nowMs, mPlan.head().id(), decision, fields);
     }
 }
--- a/router/src/main/java/org/hornbeampass/router/upstream/AttemptContext.java
+++ b/router/src/main/java/org/hornbeampass/router/upstream/AttemptContext.java
@@ -17,7 +17,7 @@
  * @param vm this VM
  * @param table what is known of upstreams
  * @param chooser chooses the upstream of each attempt
- * @param retries decides what follows a failed attempt
+ * @param retryPolicy decides what follows a failed attempt
  * @param retryBudget bounds further attempts
  * @param client sends requests
  * @param timers look after attempts that are silent
@@ -28,7 +28,7 @@
         VmId vm,
         UpstreamTable table,
         UpstreamChooser chooser,
-        RetryPolicy retries,
+        RetryPolicy retryPolicy,
         RetryBudget retryBudget,
         HttpClient client,
         TimerPort timers,
--- a/router/src/main/java/org/hornbeampass/router/upstream/ChatDispatcher.java
+++ b/router/src/main/java/org/hornbeampass/router/upstream/ChatDispatcher.java
@@ -18,29 +18,29 @@
     /**
      * Makes the route of one request.
      *
-     * @param calls what all attempts share
+     * @param context what all attempts share
      * @param requestId the request's id
      * @param query what is needed
      * @param body the body that is sent
      * @param stream whether the answer is streamed
      */
     public ChatDispatcher(
-            AttemptContext calls,
+            AttemptContext context,
             String requestId,
             RoutingQuery query,
             byte[] body,
             boolean stream) {
-        super(calls, requestId, true, query);
+        super(context, requestId, true, query);
         mBody = body;
         mStream = stream;
     }
 
     @Override
-    HttpAttempt attempt(
+    HttpAttempt newAttempt(
             UpstreamChoice choice, int number, Relayed relayed, AttemptListener listener) {
         return mStream
-                ? new ChatStreamAttempt(calls(), choice, number, listener, relayed.tokens())
-                : new HttpAttempt(calls(), choice, number, listener, AnswerKind.WHOLE);
+                ? new ChatStreamAttempt(context(), choice, number, listener, relayed.tokens())
+                : new HttpAttempt(context(), choice, number, listener, AnswerKind.WHOLE);
     }
 
     @Override
--- a/router/src/main/java/org/hornbeampass/router/upstream/ChatStreamAttempt.java
+++ b/router/src/main/java/org/hornbeampass/router/upstream/ChatStreamAttempt.java
@@ -32,14 +32,14 @@
      * @param resumeOffset the token at which the answer goes on; 0 for its start
      */
     ChatStreamAttempt(
-            AttemptContext calls,
+            AttemptContext context,
             UpstreamChoice choice,
             int number,
             AttemptListener listener,
             long resumeOffset) {
-        super(calls, choice, number, listener, AnswerKind.STREAM);
+        super(context, choice, number, listener, AnswerKind.STREAM);
         mResumeOffset = resumeOffset;
-        mEvents = new SseReader(calls.settings().maxEventBytes(), this::onEvent);
+        mEvents = new SseReader(context.settings().maxEventBytes(), this::onEvent);
     }
 
     @Override
@@ -49,10 +49,10 @@
         mIsStream = status == 200 && type.startsWith("text/event-stream");
         String offset = headers.getOrDefault(UpstreamHeaders.RESUME_OFFSET, "0");
         if (mIsStream && !offset.equals(Long.toString(mResumeOffset))) {
-            fault(
+            fail(
                     AttemptOutcome.UPSTREAM_ERROR,
                     "it went on at token " + offset + " in place of " + mResumeOffset);
-            close();
+            closeConnection();
         }
     }
 
@@ -63,8 +63,8 @@
             return;
         }
         if (!mEvents.read(chunk)) {
-            fault(AttemptOutcome.UPSTREAM_ERROR, "an event of its answer is too large");
-            close();
+            fail(AttemptOutcome.UPSTREAM_ERROR, "an event of its answer is too large");
+            closeConnection();
         }
     }
 
@@ -74,12 +74,12 @@
             endNotStreamed();
             return;
         }
-        fault(AttemptOutcome.BROKEN_IN_ANSWER, "its answer ended without the closing event");
+        fail(AttemptOutcome.BROKEN_IN_ANSWER, "its answer ended without the closing event");
     }
 
     private void endNotStreamed() {
-        if (outcome(status(), false) == AttemptOutcome.SUCCEEDED) {
-            fault(AttemptOutcome.UPSTREAM_ERROR, "its answer is not a stream of events");
+        if (outcomeOf(status(), false) == AttemptOutcome.SUCCEEDED) {
+            fail(AttemptOutcome.UPSTREAM_ERROR, "its answer is not a stream of events");
         } else {
             super.onEnd();
         }
@@ -91,18 +91,18 @@
         }
         if (Arrays.equals(data, DONE)) {
             long nowMs = nowMs();
-            if (end(nowMs, AttemptOutcome.SUCCEEDED)) {
+            if (tryEnd(nowMs, AttemptOutcome.SUCCEEDED)) {
                 listener().onDone(nowMs, number());
             }
             return;
         }
         Optional<ChatChunk> chunk = ChatChunkReader.read(data);
         if (chunk.isEmpty()) {
-            fault(AttemptOutcome.UPSTREAM_ERROR, "an event of its answer is no chunk");
-            close();
+            fail(AttemptOutcome.UPSTREAM_ERROR, "an event of its answer is no chunk");
+            closeConnection();
             return;
         }
-        notePart();
+        recordPart();
         listener().onChunk(nowMs(), number(), chunk.get());
     }
 }
--- a/router/src/main/java/org/hornbeampass/router/upstream/HttpAttempt.java
+++ b/router/src/main/java/org/hornbeampass/router/upstream/HttpAttempt.java
@@ -29,7 +29,7 @@
 class HttpAttempt implements Attempt, HttpClient.Listener {
     private static final String JSON = "application/json";
 
-    private final AttemptContext mCalls;
+    private final AttemptContext mContext;
     private final UpstreamChoice mChoice;
     private final int mNumber;
     private final AttemptListener mListener;
@@ -39,24 +39,24 @@
     private final ByteArrayOutputStream mBody = new ByteArrayOutputStream();
     private volatile HttpClient.Call mCall;
     private volatile boolean mClosed;
-    private volatile Runnable mLook = () -> {};
+    private volatile Runnable mCancelSilenceCheck = () -> {};
     private int mStatus;
     private String mContentType = JSON;
     private boolean mLeaving;
-    private boolean mFirstSeen;
+    private boolean mFirstPartSeen;
 
     HttpAttempt(
-            AttemptContext calls,
+            AttemptContext context,
             UpstreamChoice choice,
             int number,
             AttemptListener listener,
             AnswerKind kind) {
-        mCalls = calls;
+        mContext = context;
         mChoice = choice;
         mNumber = number;
         mListener = listener;
-        long nowMs = calls.clock().nowMs();
-        mTimeouts = calls.chooser().timeouts(nowMs, choice, kind);
+        long nowMs = context.clock().nowMs();
+        mTimeouts = context.chooser().timeouts(nowMs, choice, kind);
         mWatch = new AttemptWatch(nowMs, mTimeouts);
     }
 
@@ -67,28 +67,28 @@
 
     /** Sends the request. */
     void send(HttpClient.Request request) {
-        mCalls.chooser().onStarted(mCalls.clock().nowMs(), mChoice);
-        HttpClient.Call call = mCalls.client().send(request, this);
+        mContext.chooser().onStarted(mContext.clock().nowMs(), mChoice);
+        HttpClient.Call call = mContext.client().send(request, this);
         mCall = call;
         if (mClosed) {
             call.cancel();
         }
-        look(nowMs());
+        checkSilence(nowMs());
     }
 
     /** Gives the attempt up where it was silent for too long, and else looks again later. */
-    private void look(long nowMs) {
+    private void checkSilence(long nowMs) {
         if (ended()) {
             return;
         }
-        long nextMs = mWatch.nextLookMs(nowMs, mCalls.chooser().lastProgressMs(mChoice));
-        if (nextMs <= nowMs) {
-            fault(AttemptOutcome.SILENT, "it was silent for too long");
-            close();
-        } else if (nextMs < Long.MAX_VALUE) {
-            mLook = mCalls.timers().at(nowMs, nextMs, this::look);
+        long nextCheckMs = mWatch.nextLookMs(nowMs, mContext.chooser().lastProgressMs(mChoice));
+        if (nextCheckMs <= nowMs) {
+            fail(AttemptOutcome.SILENT, "it was silent for too long");
+            closeConnection();
+        } else if (nextCheckMs < Long.MAX_VALUE) {
+            mCancelSilenceCheck = mContext.timers().at(nowMs, nextCheckMs, this::checkSilence);
             if (ended()) {
-                mLook.run();
+                mCancelSilenceCheck.run();
             }
         }
     }
@@ -100,8 +100,8 @@
 
     @Override
     public void cancel(long nowMs) {
-        if (end(nowMs, AttemptOutcome.CANCELLED)) {
-            close();
+        if (tryEnd(nowMs, AttemptOutcome.CANCELLED)) {
+            closeConnection();
         }
     }
 
@@ -129,7 +129,7 @@
         mContentType = headers.getOrDefault("content-type", JSON);
         mLeaving = Boolean.parseBoolean(headers.get(UpstreamHeaders.LEAVING));
         if (mLeaving) {
-            mCalls.table()
+            mContext.table()
                     .onLeaving(
                             nowMs(),
                             mChoice.upstream(),
@@ -140,44 +140,46 @@
 
     @Override
     public void onData(byte[] chunk) {
-        notePart();
+        recordPart();
         mBody.write(chunk, 0, chunk.length);
-        if (mBody.size() > mCalls.settings().maxAnswerBytes()) {
-            fault(AttemptOutcome.UPSTREAM_ERROR, "its answer is too large");
-            close();
+        if (mBody.size() > mContext.settings().maxAnswerBytes()) {
+            fail(AttemptOutcome.UPSTREAM_ERROR, "its answer is too large");
+            closeConnection();
         }
     }
 
     @Override
     public void onEnd() {
-        noteFirst();
+        recordFirstPart();
         long nowMs = nowMs();
         UpstreamAnswer answer = new UpstreamAnswer(mStatus, mContentType, mBody.toByteArray());
-        AttemptOutcome outcome = outcome(mStatus, mLeaving);
-        if (outcome == AttemptOutcome.SUCCEEDED && end(nowMs, outcome)) {
+        AttemptOutcome outcome = outcomeOf(mStatus, mLeaving);
+        if (outcome == AttemptOutcome.SUCCEEDED && tryEnd(nowMs, outcome)) {
             mListener.onWhole(nowMs, mNumber, answer);
-        } else if (outcome == AttemptOutcome.REJECTED && end(nowMs, outcome)) {
+        } else if (outcome == AttemptOutcome.REJECTED && tryEnd(nowMs, outcome)) {
             mListener.onRejected(nowMs, mNumber, answer);
         } else {
-            fault(outcome, "it answered with status " + mStatus);
+            fail(outcome, "it answered with status " + mStatus);
         }
     }
 
     @Override
     public void onFailure(boolean sent, String reason) {
-        fault(failure(sent), reason);
+        fail(connectionLostOutcome(sent), reason);
     }
 
     /** Returns how a lost connection ends the attempt. */
-    private AttemptOutcome failure(boolean sent) {
+    private AttemptOutcome connectionLostOutcome(boolean sent) {
         if (!sent) {
             return AttemptOutcome.CONNECT_FAILED;
         }
-        return mFirstSeen ? AttemptOutcome.BROKEN_IN_ANSWER : AttemptOutcome.BROKEN_BEFORE_ANSWER;
+        return mFirstPartSeen
+                ? AttemptOutcome.BROKEN_IN_ANSWER
+                : AttemptOutcome.BROKEN_BEFORE_ANSWER;
     }
 
     /** Returns how an answer of a status ends the attempt. */
-    AttemptOutcome outcome(int status, boolean leaving) {
+    AttemptOutcome outcomeOf(int status, boolean leaving) {
         if (status >= 200 && status < 300) {
             return AttemptOutcome.SUCCEEDED;
         }
@@ -193,49 +195,49 @@
     }
 
     /** Learns the time to the first part of an answer. */
-    final void noteFirst() {
-        if (!mFirstSeen) {
-            mFirstSeen = true;
-            mCalls.chooser().onFirstToken(nowMs(), mChoice);
+    final void recordFirstPart() {
+        if (!mFirstPartSeen) {
+            mFirstPartSeen = true;
+            mContext.chooser().onFirstToken(nowMs(), mChoice);
         }
     }
 
     /** Learns that the answer goes on. */
-    final void notePart() {
-        boolean first = !mFirstSeen;
-        noteFirst();
+    final void recordPart() {
+        boolean first = !mFirstPartSeen;
+        recordFirstPart();
         long nowMs = nowMs();
         long gapMs = mWatch.onPart(nowMs);
         if (first) {
-            mLook.run();
-            look(nowMs);
+            mCancelSilenceCheck.run();
+            checkSilence(nowMs);
         }
         if (gapMs >= 0) {
-            mCalls.chooser().onProgress(nowMs, mChoice, gapMs);
+            mContext.chooser().onProgress(nowMs, mChoice, gapMs);
         }
     }
 
     /** Ends the attempt as failed and tells the flow, unless it has ended before. */
-    final void fault(AttemptOutcome outcome, String reason) {
+    final void fail(AttemptOutcome outcome, String reason) {
         long nowMs = nowMs();
-        if (end(nowMs, outcome)) {
-            String what = "upstream " + mChoice.upstream() + ": " + reason;
-            mListener.onFault(nowMs, mNumber, new AttemptFault(outcome, what));
+        if (tryEnd(nowMs, outcome)) {
+            String message = "upstream " + mChoice.upstream() + ": " + reason;
+            mListener.onFault(nowMs, mNumber, new AttemptFault(outcome, message));
         }
     }
 
     /** Ends the attempt and gives its place back; returns false where it has ended before. */
-    final boolean end(long nowMs, AttemptOutcome outcome) {
+    final boolean tryEnd(long nowMs, AttemptOutcome outcome) {
         if (!mEnded.compareAndSet(false, true)) {
             return false;
         }
-        mCalls.chooser().onEnded(nowMs, mChoice, outcome);
-        mLook.run();
+        mContext.chooser().onEnded(nowMs, mChoice, outcome);
+        mCancelSilenceCheck.run();
         return true;
     }
 
     /** Closes the connection, also one that is only being opened. */
-    final void close() {
+    final void closeConnection() {
         mClosed = true;
         HttpClient.Call call = mCall;
         if (call != null) {
@@ -256,14 +258,14 @@
     }
 
     final long nowMs() {
-        return mCalls.clock().nowMs();
+        return mContext.clock().nowMs();
     }
 
     final AttemptListener listener() {
         return mListener;
     }
 
-    final AttemptContext calls() {
-        return mCalls;
+    final AttemptContext context() {
+        return mContext;
     }
 }
--- a/router/src/main/java/org/hornbeampass/router/upstream/LoadPoller.java
+++ b/router/src/main/java/org/hornbeampass/router/upstream/LoadPoller.java
@@ -22,16 +22,16 @@
  *
  * <p>Invariants: at most {@value #POLLS_PER_SECOND} engines are asked in a second, so that what
  * control costs does not grow with the fleet; each engine is asked at most every {@value
- * #MIN_INTERVAL_MS} ms. Used on the control loop only, but for the counts.
+ * #MIN_ENGINE_INTERVAL_MS} ms. Used on the control loop only, but for the counts.
  */
 public final class LoadPoller {
     /** How many engines are asked in a second; an answer takes about 700 bytes with its request. */
     static final int POLLS_PER_SECOND = 3;
 
     /** How often one engine is asked at most, in milliseconds. */
-    static final long MIN_INTERVAL_MS = 500;
+    static final long MIN_ENGINE_INTERVAL_MS = 500;
 
-    private static final long GAP_MS = 1_000 / POLLS_PER_SECOND;
+    private static final long POLL_INTERVAL_MS = 1_000 / POLLS_PER_SECOND;
     private static final long TIMEOUT_MS = 1_000;
     private static final int MAX_BYTES = 64 << 10;
     private static final int HEAD_BYTES = 300;
@@ -40,9 +40,9 @@
     private final Supplier<ConfigSnapshot> mConfig;
     private final HttpClient mClient;
     private final Clock mClock;
-    private final Map<UpstreamId, Long> mAskedMs = new HashMap<>();
+    private final Map<UpstreamId, Long> mPolledAtMs = new HashMap<>();
     private final AtomicLong mBytes = new AtomicLong();
-    private long mLastMs;
+    private long mLastPollMs;
 
     /**
      * Makes the poller.
@@ -62,18 +62,18 @@
 
     /** Asks the engine that was not asked for the longest time, where it is time. */
     public void tick(long nowMs) {
-        if (nowMs - mLastMs < GAP_MS) {
+        if (nowMs - mLastPollMs < POLL_INTERVAL_MS) {
             return;
         }
-        Optional<UpstreamSpec> next = next(nowMs);
+        Optional<UpstreamSpec> next = nextEngine(nowMs);
         if (next.isPresent()) {
-            mLastMs = nowMs;
-            mAskedMs.put(next.get().id(), nowMs);
-            ask(next.get());
+            mLastPollMs = nowMs;
+            mPolledAtMs.put(next.get().id(), nowMs);
+            poll(next.get());
         }
     }
 
-    private Optional<UpstreamSpec> next(long nowMs) {
+    private Optional<UpstreamSpec> nextEngine(long nowMs) {
         Map<UpstreamId, UpstreamSpec> specs = mConfig.get().upstreams();
         List<UpstreamSpec> engines = new ArrayList<>();
         for (UpstreamId id : mTable.subset()) {
@@ -82,17 +82,17 @@
                 engines.add(spec);
             }
         }
-        mAskedMs.keySet().retainAll(engines.stream().map(UpstreamSpec::id).toList());
+        mPolledAtMs.keySet().retainAll(engines.stream().map(UpstreamSpec::id).toList());
         return engines.stream()
-                .filter(e -> nowMs - asked(e) >= MIN_INTERVAL_MS)
-                .min((a, b) -> Long.compare(asked(a), asked(b)));
+                .filter(e -> nowMs - polledAtMs(e) >= MIN_ENGINE_INTERVAL_MS)
+                .min((a, b) -> Long.compare(polledAtMs(a), polledAtMs(b)));
     }
 
-    private long asked(UpstreamSpec engine) {
-        return mAskedMs.getOrDefault(engine.id(), 0L);
+    private long polledAtMs(UpstreamSpec engine) {
+        return mPolledAtMs.getOrDefault(engine.id(), 0L);
     }
 
-    private void ask(UpstreamSpec engine) {
+    private void poll(UpstreamSpec engine) {
         HttpClient.Request request =
                 new HttpClient.Request(
                         "GET",
@@ -101,7 +101,7 @@
                         new byte[0],
                         TIMEOUT_MS,
                         TIMEOUT_MS);
-        mClient.send(request, new Answer(engine.id()));
+        mClient.send(request, new AnswerCollector(engine.id()));
     }
 
     /** Returns the bytes that questions and answers took, about. */
@@ -110,18 +110,18 @@
     }
 
     /** Collects one answer; a failure says nothing, since requests show it sooner. */
-    private final class Answer implements HttpClient.Listener {
+    private final class AnswerCollector implements HttpClient.Listener {
         private final UpstreamId mId;
         private final ByteArrayOutputStream mBody = new ByteArrayOutputStream();
-        private boolean mGood;
+        private boolean mUsable;
 
-        Answer(UpstreamId id) {
+        AnswerCollector(UpstreamId id) {
             mId = id;
         }
 
         @Override
         public void onHead(int status, Map<String, String> headers) {
-            mGood = status == 200;
+            mUsable = status == 200;
         }
 
         @Override
@@ -129,7 +129,7 @@
             if (mBody.size() + chunk.length <= MAX_BYTES) {
                 mBody.writeBytes(chunk);
             } else {
-                mGood = false;
+                mUsable = false;
             }
         }
 
@@ -137,8 +137,8 @@
         public void onEnd() {
             mBytes.addAndGet(HEAD_BYTES + mBody.size());
             long nowMs = mClock.nowMs();
-            if (mGood) {
-                LoadAnswer.read(nowMs, mBody.toByteArray())
+            if (mUsable) {
+                LoadReportReader.read(nowMs, mBody.toByteArray())
                         .ifPresent(report -> mTable.onLoadReport(nowMs, mId, report));
             }
         }
--- a/router/src/main/java/org/hornbeampass/router/upstream/LoadAnswer.java
+++ b/router/src/main/java/org/hornbeampass/router/upstream/LoadReportReader.java
@@ -16,11 +16,11 @@
  *
  * <p>Stateless; safe for use by any thread.
  */
-final class LoadAnswer {
+final class LoadReportReader {
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final long MAX_SKEW_MS = 60_000;
 
-    private LoadAnswer() {}
+    private LoadReportReader() {}
 
     /**
      * Returns the report; empty where the body is not of the known shape.
--- a/router/src/main/java/org/hornbeampass/router/upstream/ServiceAttempt.java
+++ b/router/src/main/java/org/hornbeampass/router/upstream/ServiceAttempt.java
@@ -16,12 +16,12 @@
     private final boolean mRepeatable;
 
     ServiceAttempt(
-            AttemptContext calls,
+            AttemptContext context,
             UpstreamChoice choice,
             int number,
             AttemptListener listener,
             boolean repeatable) {
-        super(calls, choice, number, listener, kind(repeatable));
+        super(context, choice, number, listener, kind(repeatable));
         mRepeatable = repeatable;
     }
 
@@ -30,7 +30,7 @@
     }
 
     @Override
-    AttemptOutcome outcome(int status, boolean leaving) {
-        return mRepeatable ? super.outcome(status, leaving) : AttemptOutcome.SUCCEEDED;
+    AttemptOutcome outcomeOf(int status, boolean leaving) {
+        return mRepeatable ? super.outcomeOf(status, leaving) : AttemptOutcome.SUCCEEDED;
     }
 }
--- a/router/src/main/java/org/hornbeampass/router/upstream/ServiceDispatcher.java
+++ b/router/src/main/java/org/hornbeampass/router/upstream/ServiceDispatcher.java
@@ -17,27 +17,27 @@
     /**
      * Makes the route of one call.
      *
-     * @param calls what all attempts share
+     * @param context what all attempts share
      * @param requestId the request's id
      * @param query what is needed
      * @param call what is sent
      * @param repeatable whether the call may run more than once
      */
     public ServiceDispatcher(
-            AttemptContext calls,
+            AttemptContext context,
             String requestId,
             RoutingQuery query,
             ServiceCall call,
             boolean repeatable) {
-        super(calls, requestId, repeatable, query);
+        super(context, requestId, repeatable, query);
         mCall = call;
         mRepeatable = repeatable;
     }
 
     @Override
-    HttpAttempt attempt(
+    HttpAttempt newAttempt(
             UpstreamChoice choice, int number, Relayed relayed, AttemptListener listener) {
-        return new ServiceAttempt(calls(), choice, number, listener, mRepeatable);
+        return new ServiceAttempt(context(), choice, number, listener, mRepeatable);
     }
 
     @Override
--- a/router/src/main/java/org/hornbeampass/router/upstream/UpstreamDispatcher.java
+++ b/router/src/main/java/org/hornbeampass/router/upstream/UpstreamDispatcher.java
@@ -31,24 +31,24 @@
 abstract class UpstreamDispatcher implements UpstreamPort {
     private static final String JSON = "application/json";
 
-    private final AttemptContext mCalls;
+    private final AttemptContext mContext;
     private final String mRequestId;
     private final boolean mRepeatable;
     private RoutingQuery mQuery;
     private int mAttempts;
-    private boolean mSentBefore;
-    private UpstreamId mLast;
+    private boolean mMayHaveBeenSent;
+    private UpstreamId mLastUpstream;
 
     UpstreamDispatcher(
-            AttemptContext calls, String requestId, boolean repeatable, RoutingQuery query) {
-        mCalls = calls;
+            AttemptContext context, String requestId, boolean repeatable, RoutingQuery query) {
+        mContext = context;
         mRequestId = requestId;
         mRepeatable = repeatable;
         mQuery = query;
     }
 
     /** Makes the attempt that is to be sent. */
-    abstract HttpAttempt attempt(
+    abstract HttpAttempt newAttempt(
             UpstreamChoice choice, int number, Relayed relayed, AttemptListener listener);
 
     abstract String method();
@@ -67,22 +67,22 @@
             return Either.left(choice.getLeft());
         }
         if (mAttempts == 0) {
-            mCalls.retryBudget().onFirstAttempt();
+            mContext.retryBudget().onFirstAttempt();
         }
         mAttempts++;
-        mLast = choice.get().upstream();
-        HttpAttempt attempt = attempt(choice.get(), number, relayed, listener);
+        mLastUpstream = choice.get().upstream();
+        HttpAttempt attempt = newAttempt(choice.get(), number, relayed, listener);
         attempt.send(request(nowMs, choice.get(), relayed, attempt.connectMs()));
         return Either.right(attempt);
     }
 
     /** Chooses among those not tried, and among all where none of those is left. */
     private Either<Failure, UpstreamChoice> choose(long nowMs) {
-        Either<Failure, UpstreamChoice> choice = mCalls.chooser().choose(nowMs, mQuery);
+        Either<Failure, UpstreamChoice> choice = mContext.chooser().choose(nowMs, mQuery);
         if (choice.isRight() || mQuery.excluded().isEmpty()) {
             return choice;
         }
-        return mCalls.chooser().choose(nowMs, excluding(Set.of()));
+        return mContext.chooser().choose(nowMs, excluding(Set.of()));
     }
 
     @Override
@@ -96,9 +96,10 @@
                         true,
                         mQuery.deadline());
         RetryDecision decision =
-                mCalls.retries().decide(nowMs, failed, mSentBefore, mCalls.retryBudget());
-        mSentBefore |= fault.outcome().mayHaveSent();
-        mQuery = mQuery.without(mLast);
+                mContext.retryPolicy()
+                        .decide(nowMs, failed, mMayHaveBeenSent, mContext.retryBudget());
+        mMayHaveBeenSent |= fault.outcome().mayHaveSent();
+        mQuery = mQuery.without(mLastUpstream);
         if (decision instanceof RetryDecision.RetryElsewhere elsewhere) {
             return new Retry.Again(elsewhere.delayMs());
         }
@@ -121,7 +122,7 @@
         headers.put("content-type", contentType());
         headers.put("accept", JSON + ", text/event-stream");
         headers.put(UpstreamHeaders.REQUEST_ID, mRequestId);
-        headers.put(UpstreamHeaders.ATTEMPT_ID, mCalls.vm() + "-" + choice.attempt());
+        headers.put(UpstreamHeaders.ATTEMPT_ID, mContext.vm() + "-" + choice.attempt());
         headers.put(UpstreamHeaders.PRIORITY, Integer.toString(mQuery.priority()));
         headers.put(
                 UpstreamHeaders.DEADLINE_MS, Long.toString(mQuery.deadline().remainingMs(nowMs)));
@@ -133,16 +134,16 @@
                 URI.create(choice.baseUri() + target()),
                 headers,
                 body(),
-                Math.min(mCalls.settings().connectTimeoutMs(), connectMs),
-                mCalls.settings().idleTimeoutMs());
+                Math.min(mContext.settings().connectTimeoutMs(), connectMs),
+                mContext.settings().idleTimeoutMs());
     }
 
     @Override
     public final Optional<UpstreamId> lastUpstream() {
-        return Optional.ofNullable(mLast);
+        return Optional.ofNullable(mLastUpstream);
     }
 
-    final AttemptContext calls() {
-        return mCalls;
+    final AttemptContext context() {
+        return mContext;
     }
 }
--- a/router/src/test/java/org/hornbeampass/router/relay/AnswerSignalsTest.java
+++ b/router/src/test/java/org/hornbeampass/router/relay/AnswerSignalsTest.java
@@ -35,7 +35,7 @@
 /** Checks which answers change what is known of a rate limit. */
 class AnswerSignalsTest {
     private static final long ASKED_MS = 1_000;
-    private static final long HEARD_MS = 1_100;
+    private static final long RECEIVED_MS = 1_100;
     private static final ServiceSpec SERVICE = new ServiceSpec("s", 100, Optional.empty());
 
     private final SignalTable mTable = new SignalTable();
@@ -53,7 +53,7 @@
     private UpstreamInstance mUpstream;
 
     @BeforeEach
-    void list() {
+    void addUpstream() {
         mBoard.onEntry(
                 0,
                 new UpstreamEntry(
@@ -61,15 +61,15 @@
         mUpstream = mBoard.choose(0, SERVICE, Prompt.NONE, Set.of()).orElseThrow().instance();
     }
 
-    private void answer(AnswerOutcome kind, boolean proven, OptionalDouble limit, long askedMs) {
+    private void answer(AnswerOutcome outcome, boolean proven, OptionalDouble limit, long askedMs) {
         mSignals.onAnswer(
-                askedMs + HEARD_MS - ASKED_MS,
+                askedMs + RECEIVED_MS - ASKED_MS,
                 askedMs,
                 mUpstream,
-                new AnswerHead(kind, proven, false, OptionalLong.empty(), limit));
+                new AnswerHead(outcome, proven, false, OptionalLong.empty(), limit));
     }
 
-    private void nameOne() {
+    private void answerWithLimit() {
         answer(AnswerOutcome.SUCCEEDED, true, OptionalDouble.of(1), ASKED_MS);
     }
 
@@ -78,59 +78,59 @@
     }
 
     @Test
-    void refusalThatNamesALimit_counts() {
+    void refusalWithALimit_setsTheLimit() {
         answer(AnswerOutcome.NOT_RUN, false, OptionalDouble.of(1), ASKED_MS);
         assertThat(limit()).hasValue(1);
     }
 
     @Test
-    void provenAnswerWithoutALimit_endsIt() {
-        nameOne();
-        answer(AnswerOutcome.SUCCEEDED, true, OptionalDouble.empty(), HEARD_MS);
+    void sealedAnswerWithoutALimit_removesTheLimit() {
+        answerWithLimit();
+        answer(AnswerOutcome.SUCCEEDED, true, OptionalDouble.empty(), RECEIVED_MS);
         assertThat(limit()).isEmpty();
     }
 
     @Test
-    void refusalsAndErrorsWithoutALimit_doNotEndIt() {
-        nameOne();
-        answer(AnswerOutcome.NOT_RUN, false, OptionalDouble.empty(), HEARD_MS);
-        answer(AnswerOutcome.SUCCEEDED, false, OptionalDouble.empty(), HEARD_MS);
-        answer(AnswerOutcome.FAILED, false, OptionalDouble.empty(), HEARD_MS);
+    void refusalsAndUnsealedAnswersWithoutALimit_keepTheLimit() {
+        answerWithLimit();
+        answer(AnswerOutcome.NOT_RUN, false, OptionalDouble.empty(), RECEIVED_MS);
+        answer(AnswerOutcome.SUCCEEDED, false, OptionalDouble.empty(), RECEIVED_MS);
+        answer(AnswerOutcome.FAILED, false, OptionalDouble.empty(), RECEIVED_MS);
         assertThat(limit()).hasValue(1);
     }
 
     @Test
-    void answersOfOtherUpstreamsAndToOtherRequests_sayNothing() {
+    void answersOfWrongUpstreamsOrToOtherRequests_setNoLimit() {
         answer(AnswerOutcome.WRONG_UPSTREAM, true, OptionalDouble.of(1), ASKED_MS);
         answer(AnswerOutcome.UNRELATED, true, OptionalDouble.of(1), ASKED_MS);
         assertThat(limit()).isEmpty();
     }
 
-    private void answerWithPause(AnswerOutcome kind) {
+    private void answerWithPause(AnswerOutcome outcome) {
         mSignals.onAnswer(
-                HEARD_MS,
+                RECEIVED_MS,
                 ASKED_MS,
                 mUpstream,
                 new AnswerHead(
-                        kind, false, false, OptionalLong.of(60_000), OptionalDouble.empty()));
+                        outcome, false, false, OptionalLong.of(60_000), OptionalDouble.empty()));
     }
 
     @Test
-    void lateAnswerToAnotherRequest_asksForNoPause() {
+    void answerToAnotherRequest_startsNoPause() {
         answerWithPause(AnswerOutcome.UNRELATED);
-        assertThat(mBoard.pauseLeftMs(HEARD_MS, "s")).isEmpty();
+        assertThat(mBoard.pauseLeftMs(RECEIVED_MS, "s")).isEmpty();
     }
 
     @Test
-    void refusalOfTheRequest_asksForAPause() {
+    void refusalOfTheRequest_startsAPause() {
         answerWithPause(AnswerOutcome.NOT_RUN);
-        assertThat(mBoard.pauseLeftMs(HEARD_MS, "s")).hasValue(60_000);
+        assertThat(mBoard.pauseLeftMs(RECEIVED_MS, "s")).hasValue(60_000);
     }
 
     @Test
-    void lateAnswerToAnotherRequest_tellsThatItsUpstreamLeaves() {
+    void answerToAnotherRequest_marksItsUpstreamAsLeaving() {
         mSignals.onAnswer(
-                HEARD_MS,
+                RECEIVED_MS,
                 ASKED_MS,
                 mUpstream,
                 new AnswerHead(
--- a/router/src/test/java/org/hornbeampass/router/upstream/HttpAttemptTest.java
+++ b/router/src/test/java/org/hornbeampass/router/upstream/HttpAttemptTest.java
@@ -21,102 +21,103 @@
 class HttpAttemptTest {
     private static final long DEADLINE_MS = 60_000;
 
-    private final UpstreamWorld mWorld = new UpstreamWorld();
+    private final UpstreamFixture mFixture = new UpstreamFixture();
 
     @Test
-    void frozenBeforeFirstToken_isCancelledAndRetriedElsewhere() {
+    void upstreamSilentBeforeFirstToken_isCancelledAndRetriedElsewhere() {
         ChatDispatcher route = chat(true);
         start(route, 1, Relayed.NOTHING);
-        mWorld.call(0).head();
-        mWorld.advance(4_700);
-        assertThat(mWorld.faults()).isEmpty();
+        mFixture.call(0).head();
+        mFixture.advance(4_700);
+        assertThat(mFixture.faults()).isEmpty();
 
-        mWorld.advance(200);
+        mFixture.advance(200);
 
-        assertThat(mWorld.faults()).singleElement().matches(f -> isSilent(f.outcome()));
-        assertThat(mWorld.call(0).cancelled()).isTrue();
-        Retry retry = route.afterFault(mWorld.nowMs(), mWorld.faults().get(0), Relayed.NOTHING);
+        assertThat(mFixture.faults()).singleElement().matches(f -> isSilent(f.outcome()));
+        assertThat(mFixture.call(0).cancelled()).isTrue();
+        Retry retry = route.afterFault(mFixture.nowMs(), mFixture.faults().get(0), Relayed.NOTHING);
         assertThat(retry).isEqualTo(new Retry.Again(0));
         start(route, 2, Relayed.NOTHING);
-        assertThat(mWorld.call(1).uri()).isNotEqualTo(mWorld.call(0).uri());
+        assertThat(mFixture.call(1).uri()).isNotEqualTo(mFixture.call(0).uri());
     }
 
     @Test
-    void frozenInStream_isCancelledAndResumedAtExactOffset() {
+    void upstreamSilentInStream_isCancelledAndResumedAtExactOffset() {
         ChatDispatcher route = chat(true);
         start(route, 1, Relayed.NOTHING);
-        mWorld.call(0).head();
+        mFixture.call(0).head();
         for (int token = 0; token < 3; token++) {
-            mWorld.advance(10);
-            mWorld.call(0).token();
+            mFixture.advance(10);
+            mFixture.call(0).token();
         }
-        mWorld.advance(2_100);
+        mFixture.advance(2_100);
 
-        assertThat(mWorld.chunks()).isEqualTo(3);
-        assertThat(mWorld.faults()).singleElement().matches(f -> isSilent(f.outcome()));
-        assertThat(mWorld.call(0).cancelled()).isTrue();
+        assertThat(mFixture.chunks()).isEqualTo(3);
+        assertThat(mFixture.faults()).singleElement().matches(f -> isSilent(f.outcome()));
+        assertThat(mFixture.call(0).cancelled()).isTrue();
         Relayed relayed = new Relayed(3, 3);
-        assertThat(route.afterFault(mWorld.nowMs(), mWorld.faults().get(0), relayed))
+        assertThat(route.afterFault(mFixture.nowMs(), mFixture.faults().get(0), relayed))
                 .isEqualTo(new Retry.Again(0));
         start(route, 2, relayed);
-        assertThat(mWorld.call(1).header(UpstreamHeaders.RESUME_OFFSET)).isEqualTo("3");
+        assertThat(mFixture.call(1).header(UpstreamHeaders.RESUME_OFFSET)).isEqualTo("3");
     }
 
     @Test
-    void slowButAlive_isNotCut() {
+    void slowStream_isNotCancelled() {
         start(chat(true), 1, Relayed.NOTHING);
-        mWorld.call(0).head();
-        mWorld.advance(4_000);
+        mFixture.call(0).head();
+        mFixture.advance(4_000);
         for (int token = 0; token < 30; token++) {
-            mWorld.call(0).token();
-            mWorld.advance(900);
+            mFixture.call(0).token();
+            mFixture.advance(900);
         }
-        assertThat(mWorld.faults()).isEmpty();
-        assertThat(mWorld.chunks()).isEqualTo(30);
+        assertThat(mFixture.faults()).isEmpty();
+        assertThat(mFixture.chunks()).isEqualTo(30);
     }
 
     @Test
-    void whileCallerDoesNotRead_isNotCut() {
+    void streamPausedByCaller_isNotCancelled() {
         Attempt attempt = start(chat(true), 1, Relayed.NOTHING);
-        mWorld.call(0).head();
-        mWorld.call(0).token();
+        mFixture.call(0).head();
+        mFixture.call(0).token();
         attempt.pause();
-        mWorld.advance(30_000);
+        mFixture.advance(30_000);
         attempt.resume();
-        mWorld.advance(500);
-        mWorld.call(0).token();
+        mFixture.advance(500);
+        mFixture.call(0).token();
 
-        assertThat(mWorld.faults()).isEmpty();
+        assertThat(mFixture.faults()).isEmpty();
     }
 
     @Test
-    void wholeAnswer_hasMorePatienceThanStream() {
+    void wholeAnswer_hasLongerTimeoutThanStream() {
         start(chat(false), 1, Relayed.NOTHING);
-        mWorld.advance(19_900);
-        assertThat(mWorld.faults()).isEmpty();
+        mFixture.advance(19_900);
+        assertThat(mFixture.faults()).isEmpty();
 
-        mWorld.advance(200);
-        assertThat(mWorld.faults()).singleElement().matches(f -> isSilent(f.outcome()));
+        mFixture.advance(200);
+        assertThat(mFixture.faults()).singleElement().matches(f -> isSilent(f.outcome()));
     }
 
     @Test
-    void callThatMayNotBeRepeated_isLeftToItsDeadline() {
+    void callThatMayNotBeRepeated_runsUntilItsDeadline() {
         ServiceCall call = new ServiceCall("records", "POST", "/", "text/plain", new byte[0]);
         RoutingQuery query = query(WorkTarget.service("records"));
-        ServiceDispatcher route = new ServiceDispatcher(mWorld.calls(), "r", query, call, false);
-        route.start(mWorld.nowMs(), 1, Relayed.NOTHING, mWorld.listener());
-        mWorld.advance(DEADLINE_MS - 1);
+        ServiceDispatcher route =
+                new ServiceDispatcher(mFixture.context(), "r", query, call, false);
+        route.start(mFixture.nowMs(), 1, Relayed.NOTHING, mFixture.listener());
+        mFixture.advance(DEADLINE_MS - 1);
 
-        assertThat(mWorld.faults()).isEmpty();
-        assertThat(mWorld.call(0).cancelled()).isFalse();
+        assertThat(mFixture.faults()).isEmpty();
+        assertThat(mFixture.call(0).cancelled()).isFalse();
     }
 
     @Test
     void endedAttempt_leavesNoTimer() {
         Attempt attempt = start(chat(true), 1, Relayed.NOTHING);
-        attempt.cancel(mWorld.nowMs());
+        attempt.cancel(mFixture.nowMs());
 
-        assertThat(mWorld.timers()).isZero();
+        assertThat(mFixture.timers()).isZero();
     }
 
     private static boolean isSilent(AttemptOutcome outcome) {
@@ -124,12 +125,12 @@
     }
 
     private Attempt start(ChatDispatcher route, int number, Relayed relayed) {
-        return route.start(mWorld.nowMs(), number, relayed, mWorld.listener()).get();
+        return route.start(mFixture.nowMs(), number, relayed, mFixture.listener()).get();
     }
 
     private ChatDispatcher chat(boolean stream) {
-        RoutingQuery query = query(WorkTarget.model(UpstreamWorld.MODEL));
-        return new ChatDispatcher(mWorld.calls(), "r", query, new byte[0], stream);
+        RoutingQuery query = query(WorkTarget.model(UpstreamFixture.MODEL));
+        return new ChatDispatcher(mFixture.context(), "r", query, new byte[0], stream);
     }
 
     private static RoutingQuery query(WorkTarget target) {
--- a/router/src/test/java/org/hornbeampass/router/upstream/UpstreamWorld.java
+++ b/router/src/test/java/org/hornbeampass/router/upstream/UpstreamFixture.java
@@ -34,7 +34,7 @@
  *
  * <p>Not thread-safe.
  */
-final class UpstreamWorld {
+final class UpstreamFixture {
     static final ModelId MODEL = new ModelId("desk");
 
     private static final FailureDomain DOMAIN = new FailureDomain("d");
@@ -43,7 +43,7 @@
     private final List<FakeCall> mCalls = new ArrayList<>();
     private final List<Timer> mTimers = new ArrayList<>();
     private final List<AttemptFault> mFaults = new ArrayList<>();
-    private final AttemptContext mShared;
+    private final AttemptContext mContext;
     private long mNowMs;
     private int mChunks;
 
@@ -101,7 +101,7 @@
         public void resume() {}
     }
 
-    UpstreamWorld() {
+    UpstreamFixture() {
         UpstreamTable table =
                 new UpstreamTable(
                         new Placement("vm-0", DOMAIN, REGION), RoutingSettings.defaults());
@@ -115,7 +115,7 @@
                                 new UpstreamId("a"), spec("a", Optional.of(MODEL)),
                                 new UpstreamId("b"), spec("b", Optional.of(MODEL)),
                                 new UpstreamId("s"), spec("s", Optional.empty()))));
-        mShared =
+        mContext =
                 new AttemptContext(
                         new VmId("vm-0", 1),
                         table,
@@ -128,8 +128,8 @@
                         UpstreamSettings.defaults());
     }
 
-    AttemptContext calls() {
-        return mShared;
+    AttemptContext context() {
+        return mContext;
     }
 
     FakeCall call(int index) {
