--- a/router/src/main/java/org/hornbeampass/router/relay/AnswerHead.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/AnswerHead.java
@@ -4,17 +4,18 @@
 import java.util.OptionalLong;
 
 /**
- * What the head of an upstream's answer says of the request, and of the upstream itself.
+ * The contents of the head of an upstream's answer: the outcome of the request and the upstream's
+ * signals about itself.
  *
  * <p>Immutable; safe for use by any thread.
  *
- * @param outcome what became of the request
- * @param hasSeal whether it bears what proves that the upstream itself made it
- * @param leaving whether the upstream says that it leaves
- * @param pauseMs for how long the upstream wants nothing from this VM, in milliseconds, where it
- *     says so
- * @param limitPerSecond how many requests the upstream takes from all VMs together, in a second;
- *     empty where it names no limit
+ * @param outcome how the upstream handled the request
+ * @param hasSeal whether the answer bears the seal of the upstream itself
+ * @param leaving whether the upstream announces that it is leaving
+ * @param pauseMs for how long the upstream asks this VM to send it nothing, in milliseconds; empty
+ *     where it does not ask
+ * @param limitPerSecond how many requests per second the upstream accepts from all VMs together;
+ *     empty where it states no limit
  */
 public record AnswerHead(
         AnswerOutcome outcome,
--- a/router/src/main/java/org/hornbeampass/router/relay/AnswerOutcome.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/AnswerOutcome.java
@@ -1,21 +1,23 @@
 package org.hornbeampass.router.relay;
 
 /**
- * What the head of an upstream's answer says about the request that it answers.
+ * How an upstream handled a request, as read from the head of its answer.
  *
  * <p>Immutable; safe for use by any thread.
  */
 public enum AnswerOutcome {
-    /** The request was run well. */
+    /** The upstream ran the request without failing. */
     SUCCEEDED,
-    /** The request was run, and failed. */
+    /** The upstream ran the request and failed. */
     FAILED,
-    /** The upstream had no room, and did not run it. */
+    /** The upstream had no free capacity and did not run the request. */
     NOT_RUN,
-    /** Another upstream has this address by now, and did not run it. */
+    /** A different upstream now listens at the address; it did not run the request. */
     WRONG_UPSTREAM,
-    /** It claims success but lacks what proves it, and is not passed on. */
+    /**
+     * The answer claims success but lacks the headers that prove its origin; it is not passed on.
+     */
     UNVERIFIED,
-    /** It answers another request. */
+    /** The answer belongs to another request. */
     UNRELATED
 }
--- a/router/src/main/java/org/hornbeampass/router/relay/AnswerSignals.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/AnswerSignals.java
@@ -6,7 +6,8 @@
 import org.hornbeampass.coordination.service.UpstreamSignals;
 
 /**
- * Takes what upstreams say of themselves in their answers, whatever became of the request.
+ * Applies the signals that upstreams send about themselves in the heads of their answers, whatever
+ * the outcome of the request.
  *
  * <p>Confined to one event loop.
  */
@@ -20,13 +21,14 @@
     }
 
     /**
-     * Takes the head of an answer. One of another upstream at the same address says nothing; one to
-     * another request may be late, and says only what is never taken back.
+     * Applies the signals in the head of an answer. An answer of a different upstream at the same
+     * address is ignored. An answer to another request may be late, so only a signal that is never
+     * withdrawn is taken from it.
      *
      * @param nowMs the present time in milliseconds
      * @param askedMs when the request was sent, in milliseconds
-     * @param upstream the upstream
-     * @param answer the head
+     * @param upstream the upstream to which the request was sent
+     * @param answer the head of the answer
      */
     void onAnswer(long nowMs, long askedMs, UpstreamInstance upstream, AnswerHead answer) {
         if (answer.outcome() == AnswerOutcome.WRONG_UPSTREAM) {
@@ -45,9 +47,14 @@
         mExchange.onAnswer(nowMs, upstream, new UpstreamSignals(answer.leaving(), limit));
     }
 
-    /** Only a proven answer tells that there is no limit: refusals and errors may name none. */
+    /**
+     * Returns the rate limit that an answer states. Only an answer with a seal can state that there
+     * is no limit, since refusals and errors may leave a limit out.
+     */
     private static RateLimit rateLimit(long nowMs, long askedMs, AnswerHead answer) {
-        boolean tells = answer.limitPerSecond().isPresent() || answer.hasSeal();
-        return tells ? new RateLimit(answer.limitPerSecond(), askedMs, nowMs) : RateLimit.UNKNOWN;
+        boolean conclusive = answer.limitPerSecond().isPresent() || answer.hasSeal();
+        return conclusive
+                ? new RateLimit(answer.limitPerSecond(), askedMs, nowMs)
+                : RateLimit.UNKNOWN;
     }
 }
--- a/router/src/main/java/org/hornbeampass/router/relay/AnswerStream.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/AnswerStream.java
@@ -8,10 +8,11 @@
 import org.hornbeampass.transport.relay.EventScanner;
 
 /**
- * Passes a stream of events on and remembers how far the caller has got.
+ * Forwards a stream of events to the caller and remembers the last event that the caller received.
  *
- * <p>Invariants: where the stream can go on at another upstream only whole events are passed on,
- * each once and in order; otherwise bytes go on as they come. Confined to one event loop.
+ * <p>Invariants: where the stream can be resumed at another upstream, only whole events are
+ * forwarded, each once and in order; otherwise bytes are forwarded as they arrive. Confined to one
+ * event loop.
  */
 final class AnswerStream {
     private static final long NONE = -1;
@@ -25,11 +26,11 @@
     private boolean mGap;
 
     /**
-     * Makes the stream of one answer.
+     * Creates the stream of one answer.
      *
-     * @param caller gets the events
-     * @param wholeEvents whether only whole events are passed on
-     * @param lastEventId the last event that the caller had before; -1 where none
+     * @param caller receives the events
+     * @param wholeEvents whether only whole events are forwarded
+     * @param lastEventId the id of the last event that the caller had received before; -1 for none
      */
     AnswerStream(CallerConnection caller, boolean wholeEvents, long lastEventId) {
         mCaller = caller;
@@ -37,29 +38,29 @@
         mLastEventId = lastEventId;
     }
 
-    /** Returns how many whole events were passed on. */
+    /** Returns how many whole events were forwarded. */
     long eventCount() {
         return mEventCount;
     }
 
-    /** Returns the id of the last event that was passed on whole; -1 where there is none. */
+    /** Returns the id of the last event that was forwarded whole; -1 where there is none. */
     long lastEventId() {
         return mLastEventId;
     }
 
-    /** Returns whether an upstream left events out, so that the stream can't go on. */
+    /** Returns whether an upstream omitted events, so that the stream can't be continued. */
     boolean hasGap() {
         return mGap;
     }
 
-    /** Forgets the part of an event that another upstream will send again. */
+    /** Discards an incomplete event, which the next upstream will send again in whole. */
     void discardPartialEvent() {
         mPartialEvent.release();
         mPartialEvent = Unpooled.EMPTY_BUFFER;
         mScanner = new EventScanner();
     }
 
-    /** Takes bytes of the answer; they are released. */
+    /** Forwards what can be forwarded of the next bytes of the answer and releases them. */
     void append(ByteBuf part) {
         if (!mWholeEvents) {
             mScanner.scan(part, (end, id) -> countEvent(id));
@@ -93,7 +94,7 @@
         }
     }
 
-    /** Passes on what follows the last whole event, at the proper end of the answer. */
+    /** Forwards the bytes that follow the last whole event, once the answer has ended properly. */
     void end() {
         if (mPartialEvent.isReadable()) {
             mCaller.sendPart(
--- a/router/src/main/java/org/hornbeampass/router/relay/BufferedAnswer.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/BufferedAnswer.java
@@ -9,10 +9,11 @@
 import java.util.Optional;
 
 /**
- * An answer in one piece, held until it is whole, so that a broken one is never begun.
+ * An answer that is buffered until it is whole, so that the caller never receives the start of an
+ * answer that breaks.
  *
- * <p>Invariant: an answer larger than the bound is passed on as it comes from then on. Confined to
- * one event loop.
+ * <p>Invariant: once an answer exceeds {@link #MAX_BUFFERED_BYTES}, it is forwarded as it arrives.
+ * Confined to one event loop.
  */
 final class BufferedAnswer {
     private static final long MAX_BUFFERED_BYTES = 64 << 10;
@@ -27,7 +28,7 @@
         mCall = call;
     }
 
-    /** Begins with an answer. */
+    /** Starts an answer; an earlier one is discarded. */
     void start(HttpResponse head) {
         reset();
         mHead = Optional.of(head);
@@ -37,12 +38,12 @@
         return mHead.isPresent();
     }
 
-    /** Returns whether the caller has got a part of it. */
+    /** Returns whether a part of the answer was sent to the caller. */
     boolean forwarded() {
         return mForwarded;
     }
 
-    /** Takes a part; returns whether the head was written for it. */
+    /** Adds a part of the answer; returns whether the head has been written. */
     boolean append(ByteBuf part) {
         mParts.add(part);
         mBytes += part.readableBytes();
@@ -52,7 +53,7 @@
         return mForwarded;
     }
 
-    /** Writes what is held; the end is the caller's to write. */
+    /** Writes what is buffered; the user of this class must then end the answer. */
     void end() {
         forward();
     }
@@ -66,7 +67,7 @@
         mParts.clear();
     }
 
-    /** Drops an answer that was not passed on. */
+    /** Discards an answer that was not forwarded. */
     void reset() {
         release();
         mHead = Optional.empty();
--- a/router/src/main/java/org/hornbeampass/router/relay/CallerAnswer.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/CallerAnswer.java
@@ -4,11 +4,11 @@
 import io.netty.handler.codec.http.HttpResponse;
 
 /**
- * What the caller of one request gets: a stream as it comes, or an answer in one piece once it is
- * whole.
+ * The answer to the caller of one request: a stream that is forwarded as it arrives, or an answer
+ * that is buffered until it is whole.
  *
- * <p>Invariant: its head is written once; from then on no failure can be answered. Confined to one
- * event loop.
+ * <p>Invariant: the head of the answer is written once; after that, no failure can be answered.
+ * Confined to one event loop.
  */
 final class CallerAnswer {
     private final RelayCall mCall;
@@ -26,28 +26,28 @@
         mBuffered = new BufferedAnswer(call);
     }
 
-    /** Returns whether its head was written. */
+    /** Returns whether the head of the answer was written. */
     boolean headSent() {
         return mHeadSent;
     }
 
-    /** Returns whether the caller gets a stream, whose head was written. */
+    /** Returns whether the answer is a stream whose head was written. */
     boolean streaming() {
         return mHeadSent && !mBuffered.started();
     }
 
-    /** Begins a stream. */
+    /** Starts a stream and writes its head. */
     void startStream(HttpResponse head) {
         mHeadSent = true;
         mCall.sendHead(head);
     }
 
-    /** Begins an answer in one piece. */
+    /** Starts an answer that is buffered until it is whole. */
     void startBuffered(HttpResponse head) {
         mBuffered.start(head);
     }
 
-    /** Takes a part; returns whether a stream goes on without gaps. */
+    /** Adds a part of the answer; returns false where events are missing from the stream. */
     boolean append(ByteBuf part) {
         if (!streaming()) {
             mHeadSent |= mBuffered.append(part);
@@ -61,7 +61,7 @@
         return !mStream.hasGap();
     }
 
-    /** Writes what is left of it; the end itself is the call's to write. */
+    /** Writes the rest of the answer; the user of this class must then end it. */
     void end() {
         if (mBuffered.started()) {
             mBuffered.end();
@@ -70,29 +70,32 @@
         }
     }
 
-    /** Returns whether another upstream may answer instead, or go on with the stream. */
+    /** Returns whether another upstream may answer instead, or continue the stream. */
     boolean canRestart() {
         return !mBuffered.forwarded();
     }
 
-    /** Drops what came of an answer that was lost. */
+    /** Discards the part of a lost answer that was not forwarded. */
     void discardUnsent() {
         mBuffered.reset();
         mStream.discardPartialEvent();
     }
 
-    /** Drops what was not written. */
+    /** Releases everything that was not written. */
     void release() {
         mBuffered.release();
         mStream.release();
     }
 
-    /** Returns how many events of a stream were passed on. */
+    /** Returns how many events of a stream were forwarded. */
     long eventCount() {
         return mStream.eventCount();
     }
 
-    /** Returns after which event of a stream another upstream would go on; -1 where none. */
+    /**
+     * Returns the id of the event after which another upstream would resume the stream; -1 for
+     * none.
+     */
     long lastEventId() {
         return mStream.lastEventId();
     }
--- a/router/src/main/java/org/hornbeampass/router/relay/CallerHead.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/CallerHead.java
@@ -6,16 +6,17 @@
 import java.util.OptionalLong;
 
 /**
- * What a request's head says, apart from method, path and body.
+ * The contents of the head of a caller's request, apart from method, path and body.
  *
  * <p>Immutable; safe for use by any thread.
  *
- * @param id names this attempt of the caller; no two attempts share one
- * @param host the host asked for
- * @param timeoutMs how long the caller waits, in milliseconds from the head's arrival
- * @param apiKey the key that the caller shows
- * @param prompt what a model reads and may write for it
- * @param lastEventId the last event that the caller has, where it goes on with a stream
+ * @param id identifies this attempt of the caller; no two attempts share one
+ * @param host the requested host
+ * @param timeoutMs how long the caller waits, in milliseconds from the arrival of the head
+ * @param apiKey the caller's API key
+ * @param prompt the prompt that a model has to read, and the most tokens that it may generate
+ * @param lastEventId the id of the last event that the caller has received, where it resumes a
+ *     stream
  */
 public record CallerHead(
         String id,
--- a/router/src/main/java/org/hornbeampass/router/relay/CrashDetector.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/CrashDetector.java
@@ -13,12 +13,12 @@
 import java.util.Set;
 
 /**
- * Distinguishes the crash of an upstream from a single connection that broke.
+ * Distinguishes the crash of an upstream from the loss of a single connection.
  *
- * <p>A connection breaks where a link resets it, an answer is lost or damaged, or its upstream
- * crashes. After a crash nobody listens at the upstream's address any more, which one new
- * connection finds out. Invariants: at most one is opened at a time for an upstream; the end of an
- * upstream that had said that it leaves is no crash. Confined to one event loop.
+ * <p>A connection is lost where a link resets it, an answer is lost or damaged, or its upstream
+ * crashes. After a crash nothing listens at the upstream's address any more, which opening one new
+ * connection (a probe) shows. Invariants: at most one probe per upstream is open at a time; the end
+ * of an upstream that had announced that it is leaving is not a crash. Confined to one event loop.
  */
 final class CrashDetector {
     private final UpstreamPool mPool;
@@ -35,11 +35,11 @@
     }
 
     /**
-     * Looks whether an upstream has crashed, since a connection broke on which a request was in
-     * progress.
+     * Checks whether an upstream has crashed, after a connection was lost on which a request was in
+     * flight.
      *
      * @param instance the upstream
-     * @param digest the request
+     * @param digest the digest of the request
      */
     void onConnectionLost(UpstreamInstance instance, RequestDigest digest) {
         if (instance.leaving()) {
@@ -66,8 +66,8 @@
     }
 
     /**
-     * Records a crash of an upstream whose entry tells a later start while a request was in
-     * progress there.
+     * Records a crash of an upstream whose registered entry shows a later start while a request was
+     * in flight there.
      */
     void onRestarted(long nowMs, UpstreamInstance instance, RequestDigest digest) {
         if (!instance.leaving()) {
--- a/router/src/main/java/org/hornbeampass/router/relay/CrashHistory.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/CrashHistory.java
@@ -8,8 +8,8 @@
 import org.hornbeampass.coordination.service.UpstreamInstance;
 
 /**
- * The crashes of upstreams that one request may have caused: what the fleet knows of them, and what
- * its own sends add.
+ * The crashes of upstreams that one request may have caused: those known to the fleet, and those
+ * seen during its own sends.
  *
  * <p>Confined to one event loop.
  */
@@ -30,31 +30,36 @@
         return mIdentity.digest();
     }
 
-    /** Returns the verdict on the request as of now. */
+    /** Returns how strongly the request is suspected at present of crashing upstreams. */
     RequestStanding standing() {
         return mIdentity.standing(mContext.quarantine().suspects());
     }
 
-    /** Takes the loss of the request's connection; returns the verdict before it. */
+    /** Handles the loss of the request's connection; returns the request's standing before it. */
     RequestStanding onConnectionLost(UpstreamInstance instance) {
         RequestStanding before = standing();
         mContext.crashDetector().onConnectionLost(instance, digest());
         return before;
     }
 
-    /** Records that the request's upstream has started again; returns the verdict before it. */
+    /**
+     * Records that the request's upstream has restarted; returns the request's standing before it.
+     */
     RequestStanding onUpstreamRestarted(long nowMs, UpstreamInstance instance) {
         RequestStanding before = standing();
         mContext.crashDetector().onRestarted(nowMs, instance, digest());
         return before;
     }
 
-    /** Returns whether the request may go to an upstream as of now, be it as a trial. */
+    /** Returns whether the request may be sent to an upstream at present, possibly as a trial. */
     boolean mayBeSent(long nowMs) {
         return standing().mayBeSent() || mContext.quarantine().trialDue(nowMs, digest());
     }
 
-    /** Returns whether the request may go out at this moment; a trial is counted and logged. */
+    /**
+     * Returns whether the request may be sent at this moment. Where a quarantined request is sent
+     * as a trial, the trial is counted and logged.
+     */
     boolean tryBeginSend(long nowMs) {
         if (standing().mayBeSent()) {
             return true;
@@ -67,7 +72,7 @@
         return mTrial;
     }
 
-    /** The request has left its upstream; what that told is known. */
+    /** Ends a trial: the request has left its upstream, and the result is recorded. */
     void onSendEnded(long nowMs) {
         if (mTrial) {
             mTrial = false;
@@ -75,14 +80,14 @@
         }
     }
 
-    /** Takes the head of an answer to the request. */
+    /** Records from the head of an answer whether the answer states its own end. */
     void onAnswerHead(HttpResponse head) {
         mDelimited = HttpUtil.isContentLengthSet(head) || HttpUtil.isTransferEncodingChunked(head);
     }
 
     /**
-     * Takes the whole answer of an upstream, which clears the request. Where the answer does not
-     * tell its end, the end of the connection may be a crash.
+     * Clears the request, since an upstream has answered it in whole. Where the answer does not
+     * state its own end, the end of the connection may be a crash.
      */
     void onAnswered(long nowMs, UpstreamInstance instance) {
         if (!mDelimited) {
--- a/router/src/main/java/org/hornbeampass/router/relay/EndToEndHeaders.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/EndToEndHeaders.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 
 /**
- * Tells the headers of a message from those of the connection that carried it.
+ * Separates the end-to-end headers of a message from the hop-by-hop headers of a connection.
  *
  * <p>Stateless; safe for use by any thread.
  */
@@ -30,7 +30,7 @@
 
     private EndToEndHeaders() {}
 
-    /** Returns a copy of the headers without those that concern one connection only. */
+    /** Returns a copy of the headers without those that concern a single connection. */
     static HttpHeaders of(HttpHeaders headers) {
         HttpHeaders copy =
                 DefaultHttpHeadersFactory.headersFactory().withValidation(false).newHeaders();
@@ -46,8 +46,8 @@
 
     private static boolean isListed(List<String> connection, String name) {
         for (String value : connection) {
-            for (String each : value.split(",", -1)) {
-                if (each.strip().equalsIgnoreCase(name)) {
+            for (String token : value.split(",", -1)) {
+                if (token.strip().equalsIgnoreCase(name)) {
                     return true;
                 }
             }
--- a/router/src/main/java/org/hornbeampass/router/relay/InFlightSend.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/InFlightSend.java
@@ -5,10 +5,10 @@
 import org.hornbeampass.coordination.service.UpstreamInstance;
 
 /**
- * The place of one send at an upstream, as this VM counts it.
+ * One send of a request that counts as in flight at its upstream on this VM.
  *
- * <p>Invariant: what was counted at the start is taken back once, at the end at the latest.
- * Confined to one event loop.
+ * <p>Invariant: what is counted at the start is taken off exactly once, at the latest when the send
+ * ends. Confined to one event loop.
  */
 final class InFlightSend implements IncarnationListener {
     private final UpstreamInstance mInstance;
@@ -28,7 +28,7 @@
         return mInstance;
     }
 
-    /** Takes the first part of an answer as evidence. */
+    /** Records the first part of an answer, which shows that the upstream has read the prompt. */
     void onAnswerPart(long nowMs, long sentMs) {
         if (!mPromptRead) {
             mPromptRead = true;
@@ -37,7 +37,7 @@
         }
     }
 
-    /** Returns the prompt tokens that the upstream has to read. */
+    /** Returns the number of prompt tokens that the upstream has to read. */
     long tokensToRead() {
         return mTokensToRead;
     }
@@ -58,7 +58,7 @@
         mOnInstanceEnd.onEnded(nowMs);
     }
 
-    /** Returns the upstream as fields of a log line. */
+    /** Returns the upstream's id and its requests in flight as fields of a log line. */
     LogFields fields() {
         return new LogFields()
                 .add("upstream", mInstance.id())
--- a/router/src/main/java/org/hornbeampass/router/relay/LogFields.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/LogFields.java
@@ -5,13 +5,13 @@
 /**
  * The fields of one log line, as members of a JSON object.
  *
- * <p>Invariant: what it renders can be put between the braces of an object, whatever the values
- * hold. Not thread-safe.
+ * <p>Invariant: the rendered text is valid between the braces of a JSON object, whatever characters
+ * the values contain. Not thread-safe.
  */
 public final class LogFields {
     private final StringBuilder mText = new StringBuilder(96);
 
-    /** Adds a text. */
+    /** Adds a string field. */
     public LogFields add(String name, String value) {
         appendName(name).append('"');
         JsonStringEncoder.getInstance().quoteAsString(value, mText);
@@ -19,19 +19,19 @@
         return this;
     }
 
-    /** Adds a number. */
+    /** Adds a numeric field. */
     public LogFields add(String name, long value) {
         appendName(name).append(value);
         return this;
     }
 
-    /** Adds a truth value. */
+    /** Adds a boolean field. */
     public LogFields add(String name, boolean value) {
         appendName(name).append(value);
         return this;
     }
 
-    /** Adds all fields of another. */
+    /** Adds all fields of another instance. */
     public LogFields addAll(LogFields other) {
         if (!other.isEmpty()) {
             appendSeparator();
--- a/router/src/main/java/org/hornbeampass/router/relay/Refusals.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/Refusals.java
@@ -6,50 +6,53 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The answers to requests that did not run, with the time after which their callers may come back.
+ * Creates the failures for requests that did not run, with the time after which their callers may
+ * retry.
  *
  * <p>Stateless.
  */
 final class Refusals {
-    /** Why a request is kept from upstreams, for its caller. */
+    /** Tells a caller why its request is not sent to upstreams. */
     static final String QUARANTINED_MESSAGE =
-            "upstreams crashed each time that they ran this request, so it is kept from the others";
+            "upstreams crashed each time they ran this request, so it is not sent to any other";
 
-    /** When a caller may come back for tokens: after the next exchange with the store. */
+    /** When to retry for tokens: after the next exchange with the store. */
     private static final long STORE_EXCHANGE_RETRY_MS = 200;
 
     /**
-     * When a caller may come back for tokens while the store can't be reached; one that comes back
-     * during the same cut is refused again.
+     * When to retry for tokens while the store is unreachable; a caller that retries during the
+     * same outage is refused again.
      */
     private static final long STORE_UNREACHABLE_RETRY_MS = 2_500;
 
     /**
-     * When a caller may come back where the store is reached, but neither it nor other VMs have the
-     * tokens: once requests in progress have ended and given back what they did not use.
+     * When to retry where the store is reachable, but neither it nor other VMs have the tokens:
+     * once requests in flight have ended and returned what they did not use.
      */
     private static final long TOKENS_IN_USE_RETRY_MS = 1_500;
 
-    /** When a caller may come back where no upstream has room. */
+    /** When to retry where no upstream has free capacity. */
     private static final long NO_UPSTREAM_RETRY_MS = 250;
 
-    /** When a caller may come back to a VM that knows no configuration yet, or not the newest. */
+    /** When to retry at a VM that has no configuration yet, or perhaps an outdated one. */
     private static final long CONFIGURATION_RETRY_MS = 300;
 
-    /** Over what time callers come back once an upstream's rate limit allows a request again. */
+    /**
+     * Over what time the retries are spread once an upstream's rate limit allows a request again.
+     */
     private static final long RATE_LIMIT_JITTER_MS = 500;
 
     private Refusals() {}
 
-    /** What is known of the tokens that a request lacks. */
+    /** Why a VM lacks the tokens for a request. */
     enum TokenShortage {
-        /** The store can't be reached, nor anything that it holds. */
+        /** The store is unreachable, and so are the tokens that it holds. */
         STORE_UNREACHABLE(STORE_UNREACHABLE_RETRY_MS),
 
-        /** The store may hold more. */
+        /** The store may hold more tokens. */
         STORE_MAY_HAVE_MORE(STORE_EXCHANGE_RETRY_MS),
 
-        /** Requests in progress hold what is left. */
+        /** Requests in flight have reserved the remaining tokens. */
         TOKENS_IN_USE(TOKENS_IN_USE_RETRY_MS);
 
         private final long mRetryMs;
@@ -59,25 +62,28 @@
         }
     }
 
-    /** No configuration is known here yet. */
+    /** This router has no configuration yet. */
     static Failure noConfiguration() {
-        return notReady("no configuration is known here yet; try again or elsewhere");
+        return notReady("this router has no configuration yet; retry later or at another address");
     }
 
-    /** The configuration known here lacks something, and may not be the newest. */
+    /** The configuration on this router lacks something, and may be outdated. */
     static Failure missingHere(String missing) {
-        return notReady(missing + " as far as is known here; try again or elsewhere");
+        return notReady(
+                missing
+                        + "; this router's configuration may be outdated, retry later or at another"
+                        + " address");
     }
 
     private static Failure notReady(String why) {
         return Failure.retryAfter(ErrorKind.NOT_READY, why, CONFIGURATION_RETRY_MS);
     }
 
-    /** This router ends. */
+    /** This router is shutting down. */
     static Failure shuttingDown() {
         return Failure.retryAfter(
                 ErrorKind.SHUTTING_DOWN,
-                "this router shuts down; send the request to another address",
+                "this router is shutting down; send the request to another address",
                 0);
     }
 
@@ -86,27 +92,27 @@
         return Failure.of(ErrorKind.BUDGET_EXHAUSTED, "the prepaid tokens are used up");
     }
 
-    /** The organisation has tokens left, but too few here. */
+    /** The organisation has tokens left, but too few on this VM. */
     static Failure tooFewTokens(TokenShortage shortage) {
         return Failure.retryAfter(
                 ErrorKind.BUDGET_UNREACHABLE,
-                "this router holds too few tokens now; try again or elsewhere",
+                "this router holds too few tokens at present; retry later or at another address",
                 shortage.mRetryMs);
     }
 
     /**
-     * Upstreams crashed under the request.
+     * Upstreams crashed while they ran the request.
      *
-     * @param retryAfterMs when it may be sent again, in milliseconds
+     * @param retryAfterMs after how long the request may be sent again, in milliseconds
      */
     static Failure quarantined(long retryAfterMs) {
         return Failure.retryAfter(
                 ErrorKind.REQUEST_QUARANTINED,
-                QUARANTINED_MESSAGE + "; repeating it is of no use before then",
+                QUARANTINED_MESSAGE + "; a retry before the stated time is refused again",
                 retryAfterMs);
     }
 
-    /** No upstream could take the request. */
+    /** No upstream could accept the request. */
     static Failure noUpstream(String why) {
         return Failure.retryAfter(ErrorKind.NO_UPSTREAM, why, NO_UPSTREAM_RETRY_MS);
     }
@@ -114,7 +120,7 @@
     /**
      * All upstreams have asked for a pause.
      *
-     * @param pauseLeftMs for how long the shortest one lasts still, in milliseconds
+     * @param pauseLeftMs how much longer the shortest pause lasts, in milliseconds
      */
     static Failure upstreamsPaused(long pauseLeftMs) {
         return Failure.retryAfter(
@@ -122,15 +128,15 @@
     }
 
     /**
-     * All upstreams have got as many requests as they take.
+     * All upstreams have reached their rate limits.
      *
-     * @param leftMs when the first one takes a request again, in milliseconds
-     * @param random spreads the callers that are refused at the same time
+     * @param leftMs after how long the first one accepts a request again, in milliseconds
+     * @param random spreads the retries of callers that are refused at the same time
      */
     static Failure rateLimited(long leftMs, RandomGenerator random) {
         return Failure.retryAfter(
                 ErrorKind.NO_UPSTREAM,
-                "all upstreams have got as many requests as they take now",
+                "all upstreams have received as many requests as they take at present",
                 leftMs + random.nextLong(RATE_LIMIT_JITTER_MS));
     }
 }
--- a/router/src/main/java/org/hornbeampass/router/relay/RelayAttempts.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/RelayAttempts.java
@@ -17,11 +17,11 @@
 import java.util.OptionalLong;
 
 /**
- * Sends one admitted request to upstreams, one after another, and passes the answer on.
+ * Sends one admitted request to upstreams, one after another, and forwards the answer.
  *
- * <p>Invariants: at most one upstream works on it at a time; the number of sends stays within the
- * route's, sends to an upstream that turned out to be another one not counted. Confined to one
- * event loop.
+ * <p>Invariants: at most one upstream works on the request at a time; the number of sends stays
+ * within the route's maximum, not counting sends that reached a different upstream than intended.
+ * Confined to one event loop.
  */
 final class RelayAttempts implements UpstreamListener, UpstreamSearch.Listener {
     private final RelayContext mContext;
@@ -58,7 +58,7 @@
                         context, call, plan, crashes, mCounts, this, this::onInstanceEnded);
     }
 
-    /** Sends the request to an upstream that it was not sent to yet. */
+    /** Sends the request to an upstream to which it was not sent yet. */
     void startAttempt(long nowMs) {
         mSearch.start(nowMs);
     }
@@ -78,7 +78,7 @@
         mSilenceTimeout.startForAnswer();
     }
 
-    /** Sends what has come of the body. */
+    /** Sends the parts of the body that have arrived. */
     void onBody(long nowMs) {
         if (mConnection.isPresent() && !mBodySent) {
             sendBody();
@@ -123,7 +123,10 @@
         if (outcome == AnswerOutcome.UNVERIFIED) {
             mSend.get().instance().onBad(nowMs);
             cancelConnection();
-            onAttemptLost(nowMs, "its answer lacks what proves it", mCrashes.standing());
+            onAttemptLost(
+                    nowMs,
+                    "the answer lacks the headers that prove its origin",
+                    mCrashes.standing());
             return true;
         }
         onProcessed(nowMs, head, outcome);
@@ -144,7 +147,7 @@
         if (mCounts.mayResend() && mBody.replayable()) {
             startAttempt(nowMs);
         } else {
-            giveUp(nowMs, "the upstreams have no room now");
+            giveUp(nowMs, "the upstreams have no free capacity at present");
         }
     }
 
@@ -169,7 +172,7 @@
         if (mAnswer.headSent()) {
             if (outcome != AnswerOutcome.SUCCEEDED) {
                 abandonSend();
-                abortAnswer(nowMs, "the stream could not go on at another upstream");
+                abortAnswer(nowMs, "the stream could not be resumed at another upstream");
                 return;
             }
             mSilenceTimeout.startForEvent();
@@ -204,7 +207,7 @@
         boolean continuous = mAnswer.append(part);
         if (!continuous) {
             abandonSend();
-            abortAnswer(nowMs, "an upstream left events out");
+            abortAnswer(nowMs, "an upstream omitted events of the stream");
         }
     }
 
@@ -222,7 +225,7 @@
         }
     }
 
-    /** Reads on once the caller has caught up. */
+    /** Resumes reading the answer once the caller's connection is writable again. */
     void onCallerWritable() {
         mConnection.ifPresent(c -> c.reading(true));
     }
@@ -259,7 +262,7 @@
         onAttemptLost(nowMs, reason, before);
     }
 
-    /** The upstream has started again: what was sent to its former incarnation is lost. */
+    /** Handles the restart of the upstream: what was sent to its former incarnation is lost. */
     private void onInstanceEnded(long nowMs) {
         if (mCall.ended() || mConnection.isEmpty()) {
             return;
@@ -267,15 +270,15 @@
         cancelConnection();
         RequestStanding before =
                 mCrashes.onUpstreamRestarted(nowMs, mSend.orElseThrow().instance());
-        onAttemptLost(nowMs, "the upstream has started again", before);
+        onAttemptLost(nowMs, "the upstream has restarted", before);
     }
 
     /**
-     * Goes on after an upstream was lost, where that is allowed.
+     * Retries after an upstream was lost, where that is allowed; otherwise gives up.
      *
      * @param nowMs the present time in milliseconds
-     * @param reason what happened, for logs
-     * @param before the verdict on the request before this loss
+     * @param reason what happened, for the log
+     * @param before the request's standing before this loss
      */
     private void onAttemptLost(long nowMs, String reason, RequestStanding before) {
         LogFields fields = mSend.map(InFlightSend::fields).orElseGet(LogFields::new);
@@ -297,34 +300,39 @@
         giveUp(nowMs, "the upstream was lost");
     }
 
-    /** An upstream says nothing: its place is taken by another, where that is allowed. */
+    /** Handles a silent upstream: the request is sent to another one, where that is allowed. */
     private void onSilent(long nowMs) {
         if (mConnection.isEmpty() || !mayRetry() || !mAnswer.canRestart()) {
             return;
         }
         mSend.ifPresent(u -> u.instance().onSilent(nowMs));
         cancelConnection();
-        onAttemptLost(nowMs, "it was silent for too long", mCrashes.standing());
+        onAttemptLost(nowMs, "the upstream was silent for too long", mCrashes.standing());
     }
 
-    /** The time is over. */
+    /** Ends the request at its deadline. */
     void onDeadline(long nowMs) {
         if (mConnection.isPresent() && mFirstByteMs < 0) {
             mSend.ifPresent(u -> u.instance().onSilent(nowMs));
         }
         abandonSend();
         if (mAnswer.headSent()) {
-            abortAnswer(nowMs, "the time was over");
+            abortAnswer(nowMs, "the deadline has passed");
             return;
         }
         if (mCounts.mayHaveRun()) {
-            fail(nowMs, Failure.of(ErrorKind.DEADLINE_EXCEEDED, "the time was over"));
+            fail(nowMs, Failure.of(ErrorKind.DEADLINE_EXCEEDED, "the deadline has passed"));
         } else {
-            fail(nowMs, Refusals.noUpstream("the time was over before it could be sent"));
+            fail(
+                    nowMs,
+                    Refusals.noUpstream("the deadline passed before the request could be sent"));
         }
     }
 
-    /** The request is refused while it is being sent, so that no upstream can run it. */
+    /**
+     * Refuses the request while it is still being sent; the body is incomplete, so no upstream can
+     * run it.
+     */
     void refuse(long nowMs, Failure failure) {
         abandonSend();
         if (mAnswer.headSent()) {
@@ -334,7 +342,10 @@
         }
     }
 
-    /** The caller is gone: what may not be repeated runs on, so that its outcome is known. */
+    /**
+     * Handles the loss of the caller. A request that may not be repeated continues to run, so that
+     * its outcome becomes known.
+     */
     void onCallerGone(long nowMs) {
         boolean sent = mConnection.isPresent();
         if (sent && !mPlan.route().kind().cancelsWithCaller()) {
@@ -357,7 +368,7 @@
     @Override
     public void onNoneAvailable(long nowMs) {
         if (mAnswer.headSent() || mCounts.mayHaveRun()) {
-            giveUp(nowMs, "no upstream takes requests now");
+            giveUp(nowMs, "no upstream accepts requests at present");
             return;
         }
         String service = mPlan.service().name();
@@ -368,7 +379,7 @@
         } else if (closedForMs.isPresent()) {
             fail(nowMs, Refusals.rateLimited(closedForMs.getAsLong(), mContext.random()));
         } else {
-            giveUp(nowMs, "no upstream takes requests now");
+            giveUp(nowMs, "no upstream accepts requests at present");
         }
     }
 
@@ -398,7 +409,10 @@
         mCall.fail(nowMs, failure, usedTokens());
     }
 
-    /** Ends an answer that can't be finished, so that the caller sees that it is not whole. */
+    /**
+     * Aborts an answer that can't be completed and closes the caller's connection, so that the
+     * caller sees that the answer is incomplete.
+     */
     private void abortAnswer(long nowMs, String why) {
         logDecision(nowMs, "broken-off", new LogFields().add("reason", why));
         mAnswer.release();
@@ -424,7 +438,10 @@
         mCrashes.onSendEnded(mContext.clock().nowMs());
     }
 
-    /** Returns the tokens that the request has used: its prompt once, and what was delivered. */
+    /**
+     * Returns the tokens that the request has used: its prompt, counted once, and the tokens
+     * delivered to the caller.
+     */
     private long usedTokens() {
         if (!mCounts.mayHaveRun()) {
             return 0;
@@ -432,7 +449,10 @@
         return mPlan.head().prompt().promptTokens() + mAnswer.eventCount() * mPlan.tokensPerEvent();
     }
 
-    /** Returns the sends as fields of a log line. */
+    /**
+     * Returns the counts of sends and events and the time to the first byte as fields of a log
+     * line.
+     */
     LogFields summary() {
         return mCounts.fields()
                 .add("events", mAnswer.eventCount())
--- a/router/src/main/java/org/hornbeampass/router/relay/RelayCall.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/RelayCall.java
@@ -24,18 +24,23 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One request of a caller, from its head to its settlement.
+ * One request of a caller, from its head to the settling of its tokens.
  *
  * <p>Invariants: tokens are reserved before anything is sent, and settled once; a request that may
- * not be repeated is sent again only on an upstream's word that it was not run; a failure that says
- * "not run" is answered only where that holds; the caller gets at most one answer. Confined to one
- * event loop.
+ * not be repeated is sent again only where the upstream stated that it did not run it; a failure
+ * that states that the request did not run is answered only where that is certain; the caller gets
+ * at most one answer. Confined to one event loop.
  */
 final class RelayCall implements CallerListener {
-    /** How long a request may take that names no time, and is on no route that does. */
+    /**
+     * How long a request may take that sets no timeout, in milliseconds; the route's timeout
+     * applies too.
+     */
     private static final long DEFAULT_TIMEOUT_MS = 30_000;
 
-    /** How much earlier than the caller's own time an answer is given, so that it arrives. */
+    /**
+     * How much earlier than the caller's timeout the answer is given, so that it arrives in time.
+     */
     private static final long ANSWER_MARGIN_MS = 20;
 
     private final RelayContext mContext;
@@ -72,7 +77,7 @@
         mArrivedMs = nowMs;
     }
 
-    /** Reads the head, and refuses what can't be passed on. */
+    /** Reads the head and refuses a request that can't be relayed. */
     void start(long nowMs) {
         Optional<Failure> refusal = prepare(nowMs);
         if (refusal.isPresent()) {
@@ -99,14 +104,17 @@
         String path = query < 0 ? mRequest.uri() : mRequest.uri().substring(0, query);
         mRoute = routes.route(mHead.host(), path);
         if (mRoute.isEmpty()) {
-            return Optional.of(notConfigured(nowMs, ErrorKind.NOT_FOUND, "no route leads there"));
+            return Optional.of(
+                    notConfigured(
+                            nowMs, ErrorKind.NOT_FOUND, "no route matches the host and path"));
         }
         return authorise(nowMs, routes).or(() -> selectService(nowMs, routes));
     }
 
     /**
-     * Refuses for what the configuration lacks. A VM that may be behind can't know that: its caller
-     * is told to come back, here or elsewhere, where 404 would be final.
+     * Returns the failure for something that the configuration lacks. A VM whose configuration may
+     * be outdated can't be sure of that, so it asks the caller to retry here or elsewhere, whereas
+     * a 404 would be final.
      */
     private Failure notConfigured(long nowMs, ErrorKind kind, String message) {
         return mContext.configMayBeStale(nowMs)
@@ -125,7 +133,7 @@
                         notConfigured(
                                 nowMs,
                                 ErrorKind.KEY_MISSING_OR_UNKNOWN,
-                                "show the key of an organisation"));
+                                "the request has no API key of a known organisation"));
     }
 
     private Optional<Failure> selectService(long nowMs, RouteTable routes) {
@@ -184,7 +192,10 @@
         }
     }
 
-    /** Reserves the most that the request may use, and waits a moment where that fails. */
+    /**
+     * Reserves the most tokens that the request may use, and waits for a short time where too few
+     * are free.
+     */
     private void admit(long nowMs) {
         if (mAdmissionStarted || mEnded) {
             return;
@@ -206,15 +217,15 @@
     }
 
     /**
-     * Returns how long a request may wait for tokens, in milliseconds: up to its objective, while
-     * an exchange or a search is under way, which end by themselves where there are none. A request
-     * that is refused comes back later than that.
+     * Returns how long a request may wait for tokens, in milliseconds: at most its objective, and
+     * only while an exchange with the store or a search for a loan is under way, both of which end
+     * by themselves where there are no tokens. A refused request would come back later than that.
      */
     private long grantWaitMs() {
         return mRoute.orElseThrow().objectiveMs();
     }
 
-    /** Waits for the store or for other VMs, as long as there is hope for tokens. */
+    /** Waits for the store or for other VMs, as long as tokens can be expected from them. */
     private void waitForTokens(long nowMs) {
         long tokens = mHead.prompt().maxTokens();
         if (mContext.budgets().mayGetMore(nowMs, organisation(), tokens)) {
@@ -289,7 +300,7 @@
                         : Refusals.tooFewTokens(tokenShortage(nowMs)));
     }
 
-    /** Returns what identifies the request; its caller is the organisation that pays. */
+    /** Returns the identity of the request; its caller is the organisation that pays. */
     private RequestIdentity identity() {
         String caller = mOrganisation.map(PrepaidOrganisation::name).or(mHead::apiKey).orElse("");
         RequestIdentity identity =
@@ -310,7 +321,7 @@
                 : Refusals.TokenShortage.TOKENS_IN_USE;
     }
 
-    /** Returns what decided against the request, as fields of a log line. */
+    /** Returns the state of the budget that led to the refusal, as fields of a log line. */
     private LogFields shortageFields(long nowMs) {
         EscrowBook.Standing standing = mContext.budgets().standing(nowMs, organisation());
         return new LogFields()
@@ -324,14 +335,16 @@
 
     private void onDeadline(long nowMs) {
         if (mAttempts.isEmpty()) {
-            fail(nowMs, Refusals.noUpstream("the time was over before it could be sent"));
+            fail(
+                    nowMs,
+                    Refusals.noUpstream("the deadline passed before the request could be sent"));
             return;
         }
         mAttempts.get().onDeadline(nowMs);
     }
 
     /**
-     * Logs that a request is kept from upstreams, and returns the answer to it, which did not run.
+     * Logs that a request is quarantined, and returns the failure for it; the request did not run.
      */
     Failure quarantined(long nowMs, RequestDigest digest) {
         SuspectTable suspects = mContext.quarantine().suspects();
@@ -375,12 +388,12 @@
         return mEnded;
     }
 
-    /** Answers with a failure before anything was answered. */
+    /** Answers with a failure, before anything else was answered and without any use of tokens. */
     private void fail(long nowMs, Failure failure) {
         fail(nowMs, failure, 0);
     }
 
-    /** Answers with a failure before anything was answered, and settles. */
+    /** Settles the request and answers with a failure, before anything else was answered. */
     void fail(long nowMs, Failure failure, long usedTokens) {
         if (mEnded) {
             return;
@@ -389,7 +402,7 @@
         mCaller.fail(failure);
     }
 
-    /** Settles; the answer is the caller's to write. */
+    /** Settles and logs the request; the user of this method must then write the answer. */
     void end(long nowMs, String outcome, long usedTokens) {
         if (mEnded) {
             return;
@@ -417,7 +430,10 @@
                         nowMs - mArrivedMs);
     }
 
-    /** Runs an action on the loop after a time; the result takes it back. */
+    /**
+     * Schedules an action on the event loop, to run after a delay in milliseconds unless the
+     * request has ended by then. Returns a handle that cancels it.
+     */
     Runnable timer(long delayMs, java.util.function.LongConsumer action) {
         var scheduled =
                 mContext.loop()
@@ -432,7 +448,7 @@
         return () -> scheduled.cancel(false);
     }
 
-    /** Writes the head of the answer. */
+    /** Writes the head of the answer, unless the caller has gone. */
     void sendHead(HttpResponse head) {
         if (!mCallerGone) {
             mCaller.sendHead(head);
--- a/router/src/main/java/org/hornbeampass/router/relay/RelayContext.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/RelayContext.java
@@ -22,9 +22,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What all requests of one VM share.
+ * The state and the services that all requests of one VM share.
  *
- * <p>Confined to one event loop, but for its construction.
+ * <p>Confined to one event loop, except for its construction.
  */
 public final class RelayContext {
     private final WireFormat mWire;
@@ -49,8 +49,9 @@
     private boolean mRefusingNewRequests;
 
     /**
-     * Gathers the parts; {@code vms} tells how many VMs share the fleet's budgets, and {@code
-     * mayBeBehind} whether there may be a newer configuration, at a time in milliseconds.
+     * Creates the context. {@code vmCount} returns how many VMs share the fleet's budgets, and
+     * {@code configMayBeStale} returns whether there may be a newer configuration at a time in
+     * milliseconds.
      */
     public RelayContext(
             WireFormat wire,
@@ -88,7 +89,7 @@
         mConfigMayBeStale = configMayBeStale;
     }
 
-    /** Returns the installation's words. */
+    /** Returns the wire format of the installation. */
     public WireFormat wire() {
         return mWire;
     }
@@ -101,12 +102,12 @@
         return mClock;
     }
 
-    /** Returns the upstreams. */
+    /** Returns the board of upstreams. */
     public UpstreamBoard board() {
         return mBoard;
     }
 
-    /** Returns the connections to upstreams. */
+    /** Returns the pool of connections to upstreams. */
     public UpstreamPool pool() {
         return mPool;
     }
@@ -149,7 +150,7 @@
         return mRandom;
     }
 
-    /** Returns the configuration in force; empty until one is known. */
+    /** Returns the configuration in force; empty until one has been received. */
     public Optional<RouteTable> routes() {
         return mRoutes;
     }
@@ -159,17 +160,17 @@
         return mConfigMayBeStale.test(nowMs);
     }
 
-    /** Puts a configuration in force for the requests that come from now on. */
+    /** Sets the configuration for the requests that arrive from now on. */
     public void setRoutes(RouteTable routes) {
         mRoutes = Optional.of(routes);
     }
 
-    /** Puts bounds in force for the sends that come from now on. */
+    /** Sets the bounds for the sends that start from now on. */
     public void setSettings(RelaySettings settings) {
         mSettings = settings;
     }
 
-    /** Refuses requests that come from now on. */
+    /** Refuses all requests that arrive from now on. */
     public void refuseNewRequests() {
         mRefusingNewRequests = true;
     }
--- a/router/src/main/java/org/hornbeampass/router/relay/RelayHandler.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/RelayHandler.java
@@ -14,7 +14,7 @@
 public final class RelayHandler implements CallerHandler {
     private final RelayContext mContext;
 
-    /** Makes the handler of one VM. */
+    /** Creates the handler of one VM. */
     public RelayHandler(RelayContext context) {
         mContext = context;
     }
--- a/router/src/main/java/org/hornbeampass/router/relay/RelayLog.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/RelayLog.java
@@ -10,24 +10,27 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Writes and counts the decisions on requests.
+ * Logs and counts the decisions on requests.
  *
- * <p>A line a decision, as fields of one JSON object; the appender drops lines rather than wait,
- * and good answers are logged only up to a rate, so that a flood leaves room for failures. Confined
- * to one event loop, but for its construction.
+ * <p>Each decision is one line with the fields of one JSON object. The appender drops lines rather
+ * than block, and successful answers are logged only up to a rate, so that a flood of requests
+ * leaves capacity for lines on failures. Confined to one event loop, except for its construction.
  */
 public final class RelayLog {
     private static final Logger LOG = LogManager.getLogger("decisions");
 
-    /** Lines on good answers in a second; a calm VM stays below, an overloaded one is cut here. */
+    /**
+     * The most lines on successful answers per second. A VM under normal load stays below this; on
+     * an overloaded VM further lines are dropped.
+     */
     private static final int SUCCESS_LINES_PER_S = 20;
 
-    /** Lines on failures, and on decisions within requests, in a second. */
+    /** The most lines on failures, and on decisions within requests, per second. */
     private static final int FAILURE_LINES_PER_S = 100;
 
     /**
-     * Lines on what this VM believes in a second. They have room of their own: in a flood of
-     * failures those lines are what tells its cause.
+     * The most lines on state changes per second. They have a limit of their own, because in a
+     * flood of failures they show its cause.
      */
     private static final int STATE_CHANGE_LINES_PER_S = 100;
 
@@ -40,7 +43,7 @@
     private int mStateChangeLines;
     private long mDroppedLines;
 
-    /** Makes a log that counts in a registry. */
+    /** Creates a log that counts decisions in a metric registry. */
     public RelayLog(MetricRegistry metrics) {
         mMetrics = metrics;
     }
@@ -69,13 +72,15 @@
         write(nowMs, allowed, "ended", head.id(), fields);
     }
 
-    /** Logs a decision within a request. */
+    /** Counts and logs a decision within a request. */
     void logDecision(long nowMs, String id, String decision, LogFields inputs) {
         mMetrics.counter("decisions{kind=\"" + decision + "\"}").inc();
         write(nowMs, allowFailureLine(nowMs), decision, id, inputs);
     }
 
-    /** Logs a change of what this VM believes. */
+    /**
+     * Counts and logs a change in this VM's view of the fleet, such as a lost or regained store.
+     */
     public void logStateChange(long nowMs, String decision, LogFields inputs) {
         mMetrics.counter("decisions{kind=\"" + decision + "\"}").inc();
         write(nowMs, allowStateChangeLine(nowMs), decision, "", inputs);
--- a/router/src/main/java/org/hornbeampass/router/relay/RelayPlan.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/RelayPlan.java
@@ -15,16 +15,16 @@
 import java.util.OptionalLong;
 
 /**
- * What is to be sent for one request, and where.
+ * What is to be sent for one request, and on which route.
  *
  * <p>Immutable by convention: the request's head is copied before it is changed.
  *
  * @param request the caller's head
- * @param head what it says
- * @param route its route
- * @param service the service that was drawn for it
- * @param organisation who pays
- * @param deadlineMs until when it must be answered, in milliseconds
+ * @param head the parsed contents of the caller's head
+ * @param route the request's route
+ * @param service the service that was picked for the request
+ * @param organisation the organisation that pays; empty where none does
+ * @param deadlineMs the time by which the request must be answered, in milliseconds
  */
 record RelayPlan(
         HttpRequest request,
@@ -33,18 +33,18 @@
         ServiceSpec service,
         Optional<String> organisation,
         long deadlineMs) {
-    /** Returns the tokens that one event of the answer holds at most. */
+    /** Returns the most tokens that one event of the answer holds. */
     int tokensPerEvent() {
         return service.engine().map(e -> e.tokensPerEvent()).orElse(0);
     }
 
     /**
-     * Makes the head that an upstream gets.
+     * Creates the head of the request that is sent to an upstream.
      *
      * @param nowMs the present time in milliseconds
-     * @param wire the installation's words
-     * @param send the send at the upstream that must run it
-     * @param lastEventId the last event that the caller has; -1 where it has none
+     * @param wire the wire format of the installation
+     * @param send the send to the upstream that must run the request
+     * @param lastEventId the id of the last event that the caller has received; -1 for none
      */
     HttpRequest upstreamHead(long nowMs, WireFormat wire, InFlightSend send, long lastEventId) {
         HttpRequest copy =
--- a/router/src/main/java/org/hornbeampass/router/relay/RequestBody.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/RequestBody.java
@@ -7,13 +7,13 @@
 import java.util.List;
 
 /**
- * The body of a request: kept whole while it is small, so that it can be sent again.
+ * The body of a request, which is kept whole while it is small, so that it can be sent again.
  *
- * <p>Invariant: a body that was passed on before it was whole is not kept. Confined to one event
- * loop.
+ * <p>Invariant: a body that was forwarded before it was received whole is not kept. Confined to one
+ * event loop.
  */
 final class RequestBody {
-    /** Bodies up to this size are awaited whole and kept for another send. */
+    /** Bodies up to this size are received whole and kept for another send. */
     static final long MAX_KEPT_BYTES = 256 << 10;
 
     private final List<ByteBuf> mParts = new ArrayList<>();
@@ -38,7 +38,7 @@
         return mFullyReceived;
     }
 
-    /** Returns whether it can be sent from its start. */
+    /** Returns whether the body can still be sent from its start. */
     boolean replayable() {
         return !mForwarded;
     }
@@ -47,7 +47,10 @@
         return mBytes > MAX_KEPT_BYTES;
     }
 
-    /** Returns the parts to send now; those of a large body are given away. */
+    /**
+     * Returns the parts to send now. The parts of a large body are handed over; those of a small
+     * one are kept.
+     */
     List<ByteBuf> takeParts() {
         if (large() || mForwarded) {
             mForwarded = true;
@@ -58,7 +61,7 @@
         return mParts.stream().map(ByteBuf::retainedDuplicate).toList();
     }
 
-    /** Returns what is kept of it, for reading. */
+    /** Returns the parts that are still kept, for reading. */
     List<ByteBuffer> keptParts() {
         return mParts.stream().map(ByteBuf::nioBuffer).toList();
     }
--- a/router/src/main/java/org/hornbeampass/router/relay/RequestIdentity.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/RequestIdentity.java
@@ -9,10 +9,11 @@
 import java.util.OptionalLong;
 
 /**
- * Recognises the repeats of one request by host, path, caller and body.
+ * Identifies repeats of one request by host, path, caller and body.
  *
- * <p>A digest is computed when it is first asked for, which must be before the body is passed on.
- * Of a body that is larger than what is kept, the kept part counts. Confined to one event loop.
+ * <p>The digest is computed when it is first requested, which must happen before the body is
+ * forwarded. Of a body that is too large to be kept, only the kept part is hashed. Confined to one
+ * event loop.
  */
 final class RequestIdentity {
     private final RequestHasher mHasher;
@@ -40,7 +41,10 @@
         return mScope.getAsLong();
     }
 
-    /** Returns the verdict on the request; the body is hashed only where its scope is known. */
+    /**
+     * Returns the request's standing; the body is hashed only where the request's scope is
+     * suspected.
+     */
     RequestStanding standing(SuspectTable suspects) {
         return suspects.isEmpty() || !suspects.knowsScope(scope())
                 ? RequestStanding.UNSUSPECTED
--- a/router/src/main/java/org/hornbeampass/router/relay/SendCounts.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/SendCounts.java
@@ -3,11 +3,11 @@
 import org.hornbeampass.state.service.Route;
 
 /**
- * How often one request was sent, and how often it may be sent still.
+ * Counts how often one request was sent, and decides how often it may still be sent.
  *
- * <p>Invariant: a send that an upstream said it did not run is counted as no run; one that met
- * another upstream than meant does not count against the route's attempts either. Confined to one
- * event loop.
+ * <p>Invariant: a send that its upstream stated it did not run does not count as a run; one that
+ * reached a different upstream than intended does not count against the route's attempts either.
+ * Confined to one event loop.
  */
 final class SendCounts {
     private final Route mRoute;
@@ -27,7 +27,7 @@
         return mSends++ == 0;
     }
 
-    /** Counts the word of an upstream that it did not run the last send. */
+    /** Counts the last send as not run, as its upstream stated. */
     void onNotRun(AnswerOutcome outcome) {
         mRuns--;
         if (outcome == AnswerOutcome.WRONG_UPSTREAM) {
@@ -35,34 +35,37 @@
         }
     }
 
-    /** Counts an upstream that can't be reached; returns whether there were too many. */
+    /** Counts an unreachable upstream; returns whether there were too many. */
     boolean onUnreachable() {
         mUnreachable++;
         return mUnreachable >= RelayBounds.MAX_UNREACHABLE_UPSTREAMS;
     }
 
-    /** Counts a permit that was denied; returns whether there were too many. */
+    /** Counts a denied permit; returns whether there were too many. */
     boolean onPermitDenied() {
         mDenied++;
         return mDenied >= RelayBounds.MAX_DENIED_PERMITS;
     }
 
-    /** Returns whether a further send has to be taken out of the fleet's budget. */
+    /** Returns whether the next send is a retry, which uses up the fleet's retry limit. */
     boolean sentBefore() {
         return mSends > 0;
     }
 
-    /** Returns whether a send may have run: all but those that an upstream said it did not run. */
+    /**
+     * Returns whether an upstream may have run the request: true once any send was made that its
+     * upstream did not state as not run.
+     */
     boolean mayHaveRun() {
         return mRuns > 0;
     }
 
-    /** Returns whether the route's attempts leave another send. */
+    /** Returns whether the route allows another attempt. */
     boolean hasAttemptsLeft() {
         return mSends - mMismatches < mRoute.maxAttempts();
     }
 
-    /** Returns whether the request may be sent again after it was not run. */
+    /** Returns whether the request may be sent again after an upstream did not run it. */
     boolean mayResend() {
         return mMismatches <= RelayBounds.MAX_MISMATCHES && hasAttemptsLeft();
     }
--- a/router/src/main/java/org/hornbeampass/router/relay/SilenceTimeout.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/SilenceTimeout.java
@@ -5,9 +5,9 @@
 import java.util.function.LongConsumer;
 
 /**
- * Waits for signs of life of an upstream that may be replaced by another.
+ * Reports an upstream that sends nothing for too long and may be replaced by another.
  *
- * <p>Invariant: at most one wait is under way; requests that may not run again are not watched.
+ * <p>Invariant: at most one timer is running; requests that may not run again are not timed.
  * Confined to one event loop.
  */
 final class SilenceTimeout {
@@ -17,11 +17,12 @@
     private Runnable mTimer = () -> {};
 
     /**
-     * Makes a watch.
+     * Creates a timeout that is not running.
      *
-     * @param call whose time it takes
-     * @param route tells how long an upstream may be silent
-     * @param onSilent takes the time in milliseconds at which it was silent for too long
+     * @param call the request, on whose event loop the timer runs
+     * @param route states how long an upstream may be silent
+     * @param onSilent receives the time in milliseconds at which the upstream was silent for too
+     *     long
      */
     SilenceTimeout(RelayCall call, Route route, LongConsumer onSilent) {
         mCall = call;
@@ -29,12 +30,12 @@
         mOnSilent = onSilent;
     }
 
-    /** Waits for the beginning of an answer. */
+    /** Starts the timeout for the beginning of an answer. */
     void startForAnswer() {
         schedule(mRoute.objectiveMs() * RelayBounds.SILENCE_OBJECTIVE_FACTOR);
     }
 
-    /** Waits for the next event of a stream that can be resumed. */
+    /** Starts the timeout for the next event of a stream that can be resumed. */
     void startForEvent() {
         if (mRoute.resumable() && mRoute.gapTargetMs() > 0) {
             schedule(mRoute.gapTargetMs() * RelayBounds.SILENCE_GAP_FACTOR);
@@ -48,7 +49,7 @@
         }
     }
 
-    /** Stops waiting. */
+    /** Stops the timeout. */
     void stop() {
         mTimer.run();
     }
--- a/router/src/main/java/org/hornbeampass/router/relay/UpstreamHead.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/UpstreamHead.java
@@ -5,15 +5,16 @@
 import java.util.OptionalLong;
 
 /**
- * What the head of a request says to an upstream beyond what the caller sent.
+ * What the head of a request tells an upstream in addition to the caller's own headers.
  *
  * <p>Immutable; safe for use by any thread.
  *
- * @param upstreamId the upstream that must run it; any other refuses
+ * @param upstreamId the id of the upstream that must run the request; any other refuses it
  * @param organisation the organisation that pays
- * @param remainingMs how long the caller still waits, in milliseconds
- * @param lastEventId the last event that the caller has, where this VM goes on with a stream
- * @param urgency how soon an engine should take it up, from 0 for the first to 9
+ * @param remainingMs how much longer the caller waits, in milliseconds
+ * @param lastEventId the id of the last event that the caller has received, where this VM resumes a
+ *     stream
+ * @param urgency how soon an engine should start with the request, from 0 (first) to 9
  */
 public record UpstreamHead(
         String upstreamId,
--- a/router/src/main/java/org/hornbeampass/router/relay/UpstreamSearch.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/UpstreamSearch.java
@@ -11,26 +11,27 @@
 import java.util.Set;
 
 /**
- * Finds the upstream of each send of one request: chooses it, gets a permit where it has a rate
- * limit, and connects.
+ * Finds the upstream for each send of one request: chooses it, acquires a permit where it has a
+ * rate limit, and opens a connection.
  *
- * <p>Invariants: no upstream is connected to twice; after the first send each further one is taken
- * out of the fleet's budget; each send uses up a permit of its upstream. Confined to one event
- * loop.
+ * <p>Invariants: the request is sent to no upstream twice; each send after the first uses up the
+ * fleet's retry limit; each send uses up a permit of its upstream. Confined to one event loop.
  */
 final class UpstreamSearch {
-    /** Takes the end of a search. */
+    /** Receives the result of a search. */
     interface Listener {
-        /** A connection is open, on which the request may be sent now. */
+        /** Receives an open connection, on which the request may be sent now. */
         void onFound(long nowMs, InFlightSend use, UpstreamConnection connection);
 
-        /** All upstreams are gone, have been tried or take no requests for now. */
+        /**
+         * Reports that all upstreams are gone, have been tried or accept no requests at present.
+         */
         void onNoneAvailable(long nowMs);
 
-        /** The request is kept from upstreams. */
+        /** Reports that the request is quarantined and may not be sent. */
         void onQuarantined(long nowMs);
 
-        /** The search is given up. */
+        /** Reports that the search was given up, with the reason. */
         void onGivenUp(long nowMs, String why);
     }
 
@@ -45,15 +46,15 @@
     private Optional<InFlightSend> mConnecting = Optional.empty();
 
     /**
-     * Makes a search.
+     * Creates a search.
      *
-     * @param context what all requests share
+     * @param context what all requests of the VM share
      * @param call the request
      * @param plan what is to be sent
-     * @param crashes tells whether the request may be sent
-     * @param counts counts what is found
-     * @param listener takes the end of each search
-     * @param onInstanceEnd hears of the end of an upstream that was found
+     * @param crashes decides whether the request may be sent
+     * @param counts counts unreachable upstreams and denied permits
+     * @param listener receives the result of each search
+     * @param onInstanceEnd is notified when the incarnation of an upstream that was found ends
      */
     UpstreamSearch(
             RelayContext context,
@@ -72,7 +73,7 @@
         mOnInstanceEnd = onInstanceEnd;
     }
 
-    /** Looks for an upstream that the request was not sent to yet. */
+    /** Starts a search for an upstream to which the request was not sent yet. */
     void start(long nowMs) {
         if (!mCrashes.mayBeSent(nowMs)) {
             mListener.onQuarantined(nowMs);
@@ -95,7 +96,7 @@
         return mContext.board().choose(nowMs, mPlan.service(), mPlan.head().prompt(), mTried);
     }
 
-    /** Returns whether there is an upstream that the request was not sent to yet. */
+    /** Returns whether there is an upstream to which the request was not sent yet. */
     boolean hasUntriedUpstream(long nowMs) {
         return choose(nowMs).isPresent();
     }
@@ -118,7 +119,7 @@
         }
         if (mCounts.sentBefore() && !mContext.tryTakeRetry(nowMs, mPlan.service().name())) {
             mContext.rateLimiter().giveBack(nowMs, permit.get());
-            mListener.onGivenUp(nowMs, "too many requests are sent again now");
+            mListener.onGivenUp(nowMs, "too many requests are being retried at present");
             return;
         }
         connect(nowMs, choice, permit.get());
@@ -159,7 +160,7 @@
             cancel();
             logDecision(nowMs, "unreachable", send.fields());
             if (mCounts.onUnreachable()) {
-                mListener.onGivenUp(nowMs, "the upstreams can't be reached");
+                mListener.onGivenUp(nowMs, "the upstreams are unreachable");
             } else {
                 start(nowMs);
             }
@@ -189,7 +190,7 @@
         start(nowMs);
     }
 
-    /** Ends the search; a connection that is opened still is closed. */
+    /** Ends the search; a connection that is still being opened is closed once it is open. */
     void cancel() {
         mConnecting.ifPresent(InFlightSend::release);
         mConnecting = Optional.empty();
--- a/router/src/main/java/org/hornbeampass/router/relay/WireFormat.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/WireFormat.java
@@ -13,7 +13,8 @@
 import java.util.List;
 
 /**
- * Translates between the words of an installation and the product's types; decides nothing.
+ * Translates between the headers and documents of an installation and the types of the router. It
+ * makes no decisions.
  *
  * <p>Implementations are stateless and safe for use by any thread.
  */
@@ -22,42 +23,47 @@
     Either<Failure, CallerHead> readHead(HttpRequest head);
 
     /**
-     * Turns a caller's headers into those that an upstream gets.
+     * Changes a caller's headers into those that are sent to an upstream.
      *
-     * @param headers the caller's headers, which are changed
-     * @param head what the upstream is told besides
+     * @param headers the caller's headers, which are changed in place
+     * @param head what the upstream is told in addition
      */
     void writeUpstreamHead(HttpHeaders headers, UpstreamHead head);
 
     /**
      * Reads the head of an upstream's answer.
      *
-     * @param answer the head
-     * @param requestId the caller's name of the request that is in progress
+     * @param answer the head of the answer
+     * @param requestId the caller's id of the request that is in flight
      */
     AnswerHead readAnswer(HttpResponse answer, String requestId);
 
-    /** Returns the body of an answer about addresses, in JSON. */
+    /**
+     * Returns the JSON body that lists addresses of VMs.
+     *
+     * @param addresses the addresses
+     * @param keepSeconds for how long a caller may keep the list, in seconds
+     */
     String addresses(List<InetSocketAddress> addresses, double keepSeconds);
 
     /** Returns whether a request asks for the addresses of VMs. */
     boolean asksForAddresses(HttpRequest head);
 
-    /** Returns whether a request asks if this VM takes requests. */
+    /** Returns whether a request asks if this VM accepts requests. */
     boolean asksForReadiness(HttpRequest head);
 
-    /** Returns the prefix of the keys under which the configuration lies. */
+    /** Returns the prefix of the store keys under which the configuration is stored. */
     String configPrefix();
 
-    /** Returns the key of the configuration. */
+    /** Returns the store key of the configuration. */
     String configKey();
 
-    /** Reads a configuration. */
+    /** Reads a configuration from its JSON text. */
     Either<Failure, FleetConfig> readConfig(String json);
 
-    /** Returns the prefix of the keys under which upstreams register themselves. */
+    /** Returns the prefix of the store keys under which upstreams register themselves. */
     String upstreamPrefix();
 
-    /** Reads the entry of an upstream, given its key. */
+    /** Reads the entry of an upstream from its store key and JSON text. */
     Either<Failure, UpstreamEntry> readUpstream(String key, String json);
 }
--- a/router/src/main/java/org/hornbeampass/router/relay/package-info.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/package-info.java
@@ -1,2 +1,2 @@
-/** Passes requests on to services: admission, choice of upstream, retries, streams, settlement. */
+/** Relays requests to services: admission, choice of upstream, retries, streams and settling. */
 package org.hornbeampass.router.relay;
--- a/router/src/main/java/org/hornbeampass/router/upstream/AttemptContext.java
+++ b/router/src/main/java/org/hornbeampass/router/upstream/AttemptContext.java
@@ -10,18 +10,18 @@
 import org.hornbeampass.transport.http.HttpClient;
 
 /**
- * What all attempts of one VM share.
+ * The services and settings that all attempts of one VM share.
  *
- * <p>Immutable; its parts are thread-safe.
+ * <p>Immutable; its components are thread-safe.
  *
  * @param vm this VM
- * @param table what is known of upstreams
+ * @param table the states of upstreams
  * @param chooser chooses the upstream of each attempt
  * @param retryPolicy decides what follows a failed attempt
- * @param retryBudget bounds further attempts
+ * @param retryBudget limits the number of retries
  * @param client sends requests
- * @param timers look after attempts that are silent
- * @param clock the present time
+ * @param timers run the checks for silent attempts
+ * @param clock the source of the present time
  * @param settings times and bounds
  */
 public record AttemptContext(
--- a/router/src/main/java/org/hornbeampass/router/upstream/ChatDispatcher.java
+++ b/router/src/main/java/org/hornbeampass/router/upstream/ChatDispatcher.java
@@ -16,11 +16,11 @@
     private final boolean mStream;
 
     /**
-     * Makes the route of one request.
+     * Creates the dispatcher of one request.
      *
      * @param context what all attempts share
      * @param requestId the request's id
-     * @param query what is needed
+     * @param query the required model and the constraints on the choice of an upstream
      * @param body the body that is sent
      * @param stream whether the answer is streamed
      */
--- a/router/src/main/java/org/hornbeampass/router/upstream/ChatStreamAttempt.java
+++ b/router/src/main/java/org/hornbeampass/router/upstream/ChatStreamAttempt.java
@@ -16,8 +16,8 @@
 /**
  * One attempt at a streamed chat completion.
  *
- * <p>An answer that is not a stream of events, or goes on at another token than it was asked to, is
- * a failure. Same threads as {@link HttpAttempt}.
+ * <p>An answer that is not an event stream, or that resumes at a different token than requested, is
+ * a failure. The same threads as for {@link HttpAttempt} apply.
  */
 final class ChatStreamAttempt extends HttpAttempt {
     private static final byte[] DONE = "[DONE]".getBytes(StandardCharsets.UTF_8);
@@ -27,9 +27,9 @@
     private boolean mIsStream;
 
     /**
-     * Makes an attempt.
+     * Creates an attempt.
      *
-     * @param resumeOffset the token at which the answer goes on; 0 for its start
+     * @param resumeOffset the index of the token at which the answer resumes; 0 for its start
      */
     ChatStreamAttempt(
             AttemptContext context,
@@ -51,7 +51,7 @@
         if (mIsStream && !offset.equals(Long.toString(mResumeOffset))) {
             fail(
                     AttemptOutcome.UPSTREAM_ERROR,
-                    "it went on at token " + offset + " in place of " + mResumeOffset);
+                    "it resumed at token " + offset + " instead of " + mResumeOffset);
             closeConnection();
         }
     }
@@ -63,7 +63,7 @@
             return;
         }
         if (!mEvents.read(chunk)) {
-            fail(AttemptOutcome.UPSTREAM_ERROR, "an event of its answer is too large");
+            fail(AttemptOutcome.UPSTREAM_ERROR, "an event of the answer is too large");
             closeConnection();
         }
     }
@@ -74,12 +74,12 @@
             endNotStreamed();
             return;
         }
-        fail(AttemptOutcome.BROKEN_IN_ANSWER, "its answer ended without the closing event");
+        fail(AttemptOutcome.BROKEN_IN_ANSWER, "the answer ended without the final event");
     }
 
     private void endNotStreamed() {
         if (outcomeOf(status(), false) == AttemptOutcome.SUCCEEDED) {
-            fail(AttemptOutcome.UPSTREAM_ERROR, "its answer is not a stream of events");
+            fail(AttemptOutcome.UPSTREAM_ERROR, "the answer is not an event stream");
         } else {
             super.onEnd();
         }
@@ -98,7 +98,7 @@
         }
         Optional<ChatChunk> chunk = ChatChunkReader.read(data);
         if (chunk.isEmpty()) {
-            fail(AttemptOutcome.UPSTREAM_ERROR, "an event of its answer is no chunk");
+            fail(AttemptOutcome.UPSTREAM_ERROR, "an event of the answer is not a valid chunk");
             closeConnection();
             return;
         }
--- a/router/src/main/java/org/hornbeampass/router/upstream/HttpAttempt.java
+++ b/router/src/main/java/org/hornbeampass/router/upstream/HttpAttempt.java
@@ -18,13 +18,14 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 /**
- * One attempt over HTTP: classifies its answer, tells the flow, and gives its place back.
+ * One attempt over HTTP: sends the request, classifies its answer and reports the result to the
+ * flow.
  *
- * <p>Invariants: the chooser hears of its end exactly once, whether the upstream, the flow or the
- * connection ends it; after that the flow hears nothing more. An attempt that is silent for longer
- * than its {@link AttemptTimeouts} allow is cancelled and ends as a failure. Answers come on one
- * event loop, so their state needs no lock; {@link #cancel}, {@link #pause}, {@link #resume} and
- * the look after silence may run on any thread.
+ * <p>Invariants: the chooser is told of the end of the attempt exactly once, whether the upstream,
+ * the flow or the connection ends it; after that the flow receives no more events. An attempt that
+ * is silent for longer than its {@link AttemptTimeouts} allow is cancelled and ends as a failure.
+ * The answer arrives on one event loop, so its state needs no lock; {@link #cancel}, {@link
+ * #pause}, {@link #resume} and the check for silence may run on any thread.
  */
 class HttpAttempt implements Attempt, HttpClient.Listener {
     private static final String JSON = "application/json";
@@ -60,7 +61,7 @@
         mWatch = new AttemptWatch(nowMs, mTimeouts);
     }
 
-    /** Returns how long the connection may take, in milliseconds. */
+    /** Returns how long opening the connection may take, in milliseconds. */
     final long connectMs() {
         return mTimeouts.connectMs();
     }
@@ -76,14 +77,14 @@
         checkSilence(nowMs());
     }
 
-    /** Gives the attempt up where it was silent for too long, and else looks again later. */
+    /** Fails the attempt if it was silent for too long; otherwise schedules the next check. */
     private void checkSilence(long nowMs) {
         if (ended()) {
             return;
         }
         long nextCheckMs = mWatch.nextLookMs(nowMs, mContext.chooser().lastProgressMs(mChoice));
         if (nextCheckMs <= nowMs) {
-            fail(AttemptOutcome.SILENT, "it was silent for too long");
+            fail(AttemptOutcome.SILENT, "it sent nothing for too long");
             closeConnection();
         } else if (nextCheckMs < Long.MAX_VALUE) {
             mCancelSilenceCheck = mContext.timers().at(nowMs, nextCheckMs, this::checkSilence);
@@ -143,7 +144,7 @@
         recordPart();
         mBody.write(chunk, 0, chunk.length);
         if (mBody.size() > mContext.settings().maxAnswerBytes()) {
-            fail(AttemptOutcome.UPSTREAM_ERROR, "its answer is too large");
+            fail(AttemptOutcome.UPSTREAM_ERROR, "the answer is too large");
             closeConnection();
         }
     }
@@ -168,7 +169,7 @@
         fail(connectionLostOutcome(sent), reason);
     }
 
-    /** Returns how a lost connection ends the attempt. */
+    /** Returns the outcome of an attempt whose connection was lost. */
     private AttemptOutcome connectionLostOutcome(boolean sent) {
         if (!sent) {
             return AttemptOutcome.CONNECT_FAILED;
@@ -178,7 +179,7 @@
                 : AttemptOutcome.BROKEN_BEFORE_ANSWER;
     }
 
-    /** Returns how an answer of a status ends the attempt. */
+    /** Returns the outcome of an attempt that was answered with an HTTP status. */
     AttemptOutcome outcomeOf(int status, boolean leaving) {
         if (status >= 200 && status < 300) {
             return AttemptOutcome.SUCCEEDED;
@@ -194,7 +195,7 @@
                 : AttemptOutcome.UPSTREAM_ERROR;
     }
 
-    /** Learns the time to the first part of an answer. */
+    /** Records the time to the first part of the answer, once. */
     final void recordFirstPart() {
         if (!mFirstPartSeen) {
             mFirstPartSeen = true;
@@ -202,7 +203,7 @@
         }
     }
 
-    /** Learns that the answer goes on. */
+    /** Records that a further part of the answer has arrived. */
     final void recordPart() {
         boolean first = !mFirstPartSeen;
         recordFirstPart();
@@ -217,7 +218,9 @@
         }
     }
 
-    /** Ends the attempt as failed and tells the flow, unless it has ended before. */
+    /**
+     * Ends the attempt as failed and reports it to the flow, unless the attempt has already ended.
+     */
     final void fail(AttemptOutcome outcome, String reason) {
         long nowMs = nowMs();
         if (tryEnd(nowMs, outcome)) {
@@ -226,7 +229,7 @@
         }
     }
 
-    /** Ends the attempt and gives its place back; returns false where it has ended before. */
+    /** Ends the attempt and reports it to the chooser; returns false where it had already ended. */
     final boolean tryEnd(long nowMs, AttemptOutcome outcome) {
         if (!mEnded.compareAndSet(false, true)) {
             return false;
@@ -236,7 +239,7 @@
         return true;
     }
 
-    /** Closes the connection, also one that is only being opened. */
+    /** Closes the connection, including one that is still being opened. */
     final void closeConnection() {
         mClosed = true;
         HttpClient.Call call = mCall;
--- a/router/src/main/java/org/hornbeampass/router/upstream/LoadPoller.java
+++ b/router/src/main/java/org/hornbeampass/router/upstream/LoadPoller.java
@@ -18,17 +18,17 @@
 import java.util.function.Supplier;
 
 /**
- * Asks the model engines that this VM sends to for their load, one after the other.
+ * Polls the model engines to which this VM sends requests for their load, one at a time.
  *
- * <p>Invariants: at most {@value #POLLS_PER_SECOND} engines are asked in a second, so that what
- * control costs does not grow with the fleet; each engine is asked at most every {@value
- * #MIN_ENGINE_INTERVAL_MS} ms. Used on the control loop only, but for the counts.
+ * <p>Invariants: at most {@value #POLLS_PER_SECOND} engines are polled per second, so that the cost
+ * of polling does not grow with the fleet; each engine is polled at most every {@value
+ * #MIN_ENGINE_INTERVAL_MS} ms. Confined to the control loop, except for {@link #bytes}.
  */
 public final class LoadPoller {
-    /** How many engines are asked in a second; an answer takes about 700 bytes with its request. */
+    /** How many engines are polled per second; a request and its answer take about 700 bytes. */
     static final int POLLS_PER_SECOND = 3;
 
-    /** How often one engine is asked at most, in milliseconds. */
+    /** The shortest interval between two polls of the same engine, in milliseconds. */
     static final long MIN_ENGINE_INTERVAL_MS = 500;
 
     private static final long POLL_INTERVAL_MS = 1_000 / POLLS_PER_SECOND;
@@ -45,12 +45,12 @@
     private long mLastPollMs;
 
     /**
-     * Makes the poller.
+     * Creates the poller.
      *
-     * @param table takes the reports
-     * @param config gives the configuration in force
-     * @param client sends the questions, on the control loop
-     * @param clock the present time
+     * @param table receives the load reports
+     * @param config returns the configuration in force
+     * @param client sends the requests, on the control loop
+     * @param clock the source of the present time
      */
     public LoadPoller(
             UpstreamTable table, Supplier<ConfigSnapshot> config, HttpClient client, Clock clock) {
@@ -60,7 +60,7 @@
         mClock = clock;
     }
 
-    /** Asks the engine that was not asked for the longest time, where it is time. */
+    /** Polls the engine whose last poll is the longest ago, if a poll is due. */
     public void tick(long nowMs) {
         if (nowMs - mLastPollMs < POLL_INTERVAL_MS) {
             return;
@@ -104,12 +104,15 @@
         mClient.send(request, new AnswerCollector(engine.id()));
     }
 
-    /** Returns the bytes that questions and answers took, about. */
+    /** Returns the approximate number of bytes that all polls and their answers took. */
     public long bytes() {
         return mBytes.get();
     }
 
-    /** Collects one answer; a failure says nothing, since requests show it sooner. */
+    /**
+     * Collects one answer. A failed poll is ignored, since requests to the engine show its failure
+     * sooner.
+     */
     private final class AnswerCollector implements HttpClient.Listener {
         private final UpstreamId mId;
         private final ByteArrayOutputStream mBody = new ByteArrayOutputStream();
--- a/router/src/main/java/org/hornbeampass/router/upstream/LoadReportReader.java
+++ b/router/src/main/java/org/hornbeampass/router/upstream/LoadReportReader.java
@@ -23,10 +23,10 @@
     private LoadReportReader() {}
 
     /**
-     * Returns the report; empty where the body is not of the known shape.
+     * Returns the load report; empty where the body does not have the expected structure.
      *
      * @param nowMs the present time in milliseconds
-     * @param body the answer's body
+     * @param body the body of the answer
      */
     static Optional<LoadReport> read(long nowMs, byte[] body) {
         try {
@@ -55,7 +55,10 @@
         }
     }
 
-    /** Returns the report's time in this VM's clock; one that can't be compared counts as now. */
+    /**
+     * Returns the time of the report, at most the present time; one that differs by more than
+     * {@link #MAX_SKEW_MS} from this VM's clock counts as the present time.
+     */
     private static long reportedAtMs(long nowMs, long atMs) {
         return Math.abs(nowMs - atMs) <= MAX_SKEW_MS ? Math.min(nowMs, atMs) : nowMs;
     }
--- a/router/src/main/java/org/hornbeampass/router/upstream/ServiceAttempt.java
+++ b/router/src/main/java/org/hornbeampass/router/upstream/ServiceAttempt.java
@@ -8,9 +8,9 @@
 /**
  * One attempt at a call to a plain service.
  *
- * <p>Any whole answer to a call that may not be repeated is its outcome, also one of a 5xx status;
- * for other calls those statuses are failures, after which another instance is tried. Same threads
- * as {@link HttpAttempt}.
+ * <p>Any whole answer to a call that may not be repeated is its outcome, including one with a 5xx
+ * status. For other calls a 5xx status is a failure, after which another instance is tried. The
+ * same threads as for {@link HttpAttempt} apply.
  */
 final class ServiceAttempt extends HttpAttempt {
     private final boolean mRepeatable;
--- a/router/src/main/java/org/hornbeampass/router/upstream/ServiceDispatcher.java
+++ b/router/src/main/java/org/hornbeampass/router/upstream/ServiceDispatcher.java
@@ -15,11 +15,11 @@
     private final boolean mRepeatable;
 
     /**
-     * Makes the route of one call.
+     * Creates the dispatcher of one call.
      *
      * @param context what all attempts share
      * @param requestId the request's id
-     * @param query what is needed
+     * @param query the required service and the constraints on the choice of an upstream
      * @param call what is sent
      * @param repeatable whether the call may run more than once
      */
--- a/router/src/main/java/org/hornbeampass/router/upstream/UpstreamDispatcher.java
+++ b/router/src/main/java/org/hornbeampass/router/upstream/UpstreamDispatcher.java
@@ -47,7 +47,7 @@
         mQuery = query;
     }
 
-    /** Makes the attempt that is to be sent. */
+    /** Creates the attempt that is to be sent. */
     abstract HttpAttempt newAttempt(
             UpstreamChoice choice, int number, Relayed relayed, AttemptListener listener);
 
@@ -76,7 +76,7 @@
         return Either.right(attempt);
     }
 
-    /** Chooses among those not tried, and among all where none of those is left. */
+    /** Chooses an upstream that was not tried, or any upstream where all were tried. */
     private Either<Failure, UpstreamChoice> choose(long nowMs) {
         Either<Failure, UpstreamChoice> choice = mContext.chooser().choose(nowMs, mQuery);
         if (choice.isRight() || mQuery.excluded().isEmpty()) {
--- a/router/src/main/java/org/hornbeampass/router/upstream/package-info.java
+++ b/router/src/main/java/org/hornbeampass/router/upstream/package-info.java
@@ -1,2 +1,2 @@
-/** Attempts at upstreams over HTTP, and the news that upstreams give of themselves. */
+/** Attempts at upstreams over HTTP, and the polling of engines for their load. */
 package org.hornbeampass.router.upstream;
--- a/router/src/test/java/org/hornbeampass/router/relay/AnswerSignalsTest.java
+++ b/router/src/test/java/org/hornbeampass/router/relay/AnswerSignalsTest.java
@@ -32,7 +32,12 @@
 import java.util.Set;
 import java.util.function.BiConsumer;
 
-/** Checks which answers change what is known of a rate limit. */
+/**
+ * Tests which answers change the rate limit, the pause or the leaving state of an upstream.
+ *
+ * <p>Guards against applying signals of a wrong upstream or a late answer, and against dropping a
+ * rate limit because a refusal or an error does not repeat it.
+ */
 class AnswerSignalsTest {
     private static final long ASKED_MS = 1_000;
     private static final long RECEIVED_MS = 1_100;
@@ -156,7 +161,7 @@
                 BiConsumer<Long, Either<Failure, PeerMessage>> done) {}
     }
 
-    /** Hears and does nothing. */
+    /** Ignores all signals. */
     private static final class NoListener implements SignalListener {
         @Override
         public void onLeaving(long nowMs, UpstreamIncarnation upstream, String toldBy) {}
--- a/router/src/test/java/org/hornbeampass/router/upstream/HttpAttemptTest.java
+++ b/router/src/test/java/org/hornbeampass/router/upstream/HttpAttemptTest.java
@@ -16,7 +16,8 @@
 import java.util.Set;
 
 /**
- * Tests what becomes of attempts at upstreams that fall silent: events → fault and next attempt.
+ * Tests attempts at upstreams that stop sending: a silent attempt must fail and be retried
+ * elsewhere, whereas a slow one or one paused by its caller must not be cancelled.
  */
 class HttpAttemptTest {
     private static final long DEADLINE_MS = 60_000;
--- a/router/src/test/java/org/hornbeampass/router/upstream/UpstreamFixture.java
+++ b/router/src/test/java/org/hornbeampass/router/upstream/UpstreamFixture.java
@@ -30,7 +30,8 @@
 import java.util.function.LongConsumer;
 
 /**
- * Two runners and a service behind a client that does only what the test says, in virtual time.
+ * Two model engines and a plain service behind a fake HTTP client, in virtual time. Answers arrive
+ * only when the test sends them.
  *
  * <p>Not thread-safe.
  */
@@ -47,10 +48,10 @@
     private long mNowMs;
     private int mChunks;
 
-    /** An action with its time. */
+    /** An action and the virtual time at which it is due. */
     private record Timer(long atMs, LongConsumer action) {}
 
-    /** A request that was sent, and the means to answer it. */
+    /** A request that was sent, with methods to answer it. */
     static final class FakeCall implements HttpClient.Call {
         private final HttpClient.Request mRequest;
         private final HttpClient.Listener mListener;
@@ -152,7 +153,7 @@
         return mNowMs;
     }
 
-    /** Lets time pass and runs what is due. */
+    /** Advances virtual time and runs the timers that become due. */
     void advance(long ms) {
         long endMs = mNowMs + ms;
         while (true) {
@@ -190,7 +191,7 @@
         };
     }
 
-    /** Keeps each request instead of sending it. */
+    /** Records each request instead of sending it. */
     private final class Client implements HttpClient {
         @Override
         public Call send(Request request, Listener listener) {
