--- a/router/src/main/java/org/hornbeampass/router/relay/Refusals.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/Refusals.java
@@ -62,12 +62,15 @@
         }
     }
 
-    /** This router has no configuration yet. */
+    /** Returns the failure for a router that has no configuration yet. */
     static Failure noConfiguration() {
         return notReady("this router has no configuration yet; retry later or at another address");
     }
 
-    /** The configuration on this router lacks something, and may be outdated. */
+    /**
+     * Returns the failure for something that this router's configuration lacks, while the
+     * configuration may be outdated.
+     */
     static Failure missingHere(String missing) {
         return notReady(
                 missing
@@ -79,7 +82,7 @@
         return Failure.retryAfter(ErrorKind.NOT_READY, why, CONFIGURATION_RETRY_MS);
     }
 
-    /** This router is shutting down. */
+    /** Returns the failure for a router that is shutting down. */
     static Failure shuttingDown() {
         return Failure.retryAfter(
                 ErrorKind.SHUTTING_DOWN,
@@ -87,12 +90,12 @@
                 0);
     }
 
-    /** The organisation has no tokens left. */
+    /** Returns the failure for an organisation without tokens left. */
     static Failure exhausted() {
         return Failure.of(ErrorKind.BUDGET_EXHAUSTED, "the prepaid tokens are used up");
     }
 
-    /** The organisation has tokens left, but too few on this VM. */
+    /** Returns the failure for an organisation that has tokens left, but too few on this VM. */
     static Failure tooFewTokens(TokenShortage shortage) {
         return Failure.retryAfter(
                 ErrorKind.BUDGET_UNREACHABLE,
@@ -101,7 +104,7 @@
     }
 
     /**
-     * Upstreams crashed while they ran the request.
+     * Returns the failure for a quarantined request, during which upstreams crashed.
      *
      * @param retryAfterMs after how long the request may be sent again, in milliseconds
      */
@@ -112,13 +115,13 @@
                 retryAfterMs);
     }
 
-    /** No upstream could accept the request. */
+    /** Returns the failure for a request that no upstream could accept. */
     static Failure noUpstream(String why) {
         return Failure.retryAfter(ErrorKind.NO_UPSTREAM, why, NO_UPSTREAM_RETRY_MS);
     }
 
     /**
-     * All upstreams have asked for a pause.
+     * Returns the failure for a time at which all upstreams have asked for a pause.
      *
      * @param pauseLeftMs how much longer the shortest pause lasts, in milliseconds
      */
@@ -128,7 +131,7 @@
     }
 
     /**
-     * All upstreams have reached their rate limits.
+     * Returns the failure for a time at which all upstreams have reached their rate limits.
      *
      * @param leftMs after how long the first one accepts a request again, in milliseconds
      * @param random spreads the retries of callers that are refused at the same time
--- a/router/src/test/java/org/hornbeampass/router/upstream/HttpAttemptTest.java
+++ b/router/src/test/java/org/hornbeampass/router/upstream/HttpAttemptTest.java
@@ -26,8 +26,8 @@
 
     @Test
     void upstreamSilentBeforeFirstToken_isCancelledAndRetriedElsewhere() {
-        ChatDispatcher route = chat(true);
-        start(route, 1, Relayed.NOTHING);
+        ChatDispatcher dispatcher = chat(true);
+        start(dispatcher, 1, Relayed.NOTHING);
         mFixture.call(0).head();
         mFixture.advance(4_700);
         assertThat(mFixture.faults()).isEmpty();
@@ -36,16 +36,17 @@
 
         assertThat(mFixture.faults()).singleElement().matches(f -> isSilent(f.outcome()));
         assertThat(mFixture.call(0).cancelled()).isTrue();
-        Retry retry = route.afterFault(mFixture.nowMs(), mFixture.faults().get(0), Relayed.NOTHING);
+        Retry retry =
+                dispatcher.afterFault(mFixture.nowMs(), mFixture.faults().get(0), Relayed.NOTHING);
         assertThat(retry).isEqualTo(new Retry.Again(0));
-        start(route, 2, Relayed.NOTHING);
+        start(dispatcher, 2, Relayed.NOTHING);
         assertThat(mFixture.call(1).uri()).isNotEqualTo(mFixture.call(0).uri());
     }
 
     @Test
     void upstreamSilentInStream_isCancelledAndResumedAtExactOffset() {
-        ChatDispatcher route = chat(true);
-        start(route, 1, Relayed.NOTHING);
+        ChatDispatcher dispatcher = chat(true);
+        start(dispatcher, 1, Relayed.NOTHING);
         mFixture.call(0).head();
         for (int token = 0; token < 3; token++) {
             mFixture.advance(10);
@@ -57,9 +58,9 @@
         assertThat(mFixture.faults()).singleElement().matches(f -> isSilent(f.outcome()));
         assertThat(mFixture.call(0).cancelled()).isTrue();
         Relayed relayed = new Relayed(3, 3);
-        assertThat(route.afterFault(mFixture.nowMs(), mFixture.faults().get(0), relayed))
+        assertThat(dispatcher.afterFault(mFixture.nowMs(), mFixture.faults().get(0), relayed))
                 .isEqualTo(new Retry.Again(0));
-        start(route, 2, relayed);
+        start(dispatcher, 2, relayed);
         assertThat(mFixture.call(1).header(UpstreamHeaders.RESUME_OFFSET)).isEqualTo("3");
     }
 
@@ -104,9 +105,9 @@
     void callThatMayNotBeRepeated_runsUntilItsDeadline() {
         ServiceCall call = new ServiceCall("records", "POST", "/", "text/plain", new byte[0]);
         RoutingQuery query = query(WorkTarget.service("records"));
-        ServiceDispatcher route =
+        ServiceDispatcher dispatcher =
                 new ServiceDispatcher(mFixture.context(), "r", query, call, false);
-        route.start(mFixture.nowMs(), 1, Relayed.NOTHING, mFixture.listener());
+        dispatcher.start(mFixture.nowMs(), 1, Relayed.NOTHING, mFixture.listener());
         mFixture.advance(DEADLINE_MS - 1);
 
         assertThat(mFixture.faults()).isEmpty();
@@ -125,8 +126,8 @@
         return outcome == AttemptOutcome.SILENT;
     }
 
-    private Attempt start(ChatDispatcher route, int number, Relayed relayed) {
-        return route.start(mFixture.nowMs(), number, relayed, mFixture.listener()).get();
+    private Attempt start(ChatDispatcher dispatcher, int number, Relayed relayed) {
+        return dispatcher.start(mFixture.nowMs(), number, relayed, mFixture.listener()).get();
     }
 
     private ChatDispatcher chat(boolean stream) {
