--- a/router/src/main/java/org/hornbeampass/router/relay/AnswerStream.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/AnswerStream.java
@@ -8,10 +8,11 @@
 import org.hornbeampass.transport.relay.EventScanner;
 
 /**
- * Passes a stream of events on and remembers how far the caller has got.
+ * Forwards a stream of events to the caller and remembers the last event that the caller received.
  *
- * <p>Invariants: where the stream can go on at another upstream only whole events are passed on,
- * each once and in order; otherwise bytes go on as they come. Confined to one event loop.
+ * <p>Invariants: where the stream can be resumed at another upstream, only whole events are
+ * forwarded, each once and in order; otherwise bytes are forwarded as they arrive. Confined to one
+ * event loop.
  */
 final class AnswerStream {
     private static final long NONE = -1;
@@ -19,91 +20,92 @@
     private final CallerConnection mCaller;
     private final boolean mWholeEvents;
     private EventScanner mScanner = new EventScanner();
-    private ByteBuf mTail = Unpooled.EMPTY_BUFFER;
-    private long mEvents;
-    private long mLastId = NONE;
+    private ByteBuf mPartialEvent = Unpooled.EMPTY_BUFFER;
+    private long mEventCount;
+    private long mLastEventId = NONE;
     private boolean mGap;
 
     /**
-     * Makes the stream of one answer.
+     * Creates the stream of one answer.
      *
-     * @param caller gets the events
-     * @param wholeEvents whether only whole events are passed on
-     * @param resumesAfter the last event that the caller had before; -1 where none
+     * @param caller receives the events
+     * @param wholeEvents whether only whole events are forwarded
+     * @param lastEventId the id of the last event that the caller had received before; -1 for none
      */
-    AnswerStream(CallerConnection caller, boolean wholeEvents, long resumesAfter) {
+    AnswerStream(CallerConnection caller, boolean wholeEvents, long lastEventId) {
         mCaller = caller;
         mWholeEvents = wholeEvents;
-        mLastId = resumesAfter;
+        mLastEventId = lastEventId;
     }
 
-    /** Returns how many whole events were passed on. */
-    long events() {
-        return mEvents;
+    /** Returns how many whole events were forwarded. */
+    long eventCount() {
+        return mEventCount;
     }
 
-    /** Returns the id of the last event that was passed on whole; -1 where there is none. */
-    long lastId() {
-        return mLastId;
+    /** Returns the id of the last event that was forwarded whole; -1 where there is none. */
+    long lastEventId() {
+        return mLastEventId;
     }
 
-    /** Returns whether an upstream left events out, so that the stream can't go on. */
+    /** Returns whether an upstream omitted events, so that the stream can't be continued. */
     boolean hasGap() {
         return mGap;
     }
 
-    /** Forgets the part of an event that another upstream will send again. */
-    void restart() {
-        mTail.release();
-        mTail = Unpooled.EMPTY_BUFFER;
+    /** Discards an incomplete event, which the next upstream will send again in whole. */
+    void discardPartialEvent() {
+        mPartialEvent.release();
+        mPartialEvent = Unpooled.EMPTY_BUFFER;
         mScanner = new EventScanner();
     }
 
-    /** Takes bytes of the answer; they are released. */
-    void take(ByteBuf part) {
+    /** Forwards what can be forwarded of the next bytes of the answer and releases them. */
+    void append(ByteBuf part) {
         if (!mWholeEvents) {
-            mScanner.scan(part, (end, id) -> count(id));
+            mScanner.scan(part, (end, id) -> countEvent(id));
             mCaller.sendPart(new DefaultHttpContent(part));
             return;
         }
-        int before = mTail.readableBytes();
-        ByteBuf whole = before == 0 ? part : Unpooled.wrappedBuffer(mTail, part);
+        int before = mPartialEvent.readableBytes();
+        ByteBuf whole = before == 0 ? part : Unpooled.wrappedBuffer(mPartialEvent, part);
         int offset = whole.readerIndex() + before - part.readerIndex();
-        mScanner.scan(part.duplicate(), (end, id) -> passOn(whole, end + offset, id));
-        mTail = Unpooled.copiedBuffer(whole);
+        mScanner.scan(part.duplicate(), (end, id) -> forward(whole, end + offset, id));
+        mPartialEvent = Unpooled.copiedBuffer(whole);
         whole.release();
     }
 
-    private void passOn(ByteBuf whole, int endIndex, long id) {
+    private void forward(ByteBuf whole, int endIndex, long id) {
         int length = endIndex - whole.readerIndex();
-        boolean repeated = id != NONE && id <= mLastId;
-        mGap |= id != NONE && mLastId != NONE && id > mLastId + 1;
+        boolean repeated = id != NONE && id <= mLastEventId;
+        mGap |= id != NONE && mLastEventId != NONE && id > mLastEventId + 1;
         if (repeated || mGap) {
             whole.skipBytes(length);
             return;
         }
         mCaller.sendPart(new DefaultHttpContent(whole.readRetainedSlice(length)));
-        count(id);
+        countEvent(id);
     }
 
-    private void count(long id) {
-        mEvents++;
+    private void countEvent(long id) {
+        mEventCount++;
         if (id != NONE) {
-            mLastId = id;
+            mLastEventId = id;
         }
     }
 
-    /** Passes on what follows the last whole event, at the proper end of the answer. */
+    /** Forwards the bytes that follow the last whole event, once the answer has ended properly. */
     void end() {
-        if (mTail.isReadable()) {
+        if (mPartialEvent.isReadable()) {
             mCaller.sendPart(
-                    new DefaultHttpContent(mTail.readRetainedSlice(mTail.readableBytes())));
+                    new DefaultHttpContent(
+                            mPartialEvent.readRetainedSlice(mPartialEvent.readableBytes())));
         }
         release();
     }
 
     void release() {
-        mTail.release();
-        mTail = Unpooled.EMPTY_BUFFER;
+        mPartialEvent.release();
+        mPartialEvent = Unpooled.EMPTY_BUFFER;
     }
 }
--- a/router/src/main/java/org/hornbeampass/router/relay/CallerAnswer.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/CallerAnswer.java
@@ -4,17 +4,17 @@
 import io.netty.handler.codec.http.HttpResponse;
 
 /**
- * What the caller of one request gets: a stream as it comes, or an answer in one piece once it is
- * whole.
+ * The answer to the caller of one request: a stream that is forwarded as it arrives, or an answer
+ * that is buffered until it is whole.
  *
- * <p>Invariant: its head is written once; from then on no failure can be answered. Confined to one
- * event loop.
+ * <p>Invariant: the head of the answer is written once; after that, no failure can be answered.
+ * Confined to one event loop.
  */
 final class CallerAnswer {
     private final RelayCall mCall;
     private final AnswerStream mStream;
-    private final HeldAnswer mHeld;
-    private boolean mBegun;
+    private final BufferedAnswer mBuffered;
+    private boolean mHeadSent;
 
     CallerAnswer(RelayCall call, RelayPlan plan) {
         mCall = call;
@@ -23,77 +23,80 @@
                         call.caller(),
                         plan.route().resumable(),
                         plan.head().lastEventId().orElse(-1));
-        mHeld = new HeldAnswer(call);
+        mBuffered = new BufferedAnswer(call);
     }
 
-    /** Returns whether its head was written. */
-    boolean begun() {
-        return mBegun;
+    /** Returns whether the head of the answer was written. */
+    boolean headSent() {
+        return mHeadSent;
     }
 
-    /** Returns whether the caller gets a stream, whose head was written. */
+    /** Returns whether the answer is a stream whose head was written. */
     boolean streaming() {
-        return mBegun && !mHeld.started();
+        return mHeadSent && !mBuffered.started();
     }
 
-    /** Begins a stream. */
+    /** Starts a stream and writes its head. */
     void startStream(HttpResponse head) {
-        mBegun = true;
+        mHeadSent = true;
         mCall.sendHead(head);
     }
 
-    /** Begins an answer in one piece. */
-    void startHeld(HttpResponse head) {
-        mHeld.start(head);
+    /** Starts an answer that is buffered until it is whole. */
+    void startBuffered(HttpResponse head) {
+        mBuffered.start(head);
     }
 
-    /** Takes a part; returns whether a stream goes on without gaps. */
-    boolean take(ByteBuf part) {
+    /** Adds a part of the answer; returns false where events are missing from the stream. */
+    boolean append(ByteBuf part) {
         if (!streaming()) {
-            mBegun |= mHeld.take(part);
+            mHeadSent |= mBuffered.append(part);
             return true;
         }
         if (mCall.callerGone()) {
             part.release();
             return true;
         }
-        mStream.take(part);
+        mStream.append(part);
         return !mStream.hasGap();
     }
 
-    /** Writes what is left of it; the end itself is the call's to write. */
+    /** Writes the rest of the answer; the user of this class must then end it. */
     void end() {
-        if (mHeld.started()) {
-            mHeld.end();
+        if (mBuffered.started()) {
+            mBuffered.end();
         } else {
             mStream.end();
         }
     }
 
-    /** Returns whether another upstream may answer instead, or go on with the stream. */
-    boolean mayRestart() {
-        return !mHeld.passedOn();
+    /** Returns whether another upstream may answer instead, or continue the stream. */
+    boolean canRestart() {
+        return !mBuffered.forwarded();
     }
 
-    /** Drops what came of an answer that was lost. */
-    void restart() {
-        mHeld.reset();
-        mStream.restart();
+    /** Discards the part of a lost answer that was not forwarded. */
+    void discardUnsent() {
+        mBuffered.reset();
+        mStream.discardPartialEvent();
     }
 
-    /** Drops what was not written. */
+    /** Releases everything that was not written. */
     void release() {
-        mHeld.release();
+        mBuffered.release();
         mStream.release();
     }
 
-    /** Returns how many events of a stream were passed on. */
-    long events() {
-        return mStream.events();
+    /** Returns how many events of a stream were forwarded. */
+    long eventCount() {
+        return mStream.eventCount();
     }
 
-    /** Returns after which event of a stream another upstream would go on; -1 where none. */
-    long lastId() {
-        return mStream.lastId();
+    /**
+     * Returns the id of the event after which another upstream would resume the stream; -1 for
+     * none.
+     */
+    long lastEventId() {
+        return mStream.lastEventId();
     }
 }
--- a/router/src/main/java/org/hornbeampass/router/relay/CrashDetector.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/CrashDetector.java
@@ -13,19 +13,19 @@
 import java.util.Set;
 
 /**
- * Distinguishes the crash of an upstream from a single connection that broke.
+ * Distinguishes the crash of an upstream from the loss of a single connection.
  *
- * <p>A connection breaks where a link resets it, an answer is lost or damaged, or its upstream
- * crashes. After a crash nobody listens at the upstream's address any more, which one new
- * connection finds out. Invariants: at most one is opened at a time for an upstream; the end of an
- * upstream that had said that it leaves is no crash. Confined to one event loop.
+ * <p>A connection is lost where a link resets it, an answer is lost or damaged, or its upstream
+ * crashes. After a crash nothing listens at the upstream's address any more, which opening one new
+ * connection (a probe) shows. Invariants: at most one probe per upstream is open at a time; the end
+ * of an upstream that had announced that it is leaving is not a crash. Confined to one event loop.
  */
 final class CrashDetector {
     private final UpstreamPool mPool;
     private final Clock mClock;
     private final RelayLog mLog;
     private final Quarantine mQuarantine;
-    private final Map<UpstreamIncarnation, Set<RequestDigest>> mProbed = new HashMap<>();
+    private final Map<UpstreamIncarnation, Set<RequestDigest>> mPendingProbes = new HashMap<>();
 
     CrashDetector(UpstreamPool pool, Clock clock, RelayLog log, Quarantine quarantine) {
         mPool = pool;
@@ -35,54 +35,54 @@
     }
 
     /**
-     * Looks whether an upstream has crashed, since a connection broke on which a request was in
-     * progress.
+     * Checks whether an upstream has crashed, after a connection was lost on which a request was in
+     * flight.
      *
      * @param instance the upstream
-     * @param digest the request
+     * @param digest the digest of the request
      */
-    void onBroken(UpstreamInstance instance, RequestDigest digest) {
+    void onConnectionLost(UpstreamInstance instance, RequestDigest digest) {
         if (instance.isLeaving()) {
             return;
         }
-        UpstreamIncarnation crash = instance.incarnation();
-        Set<RequestDigest> waiting = mProbed.get(crash);
-        if (waiting != null) {
-            waiting.add(digest);
+        UpstreamIncarnation incarnation = instance.incarnation();
+        Set<RequestDigest> pending = mPendingProbes.get(incarnation);
+        if (pending != null) {
+            pending.add(digest);
             return;
         }
-        mProbed.put(crash, new LinkedHashSet<>(Set.of(digest)));
+        mPendingProbes.put(incarnation, new LinkedHashSet<>(Set.of(digest)));
         mPool.probe(
                 instance.entry().address(),
                 RelayBounds.CONNECT_TIMEOUT_MS,
-                listens -> onProbed(crash, listens));
+                listens -> onProbed(incarnation, listens));
     }
 
-    private void onProbed(UpstreamIncarnation crash, boolean listens) {
-        Set<RequestDigest> requests = mProbed.remove(crash);
-        if (!listens) {
-            report(mClock.nowMs(), crash, requests);
+    private void onProbed(UpstreamIncarnation incarnation, boolean listening) {
+        Set<RequestDigest> requests = mPendingProbes.remove(incarnation);
+        if (!listening) {
+            report(mClock.nowMs(), incarnation, requests);
         }
     }
 
     /**
-     * Records a crash of an upstream whose entry tells a later start while a request was in
-     * progress there.
+     * Records a crash of an upstream whose registered entry shows a later start while a request was
+     * in flight there.
      */
-    void onStartedAgain(long nowMs, UpstreamInstance instance, RequestDigest digest) {
+    void onRestarted(long nowMs, UpstreamInstance instance, RequestDigest digest) {
         if (!instance.isLeaving()) {
             report(nowMs, instance.incarnation(), Set.of(digest));
         }
     }
 
-    private void report(long nowMs, UpstreamIncarnation crash, Set<RequestDigest> requests) {
-        mQuarantine.onCrash(nowMs, crash, requests);
+    private void report(long nowMs, UpstreamIncarnation incarnation, Set<RequestDigest> requests) {
+        mQuarantine.onCrash(nowMs, incarnation, requests);
         mLog.logStateChange(
                 nowMs,
                 "upstream-crashed",
                 new LogFields()
-                        .add("upstream", crash.upstream())
-                        .add("born_ms", crash.bornMs())
+                        .add("upstream", incarnation.upstream())
+                        .add("born_ms", incarnation.bornMs())
                         .add("requests", requests.size()));
     }
 }
--- a/router/src/main/java/org/hornbeampass/router/relay/CrashHistory.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/CrashHistory.java
@@ -8,20 +8,20 @@
 import org.hornbeampass.coordination.service.UpstreamInstance;
 
 /**
- * The crashes of upstreams that one request may have caused: what the fleet knows of them, and what
- * its own sends add.
+ * The crashes of upstreams that one request may have caused: those known to the fleet, and those
+ * seen during its own sends.
  *
  * <p>Confined to one event loop.
  */
 final class CrashHistory {
-    private final RelayContext mParts;
+    private final RelayContext mContext;
     private final RequestIdentity mIdentity;
     private final String mRequestId;
-    private boolean mTellsItsEnd;
+    private boolean mDelimited;
     private boolean mTrial;
 
-    CrashHistory(RelayContext parts, RequestIdentity identity, String requestId) {
-        mParts = parts;
+    CrashHistory(RelayContext context, RequestIdentity identity, String requestId) {
+        mContext = context;
         mIdentity = identity;
         mRequestId = requestId;
     }
@@ -30,66 +30,70 @@
         return mIdentity.digest();
     }
 
-    /** Returns the verdict on the request as of now. */
+    /** Returns how strongly the request is suspected at present of crashing upstreams. */
     QuarantineStatus standing() {
-        return mIdentity.standing(mParts.quarantine().suspects());
+        return mIdentity.standing(mContext.quarantine().suspects());
     }
 
-    /** Takes the loss of the request's connection; returns the verdict before it. */
-    QuarantineStatus onBroken(UpstreamInstance instance) {
+    /** Handles the loss of the request's connection; returns the request's standing before it. */
+    QuarantineStatus onConnectionLost(UpstreamInstance instance) {
         QuarantineStatus before = standing();
-        mParts.crashes().onBroken(instance, digest());
+        mContext.crashDetector().onConnectionLost(instance, digest());
         return before;
     }
 
-    /** Records that the request's upstream has started again; returns the verdict before it. */
-    QuarantineStatus onStartedAgain(long nowMs, UpstreamInstance instance) {
+    /**
+     * Records that the request's upstream has restarted; returns the request's standing before it.
+     */
+    QuarantineStatus onUpstreamRestarted(long nowMs, UpstreamInstance instance) {
         QuarantineStatus before = standing();
-        mParts.crashes().onStartedAgain(nowMs, instance, digest());
+        mContext.crashDetector().onRestarted(nowMs, instance, digest());
         return before;
     }
 
-    /** Returns whether the request may go to an upstream as of now, be it as a trial. */
+    /** Returns whether the request may be sent to an upstream at present, possibly as a trial. */
     boolean mayBeSent(long nowMs) {
-        return standing().mayBeSent() || mParts.quarantine().isTrialDue(nowMs, digest());
+        return standing().mayBeSent() || mContext.quarantine().isTrialDue(nowMs, digest());
     }
 
-    /** Returns whether the request may go out at this moment; a trial is counted and logged. */
-    boolean takeSend(long nowMs) {
+    /**
+     * Returns whether the request may be sent at this moment. Where a quarantined request is sent
+     * as a trial, the trial is counted and logged.
+     */
+    boolean tryBeginSend(long nowMs) {
         if (standing().mayBeSent()) {
             return true;
         }
-        mTrial = mParts.quarantine().tryStartTrial(nowMs, digest());
+        mTrial = mContext.quarantine().tryStartTrial(nowMs, digest());
         if (mTrial) {
             LogFields fields = new LogFields().add("digest", digest().toString());
-            mParts.log().decided(nowMs, mRequestId, "quarantine-trial", fields);
+            mContext.log().logDecision(nowMs, mRequestId, "quarantine-trial", fields);
         }
         return mTrial;
     }
 
-    /** The request has left its upstream; what that told is known. */
-    void onLeft(long nowMs) {
+    /** Ends a trial: the request has left its upstream, and the result is recorded. */
+    void onSendEnded(long nowMs) {
         if (mTrial) {
             mTrial = false;
-            mParts.quarantine().endTrial(nowMs, digest());
+            mContext.quarantine().endTrial(nowMs, digest());
         }
     }
 
-    /** Takes the head of an answer to the request. */
-    void onHead(HttpResponse head) {
-        mTellsItsEnd =
-                HttpUtil.isContentLengthSet(head) || HttpUtil.isTransferEncodingChunked(head);
+    /** Records from the head of an answer whether the answer states its own end. */
+    void onAnswerHead(HttpResponse head) {
+        mDelimited = HttpUtil.isContentLengthSet(head) || HttpUtil.isTransferEncodingChunked(head);
     }
 
     /**
-     * Takes the whole answer of an upstream, which clears the request. Where the answer does not
-     * tell its end, the end of the connection may be a crash.
+     * Clears the request, since an upstream has answered it in whole. Where the answer does not
+     * state its own end, the end of the connection may be a crash.
      */
     void onAnswered(long nowMs, UpstreamInstance instance) {
-        if (!mTellsItsEnd) {
-            mParts.crashes().onBroken(instance, digest());
+        if (!mDelimited) {
+            mContext.crashDetector().onConnectionLost(instance, digest());
         } else if (standing() != QuarantineStatus.UNSUSPECTED) {
-            mParts.quarantine().clear(nowMs, digest());
+            mContext.quarantine().clear(nowMs, digest());
         }
     }
 }
--- a/router/src/main/java/org/hornbeampass/router/relay/EndToEndHeaders.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/EndToEndHeaders.java
@@ -10,12 +10,12 @@
 import java.util.Set;
 
 /**
- * Tells the headers of a message from those of the connection that carried it.
+ * Separates the end-to-end headers of a message from the hop-by-hop headers of a connection.
  *
  * <p>Stateless; safe for use by any thread.
  */
 final class EndToEndHeaders {
-    private static final Set<String> OF_THE_CONNECTION =
+    private static final Set<String> HOP_BY_HOP =
             Set.of(
                     "connection",
                     "keep-alive",
@@ -30,24 +30,24 @@
 
     private EndToEndHeaders() {}
 
-    /** Returns a copy of the headers without those that concern one connection only. */
+    /** Returns a copy of the headers without those that concern a single connection. */
     static HttpHeaders of(HttpHeaders headers) {
         HttpHeaders copy =
                 DefaultHttpHeadersFactory.headersFactory().withValidation(false).newHeaders();
-        List<String> named = headers.getAll(HttpHeaderNames.CONNECTION);
+        List<String> listed = headers.getAll(HttpHeaderNames.CONNECTION);
         for (Map.Entry<String, String> entry : headers) {
             String name = entry.getKey().toLowerCase(Locale.ROOT);
-            if (!OF_THE_CONNECTION.contains(name) && !isNamed(named, name)) {
+            if (!HOP_BY_HOP.contains(name) && !isListed(listed, name)) {
                 copy.add(entry.getKey(), entry.getValue());
             }
         }
         return copy;
     }
 
-    private static boolean isNamed(List<String> connection, String name) {
+    private static boolean isListed(List<String> connection, String name) {
         for (String value : connection) {
-            for (String each : value.split(",", -1)) {
-                if (each.strip().equalsIgnoreCase(name)) {
+            for (String token : value.split(",", -1)) {
+                if (token.strip().equalsIgnoreCase(name)) {
                     return true;
                 }
             }
--- a/router/src/main/java/org/hornbeampass/router/relay/InstanceUse.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/InFlightSend.java
@@ -5,19 +5,19 @@
 import org.hornbeampass.coordination.service.UpstreamInstance;
 
 /**
- * The place of one send at an upstream, as this VM counts it.
+ * One send of a request that counts as in flight at its upstream on this VM.
  *
- * <p>Invariant: what was counted at the start is taken back once, at the end at the latest.
- * Confined to one event loop.
+ * <p>Invariant: what is counted at the start is taken off exactly once, at the latest when the send
+ * ends. Confined to one event loop.
  */
-final class InstanceUse implements IncarnationListener {
+final class InFlightSend implements IncarnationListener {
     private final UpstreamInstance mInstance;
     private final long mTokensToRead;
     private final IncarnationListener mOnInstanceEnd;
     private boolean mPromptRead;
-    private boolean mLeft;
+    private boolean mReleased;
 
-    InstanceUse(UpstreamChoice choice, IncarnationListener onInstanceEnd) {
+    InFlightSend(UpstreamChoice choice, IncarnationListener onInstanceEnd) {
         mInstance = choice.instance();
         mTokensToRead = choice.tokensToRead();
         mOnInstanceEnd = onInstanceEnd;
@@ -28,8 +28,8 @@
         return mInstance;
     }
 
-    /** Takes the first part of an answer as evidence. */
-    void onAnswering(long nowMs, long sentMs) {
+    /** Records the first part of an answer, which shows that the upstream has read the prompt. */
+    void onAnswerPart(long nowMs, long sentMs) {
         if (!mPromptRead) {
             mPromptRead = true;
             mInstance.onPromptRead(mTokensToRead);
@@ -37,16 +37,16 @@
         }
     }
 
-    /** Returns the prompt tokens that the upstream has to read. */
+    /** Returns the number of prompt tokens that the upstream has to read. */
     long tokensToRead() {
         return mTokensToRead;
     }
 
-    void leave() {
-        if (mLeft) {
+    void release() {
+        if (mReleased) {
             return;
         }
-        mLeft = true;
+        mReleased = true;
         if (!mPromptRead) {
             mInstance.onPromptRead(mTokensToRead);
         }
@@ -58,7 +58,7 @@
         mOnInstanceEnd.onEnded(nowMs);
     }
 
-    /** Returns the upstream as fields of a log line. */
+    /** Returns the upstream's id and its requests in flight as fields of a log line. */
     LogFields fields() {
         return new LogFields()
                 .add("upstream", mInstance.id())
--- a/router/src/main/java/org/hornbeampass/router/relay/LogFields.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/LogFields.java
@@ -5,36 +5,36 @@
 /**
  * The fields of one log line, as members of a JSON object.
  *
- * <p>Invariant: what it renders can be put between the braces of an object, whatever the values
- * hold. Not thread-safe.
+ * <p>Invariant: the rendered text is valid between the braces of a JSON object, whatever characters
+ * the values contain. Not thread-safe.
  */
 public final class LogFields {
     private final StringBuilder mText = new StringBuilder(96);
 
-    /** Adds a text. */
+    /** Adds a string field. */
     public LogFields add(String name, String value) {
-        name(name).append('"');
+        appendName(name).append('"');
         JsonStringEncoder.getInstance().quoteAsString(value, mText);
         mText.append('"');
         return this;
     }
 
-    /** Adds a number. */
+    /** Adds a numeric field. */
     public LogFields add(String name, long value) {
-        name(name).append(value);
+        appendName(name).append(value);
         return this;
     }
 
-    /** Adds a truth value. */
+    /** Adds a boolean field. */
     public LogFields add(String name, boolean value) {
-        name(name).append(value);
+        appendName(name).append(value);
         return this;
     }
 
-    /** Adds all fields of another. */
+    /** Adds all fields of another instance. */
     public LogFields addAll(LogFields other) {
         if (!other.isEmpty()) {
-            separate();
+            appendSeparator();
             mText.append(other.mText);
         }
         return this;
@@ -44,12 +44,12 @@
         return mText.length() == 0;
     }
 
-    private StringBuilder name(String name) {
-        separate();
+    private StringBuilder appendName(String name) {
+        appendSeparator();
         return mText.append('"').append(name).append("\":");
     }
 
-    private void separate() {
+    private void appendSeparator() {
         if (!isEmpty()) {
             mText.append(',');
         }
--- a/router/src/main/java/org/hornbeampass/router/relay/RelayAttempts.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/RelayAttempts.java
@@ -17,67 +17,68 @@
 import java.util.OptionalLong;
 
 /**
- * Sends one admitted request to upstreams, one after another, and passes the answer on.
+ * Sends one admitted request to upstreams, one after another, and forwards the answer.
  *
- * <p>Invariants: at most one upstream works on it at a time; the number of sends stays within the
- * route's, sends to an upstream that turned out to be another one not counted. Confined to one
- * event loop.
+ * <p>Invariants: at most one upstream works on the request at a time; the number of sends stays
+ * within the route's maximum, not counting sends that reached a different upstream than intended.
+ * Confined to one event loop.
  */
 final class RelayAttempts implements UpstreamListener, UpstreamSearch.Listener {
-    private final RelayContext mParts;
+    private final RelayContext mContext;
     private final RelayCall mCall;
     private final RelayPlan mPlan;
     private final RequestBody mBody;
     private final CrashHistory mCrashes;
     private final CallerAnswer mAnswer;
     private final SendCounts mCounts;
-    private final SilenceWatch mSilence;
+    private final SilenceTimeout mSilenceTimeout;
     private final UpstreamSearch mSearch;
-    private Optional<InstanceUse> mUse = Optional.empty();
+    private Optional<InFlightSend> mSend = Optional.empty();
     private Optional<UpstreamConnection> mConnection = Optional.empty();
     private boolean mBodySent;
     private long mSentMs;
     private long mFirstByteMs = -1;
 
     RelayAttempts(
-            RelayContext parts,
+            RelayContext context,
             RelayCall call,
             RelayPlan plan,
             RequestBody body,
             CrashHistory crashes) {
-        mParts = parts;
+        mContext = context;
         mCall = call;
         mPlan = plan;
         mBody = body;
         mCrashes = crashes;
         mAnswer = new CallerAnswer(call, plan);
         mCounts = new SendCounts(plan.route());
-        mSilence = new SilenceWatch(call, plan.route(), this::onSilent);
+        mSilenceTimeout = new SilenceTimeout(call, plan.route(), this::onSilent);
         mSearch =
                 new UpstreamSearch(
-                        parts, call, plan, crashes, mCounts, this, this::onInstanceEnded);
+                        context, call, plan, crashes, mCounts, this, this::onInstanceEnded);
     }
 
-    /** Sends the request to an upstream that it was not sent to yet. */
-    void attempt(long nowMs) {
+    /** Sends the request to an upstream to which it was not sent yet. */
+    void startAttempt(long nowMs) {
         mSearch.start(nowMs);
     }
 
     @Override
-    public void onFound(long nowMs, InstanceUse use, UpstreamConnection connection) {
-        mUse = Optional.of(use);
+    public void onFound(long nowMs, InFlightSend send, UpstreamConnection connection) {
+        mSend = Optional.of(send);
         mConnection = Optional.of(connection);
         if (mCounts.onSent()) {
-            mParts.countFirst(nowMs, mPlan.service().name());
+            mContext.countFirstSend(nowMs, mPlan.service().name());
         }
         mSentMs = nowMs;
         mBodySent = false;
-        connection.start(mPlan.upstreamHead(nowMs, mParts.wire(), use, mAnswer.lastId()), this);
+        connection.start(
+                mPlan.upstreamHead(nowMs, mContext.wire(), send, mAnswer.lastEventId()), this);
         sendBody();
-        mSilence.awaitAnswer();
+        mSilenceTimeout.startForAnswer();
     }
 
-    /** Sends what has come of the body. */
+    /** Sends the parts of the body that have arrived. */
     void onBody(long nowMs) {
         if (mConnection.isPresent() && !mBodySent) {
             sendBody();
@@ -86,10 +87,10 @@
 
     private void sendBody() {
         UpstreamConnection connection = mConnection.orElseThrow();
-        for (ByteBuf part : mBody.take()) {
+        for (ByteBuf part : mBody.takeParts()) {
             connection.sendPart(part);
         }
-        if (mBody.whole()) {
+        if (mBody.fullyReceived()) {
             mBodySent = true;
             connection.sendEnd();
             return;
@@ -107,57 +108,60 @@
 
     @Override
     public boolean onHead(long nowMs, HttpResponse head) {
-        AnswerHead said = mParts.wire().readAnswer(head, mPlan.head().id());
-        mParts.answerSignals().onAnswer(nowMs, mSentMs, mUse.orElseThrow().instance(), said);
-        AnswerOutcome answer = said.outcome();
-        if (answer == AnswerOutcome.UNRELATED) {
-            decided(nowMs, "unrelated-answer", mUse.get().fields());
+        AnswerHead answer = mContext.wire().readAnswer(head, mPlan.head().id());
+        mContext.answerSignals().onAnswer(nowMs, mSentMs, mSend.orElseThrow().instance(), answer);
+        AnswerOutcome outcome = answer.outcome();
+        if (outcome == AnswerOutcome.UNRELATED) {
+            logDecision(nowMs, "unrelated-answer", mSend.get().fields());
             return false;
         }
-        mSilence.stop();
-        if (answer == AnswerOutcome.NOT_RUN || answer == AnswerOutcome.WRONG_UPSTREAM) {
-            onNotRun(nowMs, answer);
+        mSilenceTimeout.stop();
+        if (outcome == AnswerOutcome.NOT_RUN || outcome == AnswerOutcome.WRONG_UPSTREAM) {
+            onNotRun(nowMs, outcome);
             return true;
         }
-        if (answer == AnswerOutcome.UNVERIFIED) {
-            mUse.get().instance().onErrorAnswer(nowMs);
-            dropConnectionOnly();
-            onLost(nowMs, "its answer lacks what proves it", mCrashes.standing());
+        if (outcome == AnswerOutcome.UNVERIFIED) {
+            mSend.get().instance().onErrorAnswer(nowMs);
+            cancelConnection();
+            onAttemptLost(
+                    nowMs,
+                    "the answer lacks the headers that prove its origin",
+                    mCrashes.standing());
             return true;
         }
-        onRun(nowMs, head, answer);
+        onProcessed(nowMs, head, outcome);
         return true;
     }
 
-    private void onNotRun(long nowMs, AnswerOutcome answer) {
-        UpstreamInstance instance = mUse.orElseThrow().instance();
-        mCounts.onNotRun(answer);
-        if (answer == AnswerOutcome.WRONG_UPSTREAM) {
-            mParts.upstreamRegistry().onIdentityMismatch(nowMs, instance);
+    private void onNotRun(long nowMs, AnswerOutcome outcome) {
+        UpstreamInstance instance = mSend.orElseThrow().instance();
+        mCounts.onNotRun(outcome);
+        if (outcome == AnswerOutcome.WRONG_UPSTREAM) {
+            mContext.upstreamRegistry().onIdentityMismatch(nowMs, instance);
         } else {
             instance.onOverloaded(nowMs, RelayBounds.FULL_PAUSE_MS);
         }
-        String decision = answer == AnswerOutcome.NOT_RUN ? "upstream-full" : "upstream-replaced";
-        decided(nowMs, decision, mUse.get().fields());
-        dropConnection();
-        if (mCounts.mayGoOn() && mBody.complete()) {
-            attempt(nowMs);
+        String decision = outcome == AnswerOutcome.NOT_RUN ? "upstream-full" : "upstream-replaced";
+        logDecision(nowMs, decision, mSend.get().fields());
+        abandonSend();
+        if (mCounts.mayResend() && mBody.replayable()) {
+            startAttempt(nowMs);
         } else {
-            giveUp(nowMs, "the upstreams have no room now");
+            giveUp(nowMs, "the upstreams have no free capacity at present");
         }
     }
 
-    private void onRun(long nowMs, HttpResponse head, AnswerOutcome answer) {
-        UpstreamInstance instance = mUse.orElseThrow().instance();
-        mCrashes.onHead(head);
-        if (answer == AnswerOutcome.FAILED) {
+    private void onProcessed(long nowMs, HttpResponse head, AnswerOutcome outcome) {
+        UpstreamInstance instance = mSend.orElseThrow().instance();
+        mCrashes.onAnswerHead(head);
+        if (outcome == AnswerOutcome.FAILED) {
             instance.onErrorAnswer(nowMs);
-            if (mayRunAgain() && !mAnswer.begun()) {
-                LogFields fields = mUse.get().fields().add("status", head.status().code());
-                decided(nowMs, "upstream-failed", fields);
-                if (mSearch.anyLeft(nowMs)) {
-                    dropConnection();
-                    attempt(nowMs);
+            if (mayRetry() && !mAnswer.headSent()) {
+                LogFields fields = mSend.get().fields().add("status", head.status().code());
+                logDecision(nowMs, "upstream-failed", fields);
+                if (mSearch.hasUntriedUpstream(nowMs)) {
+                    abandonSend();
+                    startAttempt(nowMs);
                     return;
                 }
             }
@@ -165,31 +169,31 @@
         if (mFirstByteMs < 0) {
             mFirstByteMs = nowMs;
         }
-        if (mAnswer.begun()) {
-            if (answer != AnswerOutcome.SUCCEEDED) {
-                dropConnection();
-                breakOff(nowMs, "the stream could not go on at another upstream");
+        if (mAnswer.headSent()) {
+            if (outcome != AnswerOutcome.SUCCEEDED) {
+                abandonSend();
+                abortAnswer(nowMs, "the stream could not be resumed at another upstream");
                 return;
             }
-            mSilence.awaitEvent();
+            mSilenceTimeout.startForEvent();
             return;
         }
         HttpResponse copy =
                 new DefaultHttpResponse(
                         HttpVersion.HTTP_1_1, head.status(), EndToEndHeaders.of(head.headers()));
-        boolean streams = mPlan.route().kind().streams() && answer == AnswerOutcome.SUCCEEDED;
+        boolean streams = mPlan.route().kind().streams() && outcome == AnswerOutcome.SUCCEEDED;
         if (streams) {
             mAnswer.startStream(copy);
-            mSilence.awaitEvent();
+            mSilenceTimeout.startForEvent();
         } else {
-            mAnswer.startHeld(copy);
+            mAnswer.startBuffered(copy);
         }
     }
 
-    private boolean mayRunAgain() {
+    private boolean mayRetry() {
         return mPlan.route().mayRunAgain()
-                && mCounts.attemptsLeft()
-                && mBody.complete()
+                && mCounts.hasAttemptsLeft()
+                && mBody.replayable()
                 && !mCall.callerGone();
     }
 
@@ -199,11 +203,11 @@
             part.release();
             return;
         }
-        mUse.orElseThrow().onAnswering(nowMs, mSentMs);
-        boolean goesOn = mAnswer.take(part);
-        if (!goesOn) {
-            dropConnection();
-            breakOff(nowMs, "an upstream left events out");
+        mSend.orElseThrow().onAnswerPart(nowMs, mSentMs);
+        boolean continuous = mAnswer.append(part);
+        if (!continuous) {
+            abandonSend();
+            abortAnswer(nowMs, "an upstream omitted events of the stream");
         }
     }
 
@@ -217,11 +221,11 @@
             mConnection.get().reading(false);
         }
         if (mAnswer.streaming()) {
-            mSilence.awaitEvent();
+            mSilenceTimeout.startForEvent();
         }
     }
 
-    /** Reads on once the caller has caught up. */
+    /** Resumes reading the answer once the caller's connection is writable again. */
     void onCallerWritable() {
         mConnection.ifPresent(c -> c.reading(true));
     }
@@ -231,11 +235,11 @@
         if (mCall.ended()) {
             return;
         }
-        mUse.orElseThrow().onAnswering(nowMs, mSentMs);
+        mSend.orElseThrow().onAnswerPart(nowMs, mSentMs);
         mConnection = Optional.empty();
-        mCrashes.onAnswered(nowMs, mUse.orElseThrow().instance());
-        leaveInstance();
-        mSilence.stop();
+        mCrashes.onAnswered(nowMs, mSend.orElseThrow().instance());
+        releaseSend();
+        mSilenceTimeout.stop();
         if (mCall.callerGone()) {
             mAnswer.release();
             mCall.end(nowMs, "caller-gone", usedTokens());
@@ -252,93 +256,102 @@
             return;
         }
         mConnection = Optional.empty();
-        UpstreamInstance instance = mUse.orElseThrow().instance();
+        UpstreamInstance instance = mSend.orElseThrow().instance();
         instance.onNoAnswer(nowMs);
-        QuarantineStatus before = mCrashes.onBroken(instance);
-        onLost(nowMs, reason, before);
+        QuarantineStatus before = mCrashes.onConnectionLost(instance);
+        onAttemptLost(nowMs, reason, before);
     }
 
-    /** The upstream has started again: what was sent to its former incarnation is lost. */
+    /** Handles the restart of the upstream: what was sent to its former incarnation is lost. */
     private void onInstanceEnded(long nowMs) {
         if (mCall.ended() || mConnection.isEmpty()) {
             return;
         }
-        dropConnectionOnly();
-        QuarantineStatus before = mCrashes.onStartedAgain(nowMs, mUse.orElseThrow().instance());
-        onLost(nowMs, "the upstream has started again", before);
+        cancelConnection();
+        QuarantineStatus before =
+                mCrashes.onUpstreamRestarted(nowMs, mSend.orElseThrow().instance());
+        onAttemptLost(nowMs, "the upstream has restarted", before);
     }
 
     /**
-     * Goes on after an upstream was lost, where that is allowed.
+     * Retries after an upstream was lost, where that is allowed; otherwise gives up.
      *
      * @param nowMs the present time in milliseconds
-     * @param reason what happened, for logs
-     * @param before the verdict on the request before this loss
+     * @param reason what happened, for the log
+     * @param before the request's standing before this loss
      */
-    private void onLost(long nowMs, String reason, QuarantineStatus before) {
-        LogFields fields = mUse.map(InstanceUse::fields).orElseGet(LogFields::new);
+    private void onAttemptLost(long nowMs, String reason, QuarantineStatus before) {
+        LogFields fields = mSend.map(InFlightSend::fields).orElseGet(LogFields::new);
         fields.add("reason", reason)
-                .add("events", mAnswer.events())
+                .add("events", mAnswer.eventCount())
                 .add("digest", mCrashes.digest().toString());
-        decided(nowMs, "upstream-lost", fields);
-        leaveInstance();
-        mSilence.stop();
+        logDecision(nowMs, "upstream-lost", fields);
+        releaseSend();
+        mSilenceTimeout.stop();
         if (mCall.callerGone()) {
             mCall.end(nowMs, "caller-gone", usedTokens());
             return;
         }
-        if (mayRunAgain() && before.mayBeRetried() && mAnswer.mayRestart()) {
-            mAnswer.restart();
-            attempt(nowMs);
+        if (mayRetry() && before.mayBeRetried() && mAnswer.canRestart()) {
+            mAnswer.discardUnsent();
+            startAttempt(nowMs);
             return;
         }
         giveUp(nowMs, "the upstream was lost");
     }
 
-    /** An upstream says nothing: its place is taken by another, where that is allowed. */
+    /** Handles a silent upstream: the request is sent to another one, where that is allowed. */
     private void onSilent(long nowMs) {
-        if (mConnection.isEmpty() || !mayRunAgain() || !mAnswer.mayRestart()) {
+        if (mConnection.isEmpty() || !mayRetry() || !mAnswer.canRestart()) {
             return;
         }
-        mUse.ifPresent(u -> u.instance().onNoAnswer(nowMs));
-        dropConnectionOnly();
-        onLost(nowMs, "it was silent for too long", mCrashes.standing());
+        mSend.ifPresent(u -> u.instance().onNoAnswer(nowMs));
+        cancelConnection();
+        onAttemptLost(nowMs, "the upstream was silent for too long", mCrashes.standing());
     }
 
-    /** The time is over. */
+    /** Ends the request at its deadline. */
     void onDeadline(long nowMs) {
         if (mConnection.isPresent() && mFirstByteMs < 0) {
-            mUse.ifPresent(u -> u.instance().onNoAnswer(nowMs));
+            mSend.ifPresent(u -> u.instance().onNoAnswer(nowMs));
         }
-        dropConnection();
-        if (mAnswer.begun()) {
-            breakOff(nowMs, "the time was over");
+        abandonSend();
+        if (mAnswer.headSent()) {
+            abortAnswer(nowMs, "the deadline has passed");
             return;
         }
         if (mCounts.mayHaveRun()) {
-            fail(nowMs, Failure.of(ErrorKind.DEADLINE_EXCEEDED, "the time was over"));
+            fail(nowMs, Failure.of(ErrorKind.DEADLINE_EXCEEDED, "the deadline has passed"));
         } else {
-            fail(nowMs, Refusals.noUpstream("the time was over before it could be sent"));
+            fail(
+                    nowMs,
+                    Refusals.noUpstream("the deadline passed before the request could be sent"));
         }
     }
 
-    /** The request is refused while it is being sent, so that no upstream can run it. */
+    /**
+     * Refuses the request while it is still being sent; the body is incomplete, so no upstream can
+     * run it.
+     */
     void refuse(long nowMs, Failure failure) {
-        dropConnection();
-        if (mAnswer.begun()) {
-            breakOff(nowMs, failure.message());
+        abandonSend();
+        if (mAnswer.headSent()) {
+            abortAnswer(nowMs, failure.message());
         } else {
             fail(nowMs, failure);
         }
     }
 
-    /** The caller is gone: what may not be repeated runs on, so that its outcome is known. */
+    /**
+     * Handles the loss of the caller. A request that may not be repeated continues to run, so that
+     * its outcome becomes known.
+     */
     void onCallerGone(long nowMs) {
         boolean sent = mConnection.isPresent();
         if (sent && !mPlan.route().kind().cancelsWithCaller()) {
             return;
         }
-        dropConnection();
+        abandonSend();
         mAnswer.release();
         mCall.end(nowMs, "caller-gone", usedTokens());
     }
@@ -346,27 +359,27 @@
     @Override
     public void onQuarantined(long nowMs) {
         if (mCounts.mayHaveRun()) {
-            giveUp(nowMs, Refusals.QUARANTINED);
+            giveUp(nowMs, Refusals.QUARANTINED_MESSAGE);
         } else {
             fail(nowMs, mCall.quarantined(nowMs, mCrashes.digest()));
         }
     }
 
     @Override
-    public void onNoneUsable(long nowMs) {
-        if (mAnswer.begun() || mCounts.mayHaveRun()) {
-            giveUp(nowMs, "no upstream takes requests now");
+    public void onNoneAvailable(long nowMs) {
+        if (mAnswer.headSent() || mCounts.mayHaveRun()) {
+            giveUp(nowMs, "no upstream accepts requests at present");
             return;
         }
         String service = mPlan.service().name();
-        OptionalLong pauseLeftMs = mParts.upstreamRegistry().requestedPauseLeftMs(nowMs, service);
-        OptionalLong closedForMs = mParts.upstreamRegistry().unavailableForMs(nowMs, service);
+        OptionalLong pauseLeftMs = mContext.upstreamRegistry().requestedPauseLeftMs(nowMs, service);
+        OptionalLong closedForMs = mContext.upstreamRegistry().unavailableForMs(nowMs, service);
         if (pauseLeftMs.isPresent()) {
-            fail(nowMs, Refusals.upstreamsPause(pauseLeftMs.getAsLong()));
+            fail(nowMs, Refusals.upstreamsPaused(pauseLeftMs.getAsLong()));
         } else if (closedForMs.isPresent()) {
-            fail(nowMs, Refusals.rateLimited(closedForMs.getAsLong(), mParts.random()));
+            fail(nowMs, Refusals.rateLimited(closedForMs.getAsLong(), mContext.random()));
         } else {
-            giveUp(nowMs, "no upstream takes requests now");
+            giveUp(nowMs, "no upstream accepts requests at present");
         }
     }
 
@@ -376,8 +389,8 @@
     }
 
     private void giveUp(long nowMs, String why) {
-        if (mAnswer.begun()) {
-            breakOff(nowMs, why);
+        if (mAnswer.headSent()) {
+            abortAnswer(nowMs, why);
             return;
         }
         if (!mCounts.mayHaveRun()) {
@@ -396,48 +409,57 @@
         mCall.fail(nowMs, failure, usedTokens());
     }
 
-    /** Ends an answer that can't be finished, so that the caller sees that it is not whole. */
-    private void breakOff(long nowMs, String why) {
-        decided(nowMs, "broken-off", new LogFields().add("reason", why));
+    /**
+     * Aborts an answer that can't be completed and closes the caller's connection, so that the
+     * caller sees that the answer is incomplete.
+     */
+    private void abortAnswer(long nowMs, String why) {
+        logDecision(nowMs, "broken-off", new LogFields().add("reason", why));
         mAnswer.release();
         mCall.end(nowMs, "broken", usedTokens());
         mCall.caller().abort();
     }
 
-    private void dropConnection() {
-        dropConnectionOnly();
-        leaveInstance();
-        mSilence.stop();
+    private void abandonSend() {
+        cancelConnection();
+        releaseSend();
+        mSilenceTimeout.stop();
     }
 
-    private void dropConnectionOnly() {
+    private void cancelConnection() {
         mConnection.ifPresent(UpstreamConnection::cancel);
         mConnection = Optional.empty();
     }
 
-    private void leaveInstance() {
+    private void releaseSend() {
         mSearch.cancel();
-        mUse.ifPresent(InstanceUse::leave);
-        mUse = Optional.empty();
-        mCrashes.onLeft(mParts.clock().nowMs());
+        mSend.ifPresent(InFlightSend::release);
+        mSend = Optional.empty();
+        mCrashes.onSendEnded(mContext.clock().nowMs());
     }
 
-    /** Returns the tokens that the request has used: its prompt once, and what was delivered. */
+    /**
+     * Returns the tokens that the request has used: its prompt, counted once, and the tokens
+     * delivered to the caller.
+     */
     private long usedTokens() {
         if (!mCounts.mayHaveRun()) {
             return 0;
         }
-        return mPlan.head().prompt().promptTokens() + mAnswer.events() * mPlan.tokensPerEvent();
+        return mPlan.head().prompt().promptTokens() + mAnswer.eventCount() * mPlan.tokensPerEvent();
     }
 
-    /** Returns the sends as fields of a log line. */
+    /**
+     * Returns the counts of sends and events and the time to the first byte as fields of a log
+     * line.
+     */
     LogFields summary() {
         return mCounts.fields()
-                .add("events", mAnswer.events())
+                .add("events", mAnswer.eventCount())
                 .add("first_ms", mFirstByteMs < 0 ? -1 : mFirstByteMs - mSentMs);
     }
 
-    private void decided(long nowMs, String decision, LogFields fields) {
-        mParts.log().decided(nowMs, mPlan.head().id(), decision, fields);
+    private void logDecision(long nowMs, String decision, LogFields fields) {
+        mContext.log().logDecision(nowMs, mPlan.head().id(), decision, fields);
     }
 }
--- a/router/src/main/java/org/hornbeampass/router/relay/RelayCall.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/RelayCall.java
@@ -24,21 +24,26 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One request of a caller, from its head to its settlement.
+ * One request of a caller, from its head to the settling of its tokens.
  *
  * <p>Invariants: tokens are reserved before anything is sent, and settled once; a request that may
- * not be repeated is sent again only on an upstream's word that it was not run; a failure that says
- * "not run" is answered only where that holds; the caller gets at most one answer. Confined to one
- * event loop.
+ * not be repeated is sent again only where the upstream stated that it did not run it; a failure
+ * that states that the request did not run is answered only where that is certain; the caller gets
+ * at most one answer. Confined to one event loop.
  */
 final class RelayCall implements CallerListener {
-    /** How long a request may take that names no time, and is on no route that does. */
+    /**
+     * How long a request may take that sets no timeout, in milliseconds; the route's timeout
+     * applies too.
+     */
     private static final long DEFAULT_TIMEOUT_MS = 30_000;
 
-    /** How much earlier than the caller's own time an answer is given, so that it arrives. */
+    /**
+     * How much earlier than the caller's timeout the answer is given, so that it arrives in time.
+     */
     private static final long ANSWER_MARGIN_MS = 20;
 
-    private final RelayContext mParts;
+    private final RelayContext mContext;
     private final CallerConnection mCaller;
     private final HttpRequest mRequest;
     private final long mArrivedMs;
@@ -58,21 +63,21 @@
     private Optional<RelayAttempts> mAttempts = Optional.empty();
     private long mDeadlineMs;
     private long mReserved;
-    private LogFields mTokensLacking = new LogFields();
-    private boolean mAdmitting;
+    private LogFields mShortageFields = new LogFields();
+    private boolean mAdmissionStarted;
     private boolean mEnded;
     private boolean mCallerGone;
     private Runnable mDeadlineTimer = () -> {};
     private Runnable mGrantTimer = () -> {};
 
-    RelayCall(RelayContext parts, CallerConnection caller, HttpRequest request, long nowMs) {
-        mParts = parts;
+    RelayCall(RelayContext context, CallerConnection caller, HttpRequest request, long nowMs) {
+        mContext = context;
         mCaller = caller;
         mRequest = request;
         mArrivedMs = nowMs;
     }
 
-    /** Reads the head, and refuses what can't be passed on. */
+    /** Reads the head and refuses a request that can't be relayed. */
     void start(long nowMs) {
         Optional<Failure> refusal = prepare(nowMs);
         if (refusal.isPresent()) {
@@ -83,34 +88,37 @@
     }
 
     private Optional<Failure> prepare(long nowMs) {
-        Either<Failure, CallerHead> read = mParts.wire().readHead(mRequest);
+        Either<Failure, CallerHead> read = mContext.wire().readHead(mRequest);
         if (read.isLeft()) {
             return Optional.of(read.getLeft());
         }
         mHead = read.get();
-        if (mParts.routes().isEmpty()) {
-            return Optional.of(Refusals.withoutConfiguration());
+        if (mContext.routes().isEmpty()) {
+            return Optional.of(Refusals.noConfiguration());
         }
-        if (mParts.refusing()) {
+        if (mContext.refusingNewRequests()) {
             return Optional.of(Refusals.shuttingDown());
         }
-        RouteTable routes = mParts.routes().get();
+        RouteTable routes = mContext.routes().get();
         int query = mRequest.uri().indexOf('?');
         String path = query < 0 ? mRequest.uri() : mRequest.uri().substring(0, query);
         mRoute = routes.route(mHead.host(), path);
         if (mRoute.isEmpty()) {
-            return Optional.of(unknown(nowMs, ErrorKind.NOT_FOUND, "no route leads there"));
+            return Optional.of(
+                    notConfigured(
+                            nowMs, ErrorKind.NOT_FOUND, "no route matches the host and path"));
         }
-        return authorise(nowMs, routes).or(() -> direct(nowMs, routes));
+        return authorise(nowMs, routes).or(() -> selectService(nowMs, routes));
     }
 
     /**
-     * Refuses for what the configuration lacks. A VM that may be behind can't know that: its caller
-     * is told to come back, here or elsewhere, where 404 would be final.
+     * Returns the failure for something that the configuration lacks. A VM whose configuration may
+     * be outdated can't be sure of that, so it asks the caller to retry here or elsewhere, whereas
+     * a 404 would be final.
      */
-    private Failure unknown(long nowMs, ErrorKind kind, String message) {
-        return mParts.mayBeBehind(nowMs)
-                ? Refusals.unknownHere(message)
+    private Failure notConfigured(long nowMs, ErrorKind kind, String message) {
+        return mContext.configMayBeStale(nowMs)
+                ? Refusals.missingHere(message)
                 : Failure.of(kind, message);
     }
 
@@ -122,20 +130,20 @@
         return mOrganisation.isPresent()
                 ? Optional.empty()
                 : Optional.of(
-                        unknown(
+                        notConfigured(
                                 nowMs,
                                 ErrorKind.KEY_MISSING_OR_UNKNOWN,
-                                "show the key of an organisation"));
+                                "the request has no API key of a known organisation"));
     }
 
-    private Optional<Failure> direct(long nowMs, RouteTable routes) {
+    private Optional<Failure> selectService(long nowMs, RouteTable routes) {
         Route route = mRoute.get();
-        mService = routes.pickService(route, mParts.random());
+        mService = routes.pickService(route, mContext.random());
         if (mService.isEmpty()) {
             return Optional.of(Refusals.noUpstream("the route has no service"));
         }
-        long budgetMs = mHead.timeoutMs().orElse(DEFAULT_TIMEOUT_MS) - ANSWER_MARGIN_MS;
-        mDeadlineMs = nowMs + Math.max(1, Math.min(budgetMs, route.timeoutMs()));
+        long waitMs = mHead.timeoutMs().orElse(DEFAULT_TIMEOUT_MS) - ANSWER_MARGIN_MS;
+        mDeadlineMs = nowMs + Math.max(1, Math.min(waitMs, route.timeoutMs()));
         return Optional.empty();
     }
 
@@ -168,7 +176,7 @@
     }
 
     private long maxBodyBytes() {
-        return mParts.routes().orElseThrow().config().limits().maxBodyBytes();
+        return mContext.routes().orElseThrow().config().limits().maxBodyBytes();
     }
 
     @Override
@@ -184,13 +192,16 @@
         }
     }
 
-    /** Reserves the most that the request may use, and waits a moment where that fails. */
+    /**
+     * Reserves the most tokens that the request may use, and waits for a short time where too few
+     * are free.
+     */
     private void admit(long nowMs) {
-        if (mAdmitting || mEnded) {
+        if (mAdmissionStarted || mEnded) {
             return;
         }
-        mAdmitting = true;
-        CrashHistory crashes = new CrashHistory(mParts, identity(), mHead.id());
+        mAdmissionStarted = true;
+        CrashHistory crashes = new CrashHistory(mContext, identity(), mHead.id());
         mCrashes = Optional.of(crashes);
         if (!crashes.mayBeSent(nowMs)) {
             fail(nowMs, quarantined(nowMs, crashes.digest()));
@@ -206,32 +217,33 @@
     }
 
     /**
-     * Returns how long a request may wait for tokens, in milliseconds: up to its objective, while
-     * an exchange or a search is under way, which end by themselves where there are none. A request
-     * that is refused comes back later than that.
+     * Returns how long a request may wait for tokens, in milliseconds: at most its objective, and
+     * only while an exchange with the store or a search for a loan is under way, both of which end
+     * by themselves where there are no tokens. A refused request would come back later than that.
      */
     private long grantWaitMs() {
         return mRoute.orElseThrow().objectiveMs();
     }
 
-    /** Waits for the store or for other VMs, as long as there is hope for tokens. */
+    /** Waits for the store or for other VMs, as long as tokens can be expected from them. */
     private void waitForTokens(long nowMs) {
         long tokens = mHead.prompt().maxTokens();
-        if (mParts.budgets().mayObtainTokens(nowMs, organisation(), tokens)) {
-            mParts.budgets().afterNextExchange(nowMs, organisation(), this::admitAgain);
+        if (mContext.budgets().mayObtainTokens(nowMs, organisation(), tokens)) {
+            mContext.budgets().afterNextExchange(nowMs, organisation(), this::retryAdmission);
             return;
         }
-        boolean searching = mParts.loans().search(nowMs, organisation(), tokens, this::admitAgain);
+        boolean searching =
+                mContext.loans().search(nowMs, organisation(), tokens, this::retryAdmission);
         if (!searching) {
             onAdmission(nowMs, Admission.INSUFFICIENT_HERE);
         }
     }
 
-    private void admitAgain() {
+    private void retryAdmission() {
         if (mEnded || mAttempts.isPresent()) {
             return;
         }
-        long nowMs = mParts.clock().nowMs();
+        long nowMs = mContext.clock().nowMs();
         Admission admission = reserve(nowMs);
         if (admission == Admission.INSUFFICIENT_HERE) {
             waitForTokens(nowMs);
@@ -245,7 +257,7 @@
         if (mOrganisation.isEmpty()) {
             return Admission.UNMETERED;
         }
-        Admission admission = mParts.budgets().admit(nowMs, organisation(), tokens);
+        Admission admission = mContext.budgets().admit(nowMs, organisation(), tokens);
         if (admission == Admission.RESERVED) {
             mReserved = tokens;
         }
@@ -266,7 +278,7 @@
             mAttempts =
                     Optional.of(
                             new RelayAttempts(
-                                    mParts,
+                                    mContext,
                                     this,
                                     new RelayPlan(
                                             mRequest,
@@ -277,41 +289,42 @@
                                             mDeadlineMs),
                                     mBody,
                                     mCrashes.orElseThrow()));
-            mAttempts.get().attempt(nowMs);
+            mAttempts.get().startAttempt(nowMs);
             return;
         }
-        mTokensLacking = lackingFields(nowMs);
+        mShortageFields = shortageFields(nowMs);
         fail(
                 nowMs,
                 admission == Admission.EXHAUSTED
                         ? Refusals.exhausted()
-                        : Refusals.tooFewTokens(lack(nowMs)));
+                        : Refusals.tooFewTokens(tokenShortage(nowMs)));
     }
 
-    /** Returns what identifies the request; its caller is the organisation that pays. */
+    /** Returns the identity of the request; its caller is the organisation that pays. */
     private RequestIdentity identity() {
         String caller = mOrganisation.map(PrepaidOrganisation::name).or(mHead::apiKey).orElse("");
         RequestIdentity identity =
-                new RequestIdentity(mParts.hasher(), mHead.host(), mRequest.uri(), caller, mBody);
+                new RequestIdentity(mContext.hasher(), mHead.host(), mRequest.uri(), caller, mBody);
         if (mBody.large()) {
             identity.digest();
         }
         return identity;
     }
 
-    private Refusals.Lack lack(long nowMs) {
-        if (mParts.budgets().isStoreUnreachable(nowMs, organisation())) {
-            return Refusals.Lack.STORE_UNREACHABLE;
+    private Refusals.TokenShortage tokenShortage(long nowMs) {
+        if (mContext.budgets().isStoreUnreachable(nowMs, organisation())) {
+            return Refusals.TokenShortage.STORE_UNREACHABLE;
         }
         long tokens = mHead.prompt().maxTokens();
-        return mParts.budgets().mayObtainTokens(nowMs, organisation(), tokens)
-                ? Refusals.Lack.STORE_MAY_HAVE_MORE
-                : Refusals.Lack.SCARCE;
+        return mContext.budgets().mayObtainTokens(nowMs, organisation(), tokens)
+                ? Refusals.TokenShortage.STORE_MAY_HAVE_MORE
+                : Refusals.TokenShortage.TOKENS_IN_USE;
     }
 
-    /** Returns what decided against the request, as fields of a log line. */
-    private LogFields lackingFields(long nowMs) {
-        EscrowBook.AdmissionState standing = mParts.budgets().admissionState(nowMs, organisation());
+    /** Returns the state of the budget that led to the refusal, as fields of a log line. */
+    private LogFields shortageFields(long nowMs) {
+        EscrowBook.AdmissionState standing =
+                mContext.budgets().admissionState(nowMs, organisation());
         return new LogFields()
                 .add("wanted", mHead.prompt().maxTokens())
                 .add("free", standing.free())
@@ -323,20 +336,22 @@
 
     private void onDeadline(long nowMs) {
         if (mAttempts.isEmpty()) {
-            fail(nowMs, Refusals.noUpstream("the time was over before it could be sent"));
+            fail(
+                    nowMs,
+                    Refusals.noUpstream("the deadline passed before the request could be sent"));
             return;
         }
         mAttempts.get().onDeadline(nowMs);
     }
 
     /**
-     * Logs that a request is kept from upstreams, and returns the answer to it, which did not run.
+     * Logs that a request is quarantined, and returns the failure for it; the request did not run.
      */
     Failure quarantined(long nowMs, RequestDigest digest) {
-        SuspectTable suspects = mParts.quarantine().suspects();
+        SuspectTable suspects = mContext.quarantine().suspects();
         long leftMs = suspects.quarantineLeftMs(nowMs, digest);
-        mParts.log()
-                .decided(
+        mContext.log()
+                .logDecision(
                         nowMs,
                         mHead.id(),
                         "quarantined",
@@ -374,12 +389,12 @@
         return mEnded;
     }
 
-    /** Answers with a failure before anything was answered. */
+    /** Answers with a failure, before anything else was answered and without any use of tokens. */
     private void fail(long nowMs, Failure failure) {
         fail(nowMs, failure, 0);
     }
 
-    /** Answers with a failure before anything was answered, and settles. */
+    /** Settles the request and answers with a failure, before anything else was answered. */
     void fail(long nowMs, Failure failure, long usedTokens) {
         if (mEnded) {
             return;
@@ -388,7 +403,7 @@
         mCaller.fail(failure);
     }
 
-    /** Settles; the answer is the caller's to write. */
+    /** Settles and logs the request; the user of this method must then write the answer. */
     void end(long nowMs, String outcome, long usedTokens) {
         if (mEnded) {
             return;
@@ -397,9 +412,9 @@
         mDeadlineTimer.run();
         mGrantTimer.run();
         mBody.release();
-        mParts.budgets().settle(nowMs, organisation(), mReserved, usedTokens);
-        mParts.log()
-                .ended(
+        mContext.budgets().settle(nowMs, organisation(), mReserved, usedTokens);
+        mContext.log()
+                .logEnd(
                         nowMs,
                         mHead,
                         mRoute,
@@ -408,7 +423,7 @@
                                 .add("organisation", organisation())
                                 .add("reserved", mReserved)
                                 .add("used", usedTokens)
-                                .addAll(mTokensLacking)
+                                .addAll(mShortageFields)
                                 .addAll(
                                         mAttempts
                                                 .map(RelayAttempts::summary)
@@ -416,14 +431,17 @@
                         nowMs - mArrivedMs);
     }
 
-    /** Runs an action on the loop after a time; the result takes it back. */
+    /**
+     * Schedules an action on the event loop, to run after a delay in milliseconds unless the
+     * request has ended by then. Returns a handle that cancels it.
+     */
     Runnable timer(long delayMs, java.util.function.LongConsumer action) {
         var scheduled =
-                mParts.loop()
+                mContext.loop()
                         .schedule(
                                 () -> {
                                     if (!mEnded) {
-                                        action.accept(mParts.clock().nowMs());
+                                        action.accept(mContext.clock().nowMs());
                                     }
                                 },
                                 Math.max(0, delayMs),
@@ -431,7 +449,7 @@
         return () -> scheduled.cancel(false);
     }
 
-    /** Writes the head of the answer. */
+    /** Writes the head of the answer, unless the caller has gone. */
     void sendHead(HttpResponse head) {
         if (!mCallerGone) {
             mCaller.sendHead(head);
--- a/router/src/main/java/org/hornbeampass/router/relay/RelayContext.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/RelayContext.java
@@ -22,9 +22,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What all requests of one VM share.
+ * The state and the services that all requests of one VM share.
  *
- * <p>Confined to one event loop, but for its construction.
+ * <p>Confined to one event loop, except for its construction.
  */
 public final class RelayContext {
     private final WireFormat mWire;
@@ -33,24 +33,25 @@
     private final Clock mClock;
     private final UpstreamRegistry mUpstreamRegistry;
     private final UpstreamPool mPool;
-    private final CrashDetector mCrashes;
+    private final CrashDetector mCrashDetector;
     private final RequestHasher mHasher;
     private final Quarantine mQuarantine;
     private final AnswerSignals mAnswerSignals;
-    private final RateLimiter mLimiter;
+    private final RateLimiter mRateLimiter;
     private final EscrowBook mBudgets;
     private final EscrowLoans mLoans;
     private final RelayLog mLog;
     private final RandomGenerator mRandom;
-    private final IntSupplier mVms;
-    private final LongPredicate mMayBeBehind;
-    private final Map<String, RetryWindow> mRetries = new HashMap<>();
+    private final IntSupplier mVmCount;
+    private final LongPredicate mConfigMayBeStale;
+    private final Map<String, RetryWindow> mRetryWindows = new HashMap<>();
     private Optional<RouteTable> mRoutes = Optional.empty();
-    private boolean mRefusing;
+    private boolean mRefusingNewRequests;
 
     /**
-     * Gathers the parts; {@code vms} tells how many VMs share the fleet's budgets, and {@code
-     * mayBeBehind} whether there may be a newer configuration, at a time in milliseconds.
+     * Creates the context. {@code vmCount} returns how many VMs share the fleet's budgets, and
+     * {@code configMayBeStale} returns whether there may be a newer configuration at a time in
+     * milliseconds.
      */
     public RelayContext(
             WireFormat wire,
@@ -62,33 +63,33 @@
             RequestHasher hasher,
             Quarantine quarantine,
             SignalExchange signals,
-            RateLimiter limiter,
+            RateLimiter rateLimiter,
             EscrowBook budgets,
             EscrowLoans loans,
             RelayLog log,
             RandomGenerator random,
-            IntSupplier vms,
-            LongPredicate mayBeBehind) {
+            IntSupplier vmCount,
+            LongPredicate configMayBeStale) {
         mWire = wire;
         mSettings = settings;
         mLoop = loop;
         mClock = clock;
         mUpstreamRegistry = upstreamRegistry;
         mPool = pool;
-        mCrashes = new CrashDetector(pool, clock, log, quarantine);
+        mCrashDetector = new CrashDetector(pool, clock, log, quarantine);
         mQuarantine = quarantine;
         mAnswerSignals = new AnswerSignals(signals, log);
-        mLimiter = limiter;
+        mRateLimiter = rateLimiter;
         mHasher = hasher;
         mBudgets = budgets;
         mLoans = loans;
         mLog = log;
         mRandom = random;
-        mVms = vms;
-        mMayBeBehind = mayBeBehind;
+        mVmCount = vmCount;
+        mConfigMayBeStale = configMayBeStale;
     }
 
-    /** Returns the installation's words. */
+    /** Returns the wire format of the installation. */
     public WireFormat wire() {
         return mWire;
     }
@@ -101,18 +102,18 @@
         return mClock;
     }
 
-    /** Returns the upstreams. */
+    /** Returns the board of upstreams. */
     public UpstreamRegistry upstreamRegistry() {
         return mUpstreamRegistry;
     }
 
-    /** Returns the connections to upstreams. */
+    /** Returns the pool of connections to upstreams. */
     public UpstreamPool pool() {
         return mPool;
     }
 
-    CrashDetector crashes() {
-        return mCrashes;
+    CrashDetector crashDetector() {
+        return mCrashDetector;
     }
 
     RequestHasher hasher() {
@@ -123,8 +124,8 @@
         return mAnswerSignals;
     }
 
-    RateLimiter limiter() {
-        return mLimiter;
+    RateLimiter rateLimiter() {
+        return mRateLimiter;
     }
 
     Quarantine quarantine() {
@@ -149,45 +150,47 @@
         return mRandom;
     }
 
-    /** Returns the configuration in force; empty until one is known. */
+    /** Returns the configuration in force; empty until one has been received. */
     public Optional<RouteTable> routes() {
         return mRoutes;
     }
 
     /** Returns whether there may be a newer configuration than the one in force. */
-    boolean mayBeBehind(long nowMs) {
-        return mMayBeBehind.test(nowMs);
+    boolean configMayBeStale(long nowMs) {
+        return mConfigMayBeStale.test(nowMs);
     }
 
-    /** Puts a configuration in force for the requests that come from now on. */
+    /** Sets the configuration for the requests that arrive from now on. */
     public void setRoutes(RouteTable routes) {
         mRoutes = Optional.of(routes);
     }
 
-    /** Puts bounds in force for the sends that come from now on. */
+    /** Sets the bounds for the sends that start from now on. */
     public void setSettings(RelaySettings settings) {
         mSettings = settings;
     }
 
-    /** Refuses requests that come from now on. */
+    /** Refuses all requests that arrive from now on. */
     public void refuseNewRequests() {
-        mRefusing = true;
+        mRefusingNewRequests = true;
     }
 
-    boolean refusing() {
-        return mRefusing;
+    boolean refusingNewRequests() {
+        return mRefusingNewRequests;
     }
 
-    void countFirst(long nowMs, String service) {
-        retries(service).onFirstSend(nowMs);
+    void countFirstSend(long nowMs, String service) {
+        retryWindow(service).onFirstSend(nowMs);
     }
 
-    boolean takeRetry(long nowMs, String service) {
-        return retries(service)
-                .tryTake(nowMs, mSettings.retryRatio(), mSettings.retryExtra(), mVms.getAsInt());
+    boolean tryTakeRetry(long nowMs, String service) {
+        return retryWindow(service)
+                .tryTake(
+                        nowMs, mSettings.retryRatio(), mSettings.retryExtra(), mVmCount.getAsInt());
     }
 
-    private RetryWindow retries(String service) {
-        return mRetries.computeIfAbsent(service, s -> new RetryWindow(mSettings.retryWindowMs()));
+    private RetryWindow retryWindow(String service) {
+        return mRetryWindows.computeIfAbsent(
+                service, s -> new RetryWindow(mSettings.retryWindowMs()));
     }
 }
--- a/router/src/main/java/org/hornbeampass/router/relay/RelayLog.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/RelayLog.java
@@ -10,43 +10,46 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Writes and counts the decisions on requests.
+ * Logs and counts the decisions on requests.
  *
- * <p>A line a decision, as fields of one JSON object; the appender drops lines rather than wait,
- * and good answers are logged only up to a rate, so that a flood leaves room for failures. Confined
- * to one event loop, but for its construction.
+ * <p>Each decision is one line with the fields of one JSON object. The appender drops lines rather
+ * than block, and successful answers are logged only up to a rate, so that a flood of requests
+ * leaves capacity for lines on failures. Confined to one event loop, except for its construction.
  */
 public final class RelayLog {
     private static final Logger LOG = LogManager.getLogger("decisions");
 
-    /** Lines on good answers in a second; a calm VM stays below, an overloaded one is cut here. */
-    private static final int GOOD_LINES_PER_S = 20;
+    /**
+     * The most lines on successful answers per second. A VM under normal load stays below this; on
+     * an overloaded VM further lines are dropped.
+     */
+    private static final int SUCCESS_LINES_PER_S = 20;
 
-    /** Lines on failures, and on decisions within requests, in a second. */
+    /** The most lines on failures, and on decisions within requests, per second. */
     private static final int FAILURE_LINES_PER_S = 100;
 
     /**
-     * Lines on what this VM believes in a second. They have room of their own: in a flood of
-     * failures those lines are what tells its cause.
+     * The most lines on state changes per second. They have a limit of their own, because in a
+     * flood of failures they show its cause.
      */
-    private static final int BELIEF_LINES_PER_S = 100;
+    private static final int STATE_CHANGE_LINES_PER_S = 100;
 
     private static final long SECOND_MS = 1_000;
 
     private final MetricRegistry mMetrics;
     private long mSecond;
-    private int mGoodLines;
+    private int mSuccessLines;
     private int mFailureLines;
-    private int mBeliefLines;
-    private long mLeftOut;
+    private int mStateChangeLines;
+    private long mDroppedLines;
 
-    /** Makes a log that counts in a registry. */
+    /** Creates a log that counts decisions in a metric registry. */
     public RelayLog(MetricRegistry metrics) {
         mMetrics = metrics;
     }
 
     /** Counts and logs the end of a request. */
-    void ended(
+    void logEnd(
             long nowMs,
             CallerHead head,
             Optional<Route> route,
@@ -64,25 +67,28 @@
                         .add("outcome", outcome)
                         .add("took_ms", tookMs)
                         .addAll(inputs);
-        boolean room = outcome.equals("answered") ? roomForGood(nowMs) : roomForFailure(nowMs);
-        line(nowMs, room, "ended", head.id(), fields);
+        boolean allowed =
+                outcome.equals("answered") ? allowSuccessLine(nowMs) : allowFailureLine(nowMs);
+        write(nowMs, allowed, "ended", head.id(), fields);
     }
 
-    /** Logs a decision within a request. */
-    void decided(long nowMs, String id, String decision, LogFields inputs) {
+    /** Counts and logs a decision within a request. */
+    void logDecision(long nowMs, String id, String decision, LogFields inputs) {
         mMetrics.counter("decisions{kind=\"" + decision + "\"}").inc();
-        line(nowMs, roomForFailure(nowMs), decision, id, inputs);
+        write(nowMs, allowFailureLine(nowMs), decision, id, inputs);
     }
 
-    /** Logs a change of what this VM believes. */
+    /**
+     * Counts and logs a change in this VM's view of the fleet, such as a lost or regained store.
+     */
     public void logStateChange(long nowMs, String decision, LogFields inputs) {
         mMetrics.counter("decisions{kind=\"" + decision + "\"}").inc();
-        line(nowMs, roomForBelief(nowMs), decision, "", inputs);
+        write(nowMs, allowStateChangeLine(nowMs), decision, "", inputs);
     }
 
-    private void line(long nowMs, boolean room, String kind, String id, LogFields inputs) {
-        if (!room) {
-            mLeftOut++;
+    private void write(long nowMs, boolean allowed, String kind, String id, LogFields inputs) {
+        if (!allowed) {
+            mDroppedLines++;
             return;
         }
         LogFields fields = new LogFields().add("at_ms", nowMs).add("kind", kind);
@@ -92,31 +98,33 @@
         LOG.info("{" + fields.addAll(inputs) + "}");
     }
 
-    private boolean roomForGood(long nowMs) {
+    private boolean allowSuccessLine(long nowMs) {
         beginSecond(nowMs);
-        return mGoodLines++ < GOOD_LINES_PER_S;
+        return mSuccessLines++ < SUCCESS_LINES_PER_S;
     }
 
-    private boolean roomForFailure(long nowMs) {
+    private boolean allowFailureLine(long nowMs) {
         beginSecond(nowMs);
         return mFailureLines++ < FAILURE_LINES_PER_S;
     }
 
-    private boolean roomForBelief(long nowMs) {
+    private boolean allowStateChangeLine(long nowMs) {
         beginSecond(nowMs);
-        return mBeliefLines++ < BELIEF_LINES_PER_S;
+        return mStateChangeLines++ < STATE_CHANGE_LINES_PER_S;
     }
 
     private void beginSecond(long nowMs) {
         if (nowMs / SECOND_MS != mSecond) {
             mSecond = nowMs / SECOND_MS;
-            mGoodLines = 0;
+            mSuccessLines = 0;
             mFailureLines = 0;
-            mBeliefLines = 0;
-            if (mLeftOut > 0) {
+            mStateChangeLines = 0;
+            if (mDroppedLines > 0) {
                 LOG.info(
-                        "{\"at_ms\":{},\"kind\":\"lines-left-out\",\"count\":{}}", nowMs, mLeftOut);
-                mLeftOut = 0;
+                        "{\"at_ms\":{},\"kind\":\"lines-left-out\",\"count\":{}}",
+                        nowMs,
+                        mDroppedLines);
+                mDroppedLines = 0;
             }
         }
     }
--- /dev/null
+++ b/router/src/main/java/org/hornbeampass/router/relay/SilenceTimeout.java
@@ -0,0 +1,56 @@
+package org.hornbeampass.router.relay;
+
+import org.hornbeampass.state.service.Route;
+
+import java.util.function.LongConsumer;
+
+/**
+ * Reports an upstream that sends nothing for too long and may be replaced by another.
+ *
+ * <p>Invariant: at most one timer is running; requests that may not run again are not timed.
+ * Confined to one event loop.
+ */
+final class SilenceTimeout {
+    private final RelayCall mCall;
+    private final Route mRoute;
+    private final LongConsumer mOnSilent;
+    private Runnable mTimer = () -> {};
+
+    /**
+     * Creates a timeout that is not running.
+     *
+     * @param call the request, on whose event loop the timer runs
+     * @param route states how long an upstream may be silent
+     * @param onSilent receives the time in milliseconds at which the upstream was silent for too
+     *     long
+     */
+    SilenceTimeout(RelayCall call, Route route, LongConsumer onSilent) {
+        mCall = call;
+        mRoute = route;
+        mOnSilent = onSilent;
+    }
+
+    /** Starts the timeout for the beginning of an answer. */
+    void startForAnswer() {
+        schedule(mRoute.objectiveMs() * RelayBounds.SILENCE_OBJECTIVE_FACTOR);
+    }
+
+    /** Starts the timeout for the next event of a stream that can be resumed. */
+    void startForEvent() {
+        if (mRoute.resumable() && mRoute.gapTargetMs() > 0) {
+            schedule(mRoute.gapTargetMs() * RelayBounds.SILENCE_GAP_FACTOR);
+        }
+    }
+
+    private void schedule(long ms) {
+        stop();
+        if (mRoute.mayRunAgain()) {
+            mTimer = mCall.timer(ms, mOnSilent);
+        }
+    }
+
+    /** Stops the timeout. */
+    void stop() {
+        mTimer.run();
+    }
+}
--- a/router/src/main/java/org/hornbeampass/router/relay/UpstreamSearch.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/UpstreamSearch.java
@@ -11,30 +11,31 @@
 import java.util.Set;
 
 /**
- * Finds the upstream of each send of one request: chooses it, gets a permit where it has a rate
- * limit, and connects.
+ * Finds the upstream for each send of one request: chooses it, acquires a permit where it has a
+ * rate limit, and opens a connection.
  *
- * <p>Invariants: no upstream is connected to twice; after the first send each further one is taken
- * out of the fleet's budget; each send uses up a permit of its upstream. Confined to one event
- * loop.
+ * <p>Invariants: the request is sent to no upstream twice; each send after the first uses up the
+ * fleet's retry limit; each send uses up a permit of its upstream. Confined to one event loop.
  */
 final class UpstreamSearch {
-    /** Takes the end of a search. */
+    /** Receives the result of a search. */
     interface Listener {
-        /** A connection is open, on which the request may be sent now. */
-        void onFound(long nowMs, InstanceUse use, UpstreamConnection connection);
+        /** Receives an open connection, on which the request may be sent now. */
+        void onFound(long nowMs, InFlightSend use, UpstreamConnection connection);
 
-        /** All upstreams are gone, have been tried or take no requests for now. */
-        void onNoneUsable(long nowMs);
+        /**
+         * Reports that all upstreams are gone, have been tried or accept no requests at present.
+         */
+        void onNoneAvailable(long nowMs);
 
-        /** The request is kept from upstreams. */
+        /** Reports that the request is quarantined and may not be sent. */
         void onQuarantined(long nowMs);
 
-        /** The search is given up. */
+        /** Reports that the search was given up, with the reason. */
         void onGivenUp(long nowMs, String why);
     }
 
-    private final RelayContext mParts;
+    private final RelayContext mContext;
     private final RelayCall mCall;
     private final RelayPlan mPlan;
     private final CrashHistory mCrashes;
@@ -42,28 +43,28 @@
     private final Listener mListener;
     private final IncarnationListener mOnInstanceEnd;
     private final Set<String> mTried = new HashSet<>();
-    private Optional<InstanceUse> mConnecting = Optional.empty();
+    private Optional<InFlightSend> mConnecting = Optional.empty();
 
     /**
-     * Makes a search.
+     * Creates a search.
      *
-     * @param parts what all requests share
+     * @param context what all requests of the VM share
      * @param call the request
      * @param plan what is to be sent
-     * @param crashes tells whether the request may be sent
-     * @param counts counts what is found
-     * @param listener takes the end of each search
-     * @param onInstanceEnd hears of the end of an upstream that was found
+     * @param crashes decides whether the request may be sent
+     * @param counts counts unreachable upstreams and denied permits
+     * @param listener receives the result of each search
+     * @param onInstanceEnd is notified when the incarnation of an upstream that was found ends
      */
     UpstreamSearch(
-            RelayContext parts,
+            RelayContext context,
             RelayCall call,
             RelayPlan plan,
             CrashHistory crashes,
             SendCounts counts,
             Listener listener,
             IncarnationListener onInstanceEnd) {
-        mParts = parts;
+        mContext = context;
         mCall = call;
         mPlan = plan;
         mCrashes = crashes;
@@ -72,7 +73,7 @@
         mOnInstanceEnd = onInstanceEnd;
     }
 
-    /** Looks for an upstream that the request was not sent to yet. */
+    /** Starts a search for an upstream to which the request was not sent yet. */
     void start(long nowMs) {
         if (!mCrashes.mayBeSent(nowMs)) {
             mListener.onQuarantined(nowMs);
@@ -80,11 +81,11 @@
         }
         Optional<UpstreamChoice> chosen = choose(nowMs);
         if (chosen.isEmpty()) {
-            mListener.onNoneUsable(nowMs);
+            mListener.onNoneAvailable(nowMs);
             return;
         }
         UpstreamChoice choice = chosen.get();
-        mParts.limiter()
+        mContext.rateLimiter()
                 .acquire(
                         nowMs,
                         choice.instance().incarnation(),
@@ -92,34 +93,34 @@
     }
 
     private Optional<UpstreamChoice> choose(long nowMs) {
-        return mParts.upstreamRegistry()
+        return mContext.upstreamRegistry()
                 .choose(nowMs, mPlan.service(), mPlan.head().prompt(), mTried);
     }
 
-    /** Returns whether there is an upstream that the request was not sent to yet. */
-    boolean anyLeft(long nowMs) {
+    /** Returns whether there is an upstream to which the request was not sent yet. */
+    boolean hasUntriedUpstream(long nowMs) {
         return choose(nowMs).isPresent();
     }
 
     private void onPermit(long nowMs, UpstreamChoice choice, Optional<SendPermit> permit) {
         if (mCall.ended()) {
-            permit.ifPresent(p -> mParts.limiter().returnUnused(nowMs, p));
+            permit.ifPresent(p -> mContext.rateLimiter().returnUnused(nowMs, p));
             return;
         }
         if (permit.isEmpty()) {
-            decided(
+            logDecision(
                     nowMs,
                     "permit-denied",
                     new LogFields().add("upstream", choice.instance().id()));
-            if (mCounts.onDenied()) {
-                mTried.addAll(mParts.upstreamRegistry().rateLimited());
+            if (mCounts.onPermitDenied()) {
+                mTried.addAll(mContext.upstreamRegistry().rateLimited());
             }
             start(nowMs);
             return;
         }
-        if (mCounts.sentBefore() && !mParts.takeRetry(nowMs, mPlan.service().name())) {
-            mParts.limiter().returnUnused(nowMs, permit.get());
-            mListener.onGivenUp(nowMs, "too many requests are sent again now");
+        if (mCounts.sentBefore() && !mContext.tryTakeRetry(nowMs, mPlan.service().name())) {
+            mContext.rateLimiter().returnUnused(nowMs, permit.get());
+            mListener.onGivenUp(nowMs, "too many requests are being retried at present");
             return;
         }
         connect(nowMs, choice, permit.get());
@@ -128,73 +129,75 @@
     private void connect(long nowMs, UpstreamChoice choice, SendPermit permit) {
         UpstreamInstance instance = choice.instance();
         mTried.add(instance.id());
-        InstanceUse use = new InstanceUse(choice, mOnInstanceEnd);
-        mConnecting = Optional.of(use);
-        long leftMs = mPlan.deadlineMs() - nowMs;
+        InFlightSend send = new InFlightSend(choice, mOnInstanceEnd);
+        mConnecting = Optional.of(send);
+        long remainingMs = mPlan.deadlineMs() - nowMs;
         long maxIdleMs =
-                mPlan.route().mayRunAgain() ? Long.MAX_VALUE : RelayBounds.CAUTIOUS_IDLE_MS;
-        mParts.pool()
+                mPlan.route().mayRunAgain()
+                        ? Long.MAX_VALUE
+                        : RelayBounds.MAX_IDLE_NOT_REPEATABLE_MS;
+        mContext.pool()
                 .connect(
                         nowMs,
                         instance.entry().address(),
                         maxIdleMs,
-                        (int) Math.max(1, Math.min(RelayBounds.CONNECT_TIMEOUT_MS, leftMs)),
-                        connection -> onConnected(use, permit, connection));
+                        (int) Math.max(1, Math.min(RelayBounds.CONNECT_TIMEOUT_MS, remainingMs)),
+                        connection -> onConnected(send, permit, connection));
     }
 
     private void onConnected(
-            InstanceUse use, SendPermit permit, Optional<UpstreamConnection> connection) {
-        long nowMs = mParts.clock().nowMs();
-        UpstreamInstance instance = use.instance();
-        boolean current = mConnecting.equals(Optional.of(use)) && !mCall.ended();
+            InFlightSend send, SendPermit permit, Optional<UpstreamConnection> connection) {
+        long nowMs = mContext.clock().nowMs();
+        UpstreamInstance instance = send.instance();
+        boolean current = mConnecting.equals(Optional.of(send)) && !mCall.ended();
         if (!current) {
-            mParts.limiter().returnUnused(nowMs, permit);
+            mContext.rateLimiter().returnUnused(nowMs, permit);
             connection.ifPresent(UpstreamConnection::cancel);
             return;
         }
         if (connection.isEmpty()) {
-            mParts.limiter().returnUnused(nowMs, permit);
+            mContext.rateLimiter().returnUnused(nowMs, permit);
             instance.onNoAnswer(nowMs);
             cancel();
-            decided(nowMs, "unreachable", use.fields());
+            logDecision(nowMs, "unreachable", send.fields());
             if (mCounts.onUnreachable()) {
-                mListener.onGivenUp(nowMs, "the upstreams can't be reached");
+                mListener.onGivenUp(nowMs, "the upstreams are unreachable");
             } else {
                 start(nowMs);
             }
             return;
         }
         if (!instance.isUsable(nowMs)) {
-            mParts.limiter().returnUnused(nowMs, permit);
-            lookElsewhere(nowMs, connection.get());
+            mContext.rateLimiter().returnUnused(nowMs, permit);
+            closeAndSearchAgain(nowMs, connection.get());
             return;
         }
-        if (!mParts.limiter().redeem(nowMs, permit)) {
+        if (!mContext.rateLimiter().redeem(nowMs, permit)) {
             mTried.remove(instance.id());
-            lookElsewhere(nowMs, connection.get());
+            closeAndSearchAgain(nowMs, connection.get());
             return;
         }
-        if (!mCrashes.takeSend(nowMs)) {
-            lookElsewhere(nowMs, connection.get());
+        if (!mCrashes.tryBeginSend(nowMs)) {
+            closeAndSearchAgain(nowMs, connection.get());
             return;
         }
         mConnecting = Optional.empty();
-        mListener.onFound(nowMs, use, connection.get());
+        mListener.onFound(nowMs, send, connection.get());
     }
 
-    private void lookElsewhere(long nowMs, UpstreamConnection unused) {
+    private void closeAndSearchAgain(long nowMs, UpstreamConnection unused) {
         unused.cancel();
         cancel();
         start(nowMs);
     }
 
-    /** Ends the search; a connection that is opened still is closed. */
+    /** Ends the search; a connection that is still being opened is closed once it is open. */
     void cancel() {
-        mConnecting.ifPresent(InstanceUse::leave);
+        mConnecting.ifPresent(InFlightSend::release);
         mConnecting = Optional.empty();
     }
 
-    private void decided(long nowMs, String decision, LogFields fields) {
-        mParts.log().decided(nowMs, mPlan.head().id(), decision, fields);
+    private void logDecision(long nowMs, String decision, LogFields fields) {
+        mContext.log().logDecision(nowMs, mPlan.head().id(), decision, fields);
     }
 }
--- a/router/src/main/java/org/hornbeampass/router/upstream/ChatDispatcher.java
+++ b/router/src/main/java/org/hornbeampass/router/upstream/ChatDispatcher.java
@@ -16,31 +16,31 @@
     private final boolean mStream;
 
     /**
-     * Makes the route of one request.
+     * Creates the dispatcher of one request.
      *
-     * @param calls what all attempts share
+     * @param context what all attempts share
      * @param requestId the request's id
-     * @param query what is needed
+     * @param query the required model and the constraints on the choice of an upstream
      * @param body the body that is sent
      * @param stream whether the answer is streamed
      */
     public ChatDispatcher(
-            AttemptContext calls,
+            AttemptContext context,
             String requestId,
             RoutingQuery query,
             byte[] body,
             boolean stream) {
-        super(calls, requestId, true, query);
+        super(context, requestId, true, query);
         mBody = body;
         mStream = stream;
     }
 
     @Override
-    HttpAttempt attempt(
+    HttpAttempt newAttempt(
             UpstreamChoice choice, int number, Relayed relayed, AttemptListener listener) {
         return mStream
-                ? new ChatStreamAttempt(calls(), choice, number, listener, relayed.tokens())
-                : new HttpAttempt(calls(), choice, number, listener, AnswerKind.SINGLE_PART);
+                ? new ChatStreamAttempt(context(), choice, number, listener, relayed.tokens())
+                : new HttpAttempt(context(), choice, number, listener, AnswerKind.SINGLE_PART);
     }
 
     @Override
--- a/router/src/main/java/org/hornbeampass/router/upstream/ChatStreamAttempt.java
+++ b/router/src/main/java/org/hornbeampass/router/upstream/ChatStreamAttempt.java
@@ -16,8 +16,8 @@
 /**
  * One attempt at a streamed chat completion.
  *
- * <p>An answer that is not a stream of events, or goes on at another token than it was asked to, is
- * a failure. Same threads as {@link HttpAttempt}.
+ * <p>An answer that is not an event stream, or that resumes at a different token than requested, is
+ * a failure. The same threads as for {@link HttpAttempt} apply.
  */
 final class ChatStreamAttempt extends HttpAttempt {
     private static final byte[] DONE = "[DONE]".getBytes(StandardCharsets.UTF_8);
@@ -27,19 +27,19 @@
     private boolean mIsStream;
 
     /**
-     * Makes an attempt.
+     * Creates an attempt.
      *
-     * @param resumeOffset the token at which the answer goes on; 0 for its start
+     * @param resumeOffset the index of the token at which the answer resumes; 0 for its start
      */
     ChatStreamAttempt(
-            AttemptContext calls,
+            AttemptContext context,
             UpstreamChoice choice,
             int number,
             AttemptListener listener,
             long resumeOffset) {
-        super(calls, choice, number, listener, AnswerKind.STREAM);
+        super(context, choice, number, listener, AnswerKind.STREAM);
         mResumeOffset = resumeOffset;
-        mEvents = new SseReader(calls.settings().maxEventBytes(), this::onEvent);
+        mEvents = new SseReader(context.settings().maxEventBytes(), this::onEvent);
     }
 
     @Override
@@ -49,10 +49,10 @@
         mIsStream = status == 200 && type.startsWith("text/event-stream");
         String offset = headers.getOrDefault(UpstreamHeaders.RESUME_OFFSET, "0");
         if (mIsStream && !offset.equals(Long.toString(mResumeOffset))) {
-            fault(
+            fail(
                     AttemptOutcome.UPSTREAM_ERROR,
-                    "it went on at token " + offset + " in place of " + mResumeOffset);
-            close();
+                    "it resumed at token " + offset + " instead of " + mResumeOffset);
+            closeConnection();
         }
     }
 
@@ -63,8 +63,8 @@
             return;
         }
         if (!mEvents.read(chunk)) {
-            fault(AttemptOutcome.UPSTREAM_ERROR, "an event of its answer is too large");
-            close();
+            fail(AttemptOutcome.UPSTREAM_ERROR, "an event of the answer is too large");
+            closeConnection();
         }
     }
 
@@ -74,12 +74,12 @@
             endNotStreamed();
             return;
         }
-        fault(AttemptOutcome.BROKEN_IN_ANSWER, "its answer ended without the closing event");
+        fail(AttemptOutcome.BROKEN_IN_ANSWER, "the answer ended without the final event");
     }
 
     private void endNotStreamed() {
-        if (outcome(status(), false) == AttemptOutcome.SUCCEEDED) {
-            fault(AttemptOutcome.UPSTREAM_ERROR, "its answer is not a stream of events");
+        if (outcomeOf(status(), false) == AttemptOutcome.SUCCEEDED) {
+            fail(AttemptOutcome.UPSTREAM_ERROR, "the answer is not an event stream");
         } else {
             super.onEnd();
         }
@@ -91,18 +91,18 @@
         }
         if (Arrays.equals(data, DONE)) {
             long nowMs = nowMs();
-            if (end(nowMs, AttemptOutcome.SUCCEEDED)) {
+            if (tryEnd(nowMs, AttemptOutcome.SUCCEEDED)) {
                 listener().onDone(nowMs, number());
             }
             return;
         }
         Optional<ChatChunk> chunk = ChatChunkReader.read(data);
         if (chunk.isEmpty()) {
-            fault(AttemptOutcome.UPSTREAM_ERROR, "an event of its answer is no chunk");
-            close();
+            fail(AttemptOutcome.UPSTREAM_ERROR, "an event of the answer is not a valid chunk");
+            closeConnection();
             return;
         }
-        notePart();
+        recordPart();
         listener().onChunk(nowMs(), number(), chunk.get());
     }
 }
--- a/router/src/main/java/org/hornbeampass/router/upstream/HttpAttempt.java
+++ b/router/src/main/java/org/hornbeampass/router/upstream/HttpAttempt.java
@@ -18,18 +18,19 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 /**
- * One attempt over HTTP: classifies its answer, tells the flow, and gives its place back.
+ * One attempt over HTTP: sends the request, classifies its answer and reports the result to the
+ * flow.
  *
- * <p>Invariants: the chooser hears of its end exactly once, whether the upstream, the flow or the
- * connection ends it; after that the flow hears nothing more. An attempt that is silent for longer
- * than its {@link AttemptTimeouts} allow is cancelled and ends as a failure. Answers come on one
- * event loop, so their state needs no lock; {@link #cancel}, {@link #pause}, {@link #resume} and
- * the look after silence may run on any thread.
+ * <p>Invariants: the chooser is told of the end of the attempt exactly once, whether the upstream,
+ * the flow or the connection ends it; after that the flow receives no more events. An attempt that
+ * is silent for longer than its {@link AttemptTimeouts} allow is cancelled and ends as a failure.
+ * The answer arrives on one event loop, so its state needs no lock; {@link #cancel}, {@link
+ * #pause}, {@link #resume} and the check for silence may run on any thread.
  */
 class HttpAttempt implements Attempt, HttpClient.Listener {
     private static final String JSON = "application/json";
 
-    private final AttemptContext mCalls;
+    private final AttemptContext mContext;
     private final UpstreamChoice mChoice;
     private final int mNumber;
     private final AttemptListener mListener;
@@ -39,56 +40,56 @@
     private final ByteArrayOutputStream mBody = new ByteArrayOutputStream();
     private volatile HttpClient.Call mCall;
     private volatile boolean mClosed;
-    private volatile Runnable mLook = () -> {};
+    private volatile Runnable mCancelSilenceCheck = () -> {};
     private int mStatus;
     private String mContentType = JSON;
     private boolean mLeaving;
-    private boolean mFirstSeen;
+    private boolean mFirstPartSeen;
 
     HttpAttempt(
-            AttemptContext calls,
+            AttemptContext context,
             UpstreamChoice choice,
             int number,
             AttemptListener listener,
             AnswerKind kind) {
-        mCalls = calls;
+        mContext = context;
         mChoice = choice;
         mNumber = number;
         mListener = listener;
-        long nowMs = calls.clock().nowMs();
-        mTimeouts = calls.chooser().timeouts(nowMs, choice, kind);
+        long nowMs = context.clock().nowMs();
+        mTimeouts = context.chooser().timeouts(nowMs, choice, kind);
         mWatch = new AttemptIdleMonitor(nowMs, mTimeouts);
     }
 
-    /** Returns how long the connection may take, in milliseconds. */
+    /** Returns how long opening the connection may take, in milliseconds. */
     final long connectMs() {
         return mTimeouts.connectMs();
     }
 
     /** Sends the request. */
     void send(HttpClient.Request request) {
-        mCalls.chooser().onStarted(mCalls.clock().nowMs(), mChoice);
-        HttpClient.Call call = mCalls.client().send(request, this);
+        mContext.chooser().onStarted(mContext.clock().nowMs(), mChoice);
+        HttpClient.Call call = mContext.client().send(request, this);
         mCall = call;
         if (mClosed) {
             call.cancel();
         }
-        look(nowMs());
+        checkSilence(nowMs());
     }
 
-    /** Gives the attempt up where it was silent for too long, and else looks again later. */
-    private void look(long nowMs) {
+    /** Fails the attempt if it was silent for too long; otherwise schedules the next check. */
+    private void checkSilence(long nowMs) {
         if (ended()) {
             return;
         }
-        long nextMs = mWatch.nextCheckMs(nowMs, mCalls.chooser().lastProgressMs(mChoice));
-        if (nextMs <= nowMs) {
-            fault(AttemptOutcome.SILENT, "it was silent for too long");
-            close();
-        } else if (nextMs < Long.MAX_VALUE) {
-            mLook = mCalls.timers().at(nowMs, nextMs, this::look);
+        long nextCheckMs = mWatch.nextCheckMs(nowMs, mContext.chooser().lastProgressMs(mChoice));
+        if (nextCheckMs <= nowMs) {
+            fail(AttemptOutcome.SILENT, "it sent nothing for too long");
+            closeConnection();
+        } else if (nextCheckMs < Long.MAX_VALUE) {
+            mCancelSilenceCheck = mContext.timers().at(nowMs, nextCheckMs, this::checkSilence);
             if (ended()) {
-                mLook.run();
+                mCancelSilenceCheck.run();
             }
         }
     }
@@ -100,8 +101,8 @@
 
     @Override
     public void cancel(long nowMs) {
-        if (end(nowMs, AttemptOutcome.CANCELLED)) {
-            close();
+        if (tryEnd(nowMs, AttemptOutcome.CANCELLED)) {
+            closeConnection();
         }
     }
 
@@ -129,7 +130,7 @@
         mContentType = headers.getOrDefault("content-type", JSON);
         mLeaving = Boolean.parseBoolean(headers.get(UpstreamHeaders.LEAVING));
         if (mLeaving) {
-            mCalls.table()
+            mContext.table()
                     .onLeaving(
                             nowMs(),
                             mChoice.upstream(),
@@ -140,44 +141,46 @@
 
     @Override
     public void onData(byte[] chunk) {
-        notePart();
+        recordPart();
         mBody.write(chunk, 0, chunk.length);
-        if (mBody.size() > mCalls.settings().maxAnswerBytes()) {
-            fault(AttemptOutcome.UPSTREAM_ERROR, "its answer is too large");
-            close();
+        if (mBody.size() > mContext.settings().maxAnswerBytes()) {
+            fail(AttemptOutcome.UPSTREAM_ERROR, "the answer is too large");
+            closeConnection();
         }
     }
 
     @Override
     public void onEnd() {
-        noteFirst();
+        recordFirstPart();
         long nowMs = nowMs();
         UpstreamAnswer answer = new UpstreamAnswer(mStatus, mContentType, mBody.toByteArray());
-        AttemptOutcome outcome = outcome(mStatus, mLeaving);
-        if (outcome == AttemptOutcome.SUCCEEDED && end(nowMs, outcome)) {
+        AttemptOutcome outcome = outcomeOf(mStatus, mLeaving);
+        if (outcome == AttemptOutcome.SUCCEEDED && tryEnd(nowMs, outcome)) {
             mListener.onWhole(nowMs, mNumber, answer);
-        } else if (outcome == AttemptOutcome.REJECTED && end(nowMs, outcome)) {
+        } else if (outcome == AttemptOutcome.REJECTED && tryEnd(nowMs, outcome)) {
             mListener.onRejected(nowMs, mNumber, answer);
         } else {
-            fault(outcome, "it answered with status " + mStatus);
+            fail(outcome, "it answered with status " + mStatus);
         }
     }
 
     @Override
     public void onFailure(boolean sent, String reason) {
-        fault(failure(sent), reason);
+        fail(connectionLostOutcome(sent), reason);
     }
 
-    /** Returns how a lost connection ends the attempt. */
-    private AttemptOutcome failure(boolean sent) {
+    /** Returns the outcome of an attempt whose connection was lost. */
+    private AttemptOutcome connectionLostOutcome(boolean sent) {
         if (!sent) {
             return AttemptOutcome.CONNECT_FAILED;
         }
-        return mFirstSeen ? AttemptOutcome.BROKEN_IN_ANSWER : AttemptOutcome.BROKEN_BEFORE_ANSWER;
+        return mFirstPartSeen
+                ? AttemptOutcome.BROKEN_IN_ANSWER
+                : AttemptOutcome.BROKEN_BEFORE_ANSWER;
     }
 
-    /** Returns how an answer of a status ends the attempt. */
-    AttemptOutcome outcome(int status, boolean leaving) {
+    /** Returns the outcome of an attempt that was answered with an HTTP status. */
+    AttemptOutcome outcomeOf(int status, boolean leaving) {
         if (status >= 200 && status < 300) {
             return AttemptOutcome.SUCCEEDED;
         }
@@ -192,50 +195,52 @@
                 : AttemptOutcome.UPSTREAM_ERROR;
     }
 
-    /** Learns the time to the first part of an answer. */
-    final void noteFirst() {
-        if (!mFirstSeen) {
-            mFirstSeen = true;
-            mCalls.chooser().onFirstToken(nowMs(), mChoice);
+    /** Records the time to the first part of the answer, once. */
+    final void recordFirstPart() {
+        if (!mFirstPartSeen) {
+            mFirstPartSeen = true;
+            mContext.chooser().onFirstToken(nowMs(), mChoice);
         }
     }
 
-    /** Learns that the answer goes on. */
-    final void notePart() {
-        boolean first = !mFirstSeen;
-        noteFirst();
+    /** Records that a further part of the answer has arrived. */
+    final void recordPart() {
+        boolean first = !mFirstPartSeen;
+        recordFirstPart();
         long nowMs = nowMs();
         long gapMs = mWatch.onPart(nowMs);
         if (first) {
-            mLook.run();
-            look(nowMs);
+            mCancelSilenceCheck.run();
+            checkSilence(nowMs);
         }
         if (gapMs >= 0) {
-            mCalls.chooser().onProgress(nowMs, mChoice, gapMs);
+            mContext.chooser().onProgress(nowMs, mChoice, gapMs);
         }
     }
 
-    /** Ends the attempt as failed and tells the flow, unless it has ended before. */
-    final void fault(AttemptOutcome outcome, String reason) {
+    /**
+     * Ends the attempt as failed and reports it to the flow, unless the attempt has already ended.
+     */
+    final void fail(AttemptOutcome outcome, String reason) {
         long nowMs = nowMs();
-        if (end(nowMs, outcome)) {
-            String what = "upstream " + mChoice.upstream() + ": " + reason;
-            mListener.onFault(nowMs, mNumber, new AttemptFault(outcome, what));
+        if (tryEnd(nowMs, outcome)) {
+            String message = "upstream " + mChoice.upstream() + ": " + reason;
+            mListener.onFault(nowMs, mNumber, new AttemptFault(outcome, message));
         }
     }
 
-    /** Ends the attempt and gives its place back; returns false where it has ended before. */
-    final boolean end(long nowMs, AttemptOutcome outcome) {
+    /** Ends the attempt and reports it to the chooser; returns false where it had already ended. */
+    final boolean tryEnd(long nowMs, AttemptOutcome outcome) {
         if (!mEnded.compareAndSet(false, true)) {
             return false;
         }
-        mCalls.chooser().onEnded(nowMs, mChoice, outcome);
-        mLook.run();
+        mContext.chooser().onEnded(nowMs, mChoice, outcome);
+        mCancelSilenceCheck.run();
         return true;
     }
 
-    /** Closes the connection, also one that is only being opened. */
-    final void close() {
+    /** Closes the connection, including one that is still being opened. */
+    final void closeConnection() {
         mClosed = true;
         HttpClient.Call call = mCall;
         if (call != null) {
@@ -256,14 +261,14 @@
     }
 
     final long nowMs() {
-        return mCalls.clock().nowMs();
+        return mContext.clock().nowMs();
     }
 
     final AttemptListener listener() {
         return mListener;
     }
 
-    final AttemptContext calls() {
-        return mCalls;
+    final AttemptContext context() {
+        return mContext;
     }
 }
--- a/router/src/main/java/org/hornbeampass/router/upstream/LoadPoller.java
+++ b/router/src/main/java/org/hornbeampass/router/upstream/LoadPoller.java
@@ -18,20 +18,20 @@
 import java.util.function.Supplier;
 
 /**
- * Asks the model engines that this VM sends to for their load, one after the other.
+ * Polls the model engines to which this VM sends requests for their load, one at a time.
  *
- * <p>Invariants: at most {@value #POLLS_PER_SECOND} engines are asked in a second, so that what
- * control costs does not grow with the fleet; each engine is asked at most every {@value
- * #MIN_INTERVAL_MS} ms. Used on the control loop only, but for the counts.
+ * <p>Invariants: at most {@value #POLLS_PER_SECOND} engines are polled per second, so that the cost
+ * of polling does not grow with the fleet; each engine is polled at most every {@value
+ * #MIN_ENGINE_INTERVAL_MS} ms. Confined to the control loop, except for {@link #bytes}.
  */
 public final class LoadPoller {
-    /** How many engines are asked in a second; an answer takes about 700 bytes with its request. */
+    /** How many engines are polled per second; a request and its answer take about 700 bytes. */
     static final int POLLS_PER_SECOND = 3;
 
-    /** How often one engine is asked at most, in milliseconds. */
-    static final long MIN_INTERVAL_MS = 500;
+    /** The shortest interval between two polls of the same engine, in milliseconds. */
+    static final long MIN_ENGINE_INTERVAL_MS = 500;
 
-    private static final long GAP_MS = 1_000 / POLLS_PER_SECOND;
+    private static final long POLL_INTERVAL_MS = 1_000 / POLLS_PER_SECOND;
     private static final long TIMEOUT_MS = 1_000;
     private static final int MAX_BYTES = 64 << 10;
     private static final int HEAD_BYTES = 300;
@@ -40,17 +40,17 @@
     private final Supplier<ConfigSnapshot> mConfig;
     private final HttpClient mClient;
     private final Clock mClock;
-    private final Map<UpstreamId, Long> mAskedMs = new HashMap<>();
+    private final Map<UpstreamId, Long> mPolledAtMs = new HashMap<>();
     private final AtomicLong mBytes = new AtomicLong();
-    private long mLastMs;
+    private long mLastPollMs;
 
     /**
-     * Makes the poller.
+     * Creates the poller.
      *
-     * @param table takes the reports
-     * @param config gives the configuration in force
-     * @param client sends the questions, on the control loop
-     * @param clock the present time
+     * @param table receives the load reports
+     * @param config returns the configuration in force
+     * @param client sends the requests, on the control loop
+     * @param clock the source of the present time
      */
     public LoadPoller(
             UpstreamTable table, Supplier<ConfigSnapshot> config, HttpClient client, Clock clock) {
@@ -60,20 +60,20 @@
         mClock = clock;
     }
 
-    /** Asks the engine that was not asked for the longest time, where it is time. */
+    /** Polls the engine whose last poll is the longest ago, if a poll is due. */
     public void tick(long nowMs) {
-        if (nowMs - mLastMs < GAP_MS) {
+        if (nowMs - mLastPollMs < POLL_INTERVAL_MS) {
             return;
         }
-        Optional<UpstreamSpec> next = next(nowMs);
+        Optional<UpstreamSpec> next = nextEngine(nowMs);
         if (next.isPresent()) {
-            mLastMs = nowMs;
-            mAskedMs.put(next.get().id(), nowMs);
-            ask(next.get());
+            mLastPollMs = nowMs;
+            mPolledAtMs.put(next.get().id(), nowMs);
+            poll(next.get());
         }
     }
 
-    private Optional<UpstreamSpec> next(long nowMs) {
+    private Optional<UpstreamSpec> nextEngine(long nowMs) {
         Map<UpstreamId, UpstreamSpec> specs = mConfig.get().upstreams();
         List<UpstreamSpec> engines = new ArrayList<>();
         for (UpstreamId id : mTable.subset()) {
@@ -82,17 +82,17 @@
                 engines.add(spec);
             }
         }
-        mAskedMs.keySet().retainAll(engines.stream().map(UpstreamSpec::id).toList());
+        mPolledAtMs.keySet().retainAll(engines.stream().map(UpstreamSpec::id).toList());
         return engines.stream()
-                .filter(e -> nowMs - asked(e) >= MIN_INTERVAL_MS)
-                .min((a, b) -> Long.compare(asked(a), asked(b)));
+                .filter(e -> nowMs - polledAtMs(e) >= MIN_ENGINE_INTERVAL_MS)
+                .min((a, b) -> Long.compare(polledAtMs(a), polledAtMs(b)));
     }
 
-    private long asked(UpstreamSpec engine) {
-        return mAskedMs.getOrDefault(engine.id(), 0L);
+    private long polledAtMs(UpstreamSpec engine) {
+        return mPolledAtMs.getOrDefault(engine.id(), 0L);
     }
 
-    private void ask(UpstreamSpec engine) {
+    private void poll(UpstreamSpec engine) {
         HttpClient.Request request =
                 new HttpClient.Request(
                         "GET",
@@ -101,27 +101,30 @@
                         new byte[0],
                         TIMEOUT_MS,
                         TIMEOUT_MS);
-        mClient.send(request, new Answer(engine.id()));
+        mClient.send(request, new AnswerCollector(engine.id()));
     }
 
-    /** Returns the bytes that questions and answers took, about. */
+    /** Returns the approximate number of bytes that all polls and their answers took. */
     public long bytes() {
         return mBytes.get();
     }
 
-    /** Collects one answer; a failure says nothing, since requests show it sooner. */
-    private final class Answer implements HttpClient.Listener {
+    /**
+     * Collects one answer. A failed poll is ignored, since requests to the engine show its failure
+     * sooner.
+     */
+    private final class AnswerCollector implements HttpClient.Listener {
         private final UpstreamId mId;
         private final ByteArrayOutputStream mBody = new ByteArrayOutputStream();
-        private boolean mGood;
+        private boolean mUsable;
 
-        Answer(UpstreamId id) {
+        AnswerCollector(UpstreamId id) {
             mId = id;
         }
 
         @Override
         public void onHead(int status, Map<String, String> headers) {
-            mGood = status == 200;
+            mUsable = status == 200;
         }
 
         @Override
@@ -129,7 +132,7 @@
             if (mBody.size() + chunk.length <= MAX_BYTES) {
                 mBody.writeBytes(chunk);
             } else {
-                mGood = false;
+                mUsable = false;
             }
         }
 
@@ -137,8 +140,8 @@
         public void onEnd() {
             mBytes.addAndGet(HEAD_BYTES + mBody.size());
             long nowMs = mClock.nowMs();
-            if (mGood) {
-                LoadAnswer.read(nowMs, mBody.toByteArray())
+            if (mUsable) {
+                LoadReportReader.read(nowMs, mBody.toByteArray())
                         .ifPresent(report -> mTable.onLoadReport(nowMs, mId, report));
             }
         }
--- a/router/src/main/java/org/hornbeampass/router/upstream/ServiceAttempt.java
+++ b/router/src/main/java/org/hornbeampass/router/upstream/ServiceAttempt.java
@@ -8,20 +8,20 @@
 /**
  * One attempt at a call to a plain service.
  *
- * <p>Any whole answer to a call that may not be repeated is its outcome, also one of a 5xx status;
- * for other calls those statuses are failures, after which another instance is tried. Same threads
- * as {@link HttpAttempt}.
+ * <p>Any whole answer to a call that may not be repeated is its outcome, including one with a 5xx
+ * status. For other calls a 5xx status is a failure, after which another instance is tried. The
+ * same threads as for {@link HttpAttempt} apply.
  */
 final class ServiceAttempt extends HttpAttempt {
     private final boolean mRepeatable;
 
     ServiceAttempt(
-            AttemptContext calls,
+            AttemptContext context,
             UpstreamChoice choice,
             int number,
             AttemptListener listener,
             boolean repeatable) {
-        super(calls, choice, number, listener, kind(repeatable));
+        super(context, choice, number, listener, kind(repeatable));
         mRepeatable = repeatable;
     }
 
@@ -30,7 +30,7 @@
     }
 
     @Override
-    AttemptOutcome outcome(int status, boolean leaving) {
-        return mRepeatable ? super.outcome(status, leaving) : AttemptOutcome.SUCCEEDED;
+    AttemptOutcome outcomeOf(int status, boolean leaving) {
+        return mRepeatable ? super.outcomeOf(status, leaving) : AttemptOutcome.SUCCEEDED;
     }
 }
--- a/router/src/test/java/org/hornbeampass/router/relay/AnswerSignalsTest.java
+++ b/router/src/test/java/org/hornbeampass/router/relay/AnswerSignalsTest.java
@@ -32,10 +32,15 @@
 import java.util.Set;
 import java.util.function.BiConsumer;
 
-/** Checks which answers change what is known of a rate limit. */
+/**
+ * Tests which answers change the rate limit, the pause or the leaving state of an upstream.
+ *
+ * <p>Guards against applying signals of a wrong upstream or a late answer, and against dropping a
+ * rate limit because a refusal or an error does not repeat it.
+ */
 class AnswerSignalsTest {
     private static final long ASKED_MS = 1_000;
-    private static final long HEARD_MS = 1_100;
+    private static final long RECEIVED_MS = 1_100;
     private static final ServiceSpec SERVICE = new ServiceSpec("s", 100, Optional.empty());
 
     private final SignalTable mTable = new SignalTable();
@@ -55,7 +60,7 @@
     private UpstreamInstance mUpstream;
 
     @BeforeEach
-    void list() {
+    void addUpstream() {
         mUpstreamRegistry.onEntry(
                 0,
                 new UpstreamEntry(
@@ -67,15 +72,15 @@
                         .instance();
     }
 
-    private void answer(AnswerOutcome kind, boolean proven, OptionalDouble limit, long askedMs) {
+    private void answer(AnswerOutcome outcome, boolean proven, OptionalDouble limit, long askedMs) {
         mSignals.onAnswer(
-                askedMs + HEARD_MS - ASKED_MS,
+                askedMs + RECEIVED_MS - ASKED_MS,
                 askedMs,
                 mUpstream,
-                new AnswerHead(kind, proven, false, OptionalLong.empty(), limit));
+                new AnswerHead(outcome, proven, false, OptionalLong.empty(), limit));
     }
 
-    private void nameOne() {
+    private void answerWithLimit() {
         answer(AnswerOutcome.SUCCEEDED, true, OptionalDouble.of(1), ASKED_MS);
     }
 
@@ -84,59 +89,59 @@
     }
 
     @Test
-    void refusalThatNamesALimit_counts() {
+    void refusalWithALimit_setsTheLimit() {
         answer(AnswerOutcome.NOT_RUN, false, OptionalDouble.of(1), ASKED_MS);
         assertThat(limit()).hasValue(1);
     }
 
     @Test
-    void provenAnswerWithoutALimit_endsIt() {
-        nameOne();
-        answer(AnswerOutcome.SUCCEEDED, true, OptionalDouble.empty(), HEARD_MS);
+    void sealedAnswerWithoutALimit_removesTheLimit() {
+        answerWithLimit();
+        answer(AnswerOutcome.SUCCEEDED, true, OptionalDouble.empty(), RECEIVED_MS);
         assertThat(limit()).isEmpty();
     }
 
     @Test
-    void refusalsAndErrorsWithoutALimit_doNotEndIt() {
-        nameOne();
-        answer(AnswerOutcome.NOT_RUN, false, OptionalDouble.empty(), HEARD_MS);
-        answer(AnswerOutcome.SUCCEEDED, false, OptionalDouble.empty(), HEARD_MS);
-        answer(AnswerOutcome.FAILED, false, OptionalDouble.empty(), HEARD_MS);
+    void refusalsAndUnsealedAnswersWithoutALimit_keepTheLimit() {
+        answerWithLimit();
+        answer(AnswerOutcome.NOT_RUN, false, OptionalDouble.empty(), RECEIVED_MS);
+        answer(AnswerOutcome.SUCCEEDED, false, OptionalDouble.empty(), RECEIVED_MS);
+        answer(AnswerOutcome.FAILED, false, OptionalDouble.empty(), RECEIVED_MS);
         assertThat(limit()).hasValue(1);
     }
 
     @Test
-    void answersOfOtherUpstreamsAndToOtherRequests_sayNothing() {
+    void answersOfWrongUpstreamsOrToOtherRequests_setNoLimit() {
         answer(AnswerOutcome.WRONG_UPSTREAM, true, OptionalDouble.of(1), ASKED_MS);
         answer(AnswerOutcome.UNRELATED, true, OptionalDouble.of(1), ASKED_MS);
         assertThat(limit()).isEmpty();
     }
 
-    private void answerWithPause(AnswerOutcome kind) {
+    private void answerWithPause(AnswerOutcome outcome) {
         mSignals.onAnswer(
-                HEARD_MS,
+                RECEIVED_MS,
                 ASKED_MS,
                 mUpstream,
                 new AnswerHead(
-                        kind, false, false, OptionalLong.of(60_000), OptionalDouble.empty()));
+                        outcome, false, false, OptionalLong.of(60_000), OptionalDouble.empty()));
     }
 
     @Test
-    void lateAnswerToAnotherRequest_asksForNoPause() {
+    void answerToAnotherRequest_startsNoPause() {
         answerWithPause(AnswerOutcome.UNRELATED);
-        assertThat(mUpstreamRegistry.requestedPauseLeftMs(HEARD_MS, "s")).isEmpty();
+        assertThat(mUpstreamRegistry.requestedPauseLeftMs(RECEIVED_MS, "s")).isEmpty();
     }
 
     @Test
-    void refusalOfTheRequest_asksForAPause() {
+    void refusalOfTheRequest_startsAPause() {
         answerWithPause(AnswerOutcome.NOT_RUN);
-        assertThat(mUpstreamRegistry.requestedPauseLeftMs(HEARD_MS, "s")).hasValue(60_000);
+        assertThat(mUpstreamRegistry.requestedPauseLeftMs(RECEIVED_MS, "s")).hasValue(60_000);
     }
 
     @Test
-    void lateAnswerToAnotherRequest_tellsThatItsUpstreamLeaves() {
+    void answerToAnotherRequest_marksItsUpstreamAsLeaving() {
         mSignals.onAnswer(
-                HEARD_MS,
+                RECEIVED_MS,
                 ASKED_MS,
                 mUpstream,
                 new AnswerHead(
@@ -162,7 +167,7 @@
                 BiConsumer<Long, Either<Failure, PeerMessage>> done) {}
     }
 
-    /** Hears and does nothing. */
+    /** Ignores all signals. */
     private static final class NoListener implements SignalListener {
         @Override
         public void onLeaving(long nowMs, UpstreamIncarnation upstream, String toldBy) {}
--- a/router/src/test/java/org/hornbeampass/router/upstream/UpstreamWorld.java
+++ b/router/src/test/java/org/hornbeampass/router/upstream/UpstreamFixture.java
@@ -30,11 +30,12 @@
 import java.util.function.LongConsumer;
 
 /**
- * Two runners and a service behind a client that does only what the test says, in virtual time.
+ * Two model engines and a plain service behind a fake HTTP client, in virtual time. Answers arrive
+ * only when the test sends them.
  *
  * <p>Not thread-safe.
  */
-final class UpstreamWorld {
+final class UpstreamFixture {
     static final ModelId MODEL = new ModelId("desk");
 
     private static final FailureDomain DOMAIN = new FailureDomain("d");
@@ -43,14 +44,14 @@
     private final List<FakeCall> mCalls = new ArrayList<>();
     private final List<Timer> mTimers = new ArrayList<>();
     private final List<AttemptFault> mFaults = new ArrayList<>();
-    private final AttemptContext mShared;
+    private final AttemptContext mContext;
     private long mNowMs;
     private int mChunks;
 
-    /** An action with its time. */
+    /** An action and the virtual time at which it is due. */
     private record Timer(long atMs, LongConsumer action) {}
 
-    /** A request that was sent, and the means to answer it. */
+    /** A request that was sent, with methods to answer it. */
     static final class FakeCall implements HttpClient.Call {
         private final HttpClient.Request mRequest;
         private final HttpClient.Listener mListener;
@@ -101,7 +102,7 @@
         public void resume() {}
     }
 
-    UpstreamWorld() {
+    UpstreamFixture() {
         UpstreamTable table =
                 new UpstreamTable(
                         new Placement("vm-0", DOMAIN, REGION), RoutingSettings.defaults());
@@ -115,7 +116,7 @@
                                 new UpstreamId("a"), spec("a", Optional.of(MODEL)),
                                 new UpstreamId("b"), spec("b", Optional.of(MODEL)),
                                 new UpstreamId("s"), spec("s", Optional.empty()))));
-        mShared =
+        mContext =
                 new AttemptContext(
                         new VmId("vm-0", 1),
                         table,
@@ -128,8 +129,8 @@
                         UpstreamSettings.defaults());
     }
 
-    AttemptContext calls() {
-        return mShared;
+    AttemptContext context() {
+        return mContext;
     }
 
     FakeCall call(int index) {
@@ -152,7 +153,7 @@
         return mNowMs;
     }
 
-    /** Lets time pass and runs what is due. */
+    /** Advances virtual time and runs the timers that become due. */
     void advance(long ms) {
         long endMs = mNowMs + ms;
         while (true) {
@@ -190,7 +191,7 @@
         };
     }
 
-    /** Keeps each request instead of sending it. */
+    /** Records each request instead of sending it. */
     private final class Client implements HttpClient {
         @Override
         public Call send(Request request, Listener listener) {
