--- a/coordination/src/main/java/org/hornbeampass/coordination/quarantine/Quarantine.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/quarantine/Quarantine.java
@@ -3,8 +3,8 @@
 import org.hornbeampass.coordination.peer.PeerMessage;
 import org.hornbeampass.coordination.peer.PeerNetwork;
 import org.hornbeampass.coordination.platform.Platform;
-import org.hornbeampass.coordination.service.FleetPaths;
-import org.hornbeampass.coordination.service.RelayedNews;
+import org.hornbeampass.coordination.service.BroadcastPaths;
+import org.hornbeampass.coordination.service.BroadcastQueue;
 import org.hornbeampass.coordination.service.UpstreamIncarnation;
 import org.hornbeampass.state.VmId;
 
@@ -31,7 +31,7 @@
     private final QuarantineRecords mRecords;
     private final PeerNetwork mPeers;
     private final BooleanSupplier mKeeper;
-    private final RelayedNews<RequestDigest> mNews;
+    private final BroadcastQueue<RequestDigest> mNews;
 
     /**
      * Makes a quarantine without requests.
@@ -46,7 +46,7 @@
     public Quarantine(
             Platform platform,
             PeerNetwork peers,
-            Supplier<FleetPaths> paths,
+            Supplier<BroadcastPaths> paths,
             BooleanSupplier keeper,
             RandomGenerator random,
             SuspectListener listener) {
@@ -54,7 +54,7 @@
         mRecords = new QuarantineRecords(platform, mTable, listener, keeper, random, this::clear);
         mPeers = peers;
         mKeeper = keeper;
-        mNews = new RelayedNews<>(paths, this::tell);
+        mNews = new BroadcastQueue<>(paths, this::tell);
     }
 
     /** Returns what is known of requests. */
@@ -109,7 +109,7 @@
 
     /** Takes what another VM tells. */
     public void onReport(long nowMs, VmId from, SuspectReport report, Consumer<PeerMessage> reply) {
-        mNews.onTold(from.name(), mTable.merge(nowMs, report.items()));
+        mNews.onReceived(from.name(), mTable.merge(nowMs, report.items()));
         report.items().stream()
                 .filter(i -> i.quarantineLeftMs() > 0)
                 .map(SuspectReport.Item::digest)
@@ -121,7 +121,7 @@
     public void tick(long nowMs) {
         mTable.tick(nowMs);
         mRecords.tick(nowMs);
-        if (mNews.repeats(nowMs)) {
+        if (mNews.isRepeatDue(nowMs)) {
             mTable.quarantined(nowMs).forEach(i -> mNews.add(i.digest()));
         }
         mNews.tick(nowMs);
--- a/coordination/src/main/java/org/hornbeampass/coordination/ratelimit/PermitIssuer.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/ratelimit/PermitIssuer.java
@@ -77,6 +77,6 @@
                 .removeIf(
                         e ->
                                 nowMs - e.getValue().askedMs() >= IDLE_MS
-                                        || !mSignals.get(e.getKey()).rateLimit().limits());
+                                        || !mSignals.get(e.getKey()).rateLimit().hasLimit());
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/routing/UpstreamChoice.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/routing/UpstreamChoice.java
@@ -15,7 +15,7 @@
  * @param baseUri where it listens
  * @param domain its failure domain
  * @param incarnation its life as known at the time of the choice
- * @param believedBlocks leading blocks of the prompt that are believed to be cached there
+ * @param cachedBlocks leading blocks of the prompt that are believed to be cached there
  * @param chosenAtMs when it was chosen, in milliseconds
  */
 public record UpstreamChoice(
@@ -24,5 +24,5 @@
         String baseUri,
         FailureDomain domain,
         long incarnation,
-        int believedBlocks,
+        int cachedBlocks,
         long chosenAtMs) {}
--- a/coordination/src/main/java/org/hornbeampass/coordination/routing/UpstreamChooser.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/routing/UpstreamChooser.java
@@ -106,7 +106,7 @@
      * Returns how many requests for a target this VM may have in progress over all upstreams that
      * get work now: the capacity of the target's {@code AdmissionQueue}.
      */
-    public int places(long nowMs, WorkTarget target) {
+    public int capacity(long nowMs, WorkTarget target) {
         synchronized (mTable.lock()) {
             Optional<UpstreamGroup> group = mTable.group(target);
             int places = 0;
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/FleetPaths.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/BroadcastPaths.java
@@ -21,15 +21,15 @@
  *
  * @param self this VM's name
  * @param relay the relay of this VM's failure domain; empty where VMs tell each other directly
- * @param near the other VMs of this VM's failure domain, or all others without relays
- * @param relays the relays of the other failure domains
+ * @param directPeers the other VMs of this VM's failure domain, or all others without relays
+ * @param otherRelays the relays of the other failure domains
  */
-public record FleetPaths(
-        String self, Optional<String> relay, List<String> near, List<String> relays) {
+public record BroadcastPaths(
+        String self, Optional<String> relay, List<String> directPeers, List<String> otherRelays) {
     /** Copies the lists. */
-    public FleetPaths {
-        near = List.copyOf(near);
-        relays = List.copyOf(relays);
+    public BroadcastPaths {
+        directPeers = List.copyOf(directPeers);
+        otherRelays = List.copyOf(otherRelays);
     }
 
     /**
@@ -38,11 +38,11 @@
      * @param self the VM
      * @param live the VMs that are up, this one included
      */
-    public static FleetPaths choose(Member self, List<Member> live) {
+    public static BroadcastPaths choose(Member self, List<Member> live) {
         List<String> others =
                 live.stream().map(Member::name).filter(n -> !n.equals(self.name())).toList();
         if (others.size() <= LoadExchange.DIRECT_VMS) {
-            return new FleetPaths(self.name(), Optional.empty(), others, List.of());
+            return new BroadcastPaths(self.name(), Optional.empty(), others, List.of());
         }
         Map<FailureDomain, List<String>> byDomain =
                 live.stream()
@@ -55,7 +55,7 @@
         String own = relays.remove(self.domain().value());
         List<String> near = new ArrayList<>(byDomain.getOrDefault(self.domain(), List.of()));
         near.remove(self.name());
-        return new FleetPaths(
+        return new BroadcastPaths(
                 self.name(), Optional.ofNullable(own), near, List.copyOf(relays.values()));
     }
 
@@ -69,23 +69,23 @@
     }
 
     /** Returns whom this VM tells what all others are to know. */
-    public List<String> toAll() {
+    public List<String> broadcastTargets() {
         if (!isRelay()) {
-            return relay.map(List::of).orElse(near);
+            return relay.map(List::of).orElse(directPeers);
         }
-        List<String> all = new ArrayList<>(near);
-        all.addAll(relays);
+        List<String> all = new ArrayList<>(directPeers);
+        all.addAll(otherRelays);
         return all;
     }
 
     /** Remembers the paths for as long as the members are the same. */
-    public static Function<List<Member>, FleetPaths> remembering(Member self) {
+    public static Function<List<Member>, BroadcastPaths> cachedChooser(Member self) {
         return new Function<>() {
             private List<Member> mMembers = List.of();
-            private FleetPaths mPaths = choose(self, List.of());
+            private BroadcastPaths mPaths = choose(self, List.of());
 
             @Override
-            public FleetPaths apply(List<Member> live) {
+            public BroadcastPaths apply(List<Member> live) {
                 if (!live.equals(mMembers)) {
                     mMembers = List.copyOf(live);
                     mPaths = choose(self, live);
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/RelayedNews.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/BroadcastQueue.java
@@ -17,10 +17,10 @@
  *
  * @param <T> an item of news, which names what is told
  */
-public final class RelayedNews<T> {
+public final class BroadcastQueue<T> {
     /** Sends news to other VMs. */
     @FunctionalInterface
-    public interface Teller<T> {
+    public interface Sender<T> {
         /**
          * Tells some VMs.
          *
@@ -28,7 +28,7 @@
          * @param vms their names
          * @param items the news
          */
-        void tell(long nowMs, List<String> vms, List<T> items);
+        void send(long nowMs, List<String> vms, List<T> items);
     }
 
     /** After what time news are told again, in milliseconds. */
@@ -37,8 +37,8 @@
     /** How often each item is told. */
     private static final int TIMES = 6;
 
-    private final Supplier<FleetPaths> mPaths;
-    private final Teller<T> mTeller;
+    private final Supplier<BroadcastPaths> mPaths;
+    private final Sender<T> mTeller;
 
     /** News of this VM or its failure domain, for all others. */
     private final Set<T> mNews = new LinkedHashSet<>();
@@ -57,7 +57,7 @@
      * @param paths gives whom to tell now
      * @param teller sends the messages
      */
-    public RelayedNews(Supplier<FleetPaths> paths, Teller<T> teller) {
+    public BroadcastQueue(Supplier<BroadcastPaths> paths, Sender<T> teller) {
         mPaths = paths;
         mTeller = teller;
     }
@@ -73,10 +73,10 @@
      * @param from its name
      * @param items what was new to this VM
      */
-    public void onTold(String from, Collection<T> items) {
-        FleetPaths paths = mPaths.get();
+    public void onReceived(String from, Collection<T> items) {
+        BroadcastPaths paths = mPaths.get();
         if (paths.isRelay()) {
-            (paths.relays().contains(from) ? mFarNews : mNews).addAll(items);
+            (paths.otherRelays().contains(from) ? mFarNews : mNews).addAll(items);
         }
     }
 
@@ -84,14 +84,14 @@
      * Returns whether the next {@link #tick} tells news again; then is the time to add lasting
      * ones.
      */
-    public boolean repeats(long nowMs) {
+    public boolean isRepeatDue(long nowMs) {
         return nowMs >= mNextRepeatMs;
     }
 
     /** Tells what is new. */
     public void tick(long nowMs) {
         Set<T> toAll = new LinkedHashSet<>(mNews);
-        if (repeats(nowMs)) {
+        if (isRepeatDue(nowMs)) {
             mNextRepeatMs = nowMs + REPEAT_MS;
             toAll.addAll(mToRepeat.keySet());
             mToRepeat.replaceAll((item, left) -> left - 1);
@@ -100,10 +100,10 @@
         mNews.forEach(item -> mToRepeat.put(item, TIMES - 1));
         mFarNews.forEach(item -> mToRepeat.put(item, TIMES - 1));
         if (!toAll.isEmpty()) {
-            mTeller.tell(nowMs, mPaths.get().toAll(), List.copyOf(toAll));
+            mTeller.send(nowMs, mPaths.get().broadcastTargets(), List.copyOf(toAll));
         }
         if (!mFarNews.isEmpty()) {
-            mTeller.tell(nowMs, mPaths.get().near(), List.copyOf(mFarNews));
+            mTeller.send(nowMs, mPaths.get().directPeers(), List.copyOf(mFarNews));
         }
         mNews.clear();
         mFarNews.clear();
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/EntryVerdict.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/EntryResult.java
@@ -5,7 +5,7 @@
  *
  * <p>Immutable; safe for use by any thread.
  */
-public enum EntryVerdict {
+public enum EntryResult {
     /** An upstream that was not known. */
     ADDED,
     /** A newer entry of a known incarnation. */
@@ -16,12 +16,12 @@
     FORMER_INCARNATION;
 
     /** Returns whether the entry's incarnation is the one in use from now on. */
-    public boolean taken() {
+    public boolean isAccepted() {
         return this != FORMER_INCARNATION;
     }
 
     /** Returns whether requests in progress at the former incarnation are lost. */
-    public boolean replaces() {
+    public boolean replacesIncarnation() {
         return this == STARTED_AGAIN;
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/LoadExchange.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/LoadExchange.java
@@ -39,9 +39,9 @@
      */
     private static final long RELAY_PERIOD_MS = 200;
 
-    private final UpstreamBoard mBoard;
+    private final UpstreamRegistry mBoard;
     private final PeerNetwork mPeers;
-    private final Supplier<FleetPaths> mPaths;
+    private final Supplier<BroadcastPaths> mPaths;
     private long mNextMs;
     private boolean mToldNothing = true;
 
@@ -52,7 +52,7 @@
      * @param peers sends messages to other VMs
      * @param paths gives whom to tell now
      */
-    public LoadExchange(UpstreamBoard board, PeerNetwork peers, Supplier<FleetPaths> paths) {
+    public LoadExchange(UpstreamRegistry board, PeerNetwork peers, Supplier<BroadcastPaths> paths) {
         mBoard = board;
         mPeers = peers;
         mPaths = paths;
@@ -63,7 +63,7 @@
         if (nowMs < mNextMs) {
             return;
         }
-        FleetPaths paths = mPaths.get();
+        BroadcastPaths paths = mPaths.get();
         mNextMs = nowMs + (paths.relay().isPresent() ? RELAY_PERIOD_MS : PERIOD_MS);
         InFlightReport own = mBoard.inFlight();
         boolean nothing = own.items().isEmpty() && !(paths.isRelay() && mBoard.fleetLoad().any());
@@ -73,23 +73,23 @@
         mToldNothing = nothing;
     }
 
-    private void tell(FleetPaths paths, InFlightReport own) {
+    private void tell(BroadcastPaths paths, InFlightReport own) {
         if (paths.isRelay()) {
             passOn(paths, own);
             return;
         }
-        List<String> told = paths.relay().map(List::of).orElse(paths.near());
+        List<String> told = paths.relay().map(List::of).orElse(paths.directPeers());
         told.forEach(n -> mPeers.send(n, own));
     }
 
     /** Tells the own domain of all VMs, and the other relays of the own domain. */
-    private void passOn(FleetPaths paths, InFlightReport own) {
+    private void passOn(BroadcastPaths paths, InFlightReport own) {
         FleetLoad load = mBoard.fleetLoad();
-        for (String vm : paths.near()) {
+        for (String vm : paths.directPeers()) {
             mPeers.send(vm, load.sumWithout(vm, own));
         }
-        InFlightReport domain = load.sumOf(paths.near(), own);
-        paths.relays().forEach(r -> mPeers.send(r, domain));
+        InFlightReport domain = load.sumOf(paths.directPeers(), own);
+        paths.otherRelays().forEach(r -> mPeers.send(r, domain));
     }
 
     /** Takes another VM's report. */
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/ReadingUrgency.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/PrefillUrgency.java
@@ -11,7 +11,7 @@
  *
  * <p>Immutable; safe for use by any thread.
  */
-public enum ReadingUrgency {
+public enum PrefillUrgency {
     /** Read in some 35 ms, at about 60 tokens a millisecond; objectives are 400 ms and more. */
     SHORT(2_000, 2),
     /** Read in some 100 ms: a few of them fit into an objective. */
@@ -24,7 +24,7 @@
     private final long mMostTokens;
     private final int mRank;
 
-    ReadingUrgency(long mostTokens, int rank) {
+    PrefillUrgency(long mostTokens, int rank) {
         mMostTokens = mostTokens;
         mRank = rank;
     }
@@ -34,8 +34,8 @@
      *
      * @param tokensToRead the prompt tokens that its upstream has to read
      */
-    public static ReadingUrgency of(long tokensToRead) {
-        for (ReadingUrgency each : values()) {
+    public static PrefillUrgency of(long tokensToRead) {
+        for (PrefillUrgency each : values()) {
             if (tokensToRead <= each.mMostTokens) {
                 return each;
             }
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/RateLimit.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/RateLimit.java
@@ -10,21 +10,21 @@
  * stricter one had been heard. Immutable; safe for use by any thread.
  *
  * @param perSecond requests a second; empty where the answer named no limit
- * @param askedMs when the request was sent whose answer named it, in milliseconds
- * @param heardMs when the answer came, in milliseconds
+ * @param requestSentMs when the request was sent whose answer named it, in milliseconds
+ * @param answeredMs when the answer came, in milliseconds
  */
-public record RateLimit(OptionalDouble perSecond, long askedMs, long heardMs) {
+public record RateLimit(OptionalDouble perSecond, long requestSentMs, long answeredMs) {
     /** What is known before any answer. */
     public static final RateLimit UNKNOWN =
             new RateLimit(OptionalDouble.empty(), Long.MIN_VALUE, Long.MIN_VALUE);
 
     /** Returns whether an answer has told anything. */
     boolean known() {
-        return heardMs != Long.MIN_VALUE;
+        return answeredMs != Long.MIN_VALUE;
     }
 
     /** Returns whether it bounds what the upstream may be sent. */
-    public boolean limits() {
+    public boolean hasLimit() {
         return perSecond.isPresent();
     }
 
@@ -36,11 +36,13 @@
         int compared = Double.compare(rate(), other.rate());
         if (compared == 0) {
             return new RateLimit(
-                    perSecond, Math.max(askedMs, other.askedMs), Math.max(heardMs, other.heardMs));
+                    perSecond,
+                    Math.max(requestSentMs, other.requestSentMs),
+                    Math.max(answeredMs, other.answeredMs));
         }
         RateLimit stricter = compared < 0 ? this : other;
         RateLimit looser = compared < 0 ? other : this;
-        return looser.askedMs >= stricter.heardMs ? looser : stricter;
+        return looser.requestSentMs >= stricter.answeredMs ? looser : stricter;
     }
 
     private double rate() {
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/RetryWindow.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/RetryWindow.java
@@ -23,7 +23,7 @@
     }
 
     /** Counts a request that is sent for the first time. */
-    public void onFirst(long nowMs) {
+    public void onFirstSend(long nowMs) {
         drop(mFirst, nowMs);
         mFirst.addLong(nowMs);
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/SignalExchange.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/SignalExchange.java
@@ -21,10 +21,10 @@
 public final class SignalExchange {
     private static final String ANSWER = "";
 
-    private final UpstreamBoard mBoard;
+    private final UpstreamRegistry mBoard;
     private final SignalTable mTable;
     private final SignalListener mListener;
-    private final RelayedNews<UpstreamIncarnation> mNews;
+    private final BroadcastQueue<UpstreamIncarnation> mNews;
 
     /** The incarnations whose limit was named to this VM since news were last repeated. */
     private final Set<UpstreamIncarnation> mLimitsNamed = new LinkedHashSet<>();
@@ -39,16 +39,16 @@
      * @param listener hears what is new
      */
     public SignalExchange(
-            UpstreamBoard board,
+            UpstreamRegistry board,
             SignalTable table,
             PeerNetwork peers,
-            Supplier<FleetPaths> paths,
+            Supplier<BroadcastPaths> paths,
             SignalListener listener) {
         mBoard = board;
         mTable = table;
         mListener = listener;
         mNews =
-                new RelayedNews<>(
+                new BroadcastQueue<>(
                         paths,
                         (nowMs, vms, upstreams) -> {
                             SignalReport report = report(nowMs, upstreams);
@@ -75,7 +75,7 @@
         if (learn(nowMs, incarnation, signals, ANSWER)) {
             mNews.add(incarnation);
         }
-        if (signals.rateLimit().limits()) {
+        if (signals.rateLimit().hasLimit()) {
             mLimitsNamed.add(incarnation);
         }
     }
@@ -88,7 +88,7 @@
                 learnt.add(item.upstream());
             }
         }
-        mNews.onTold(from.name(), learnt);
+        mNews.onReceived(from.name(), learnt);
     }
 
     /** Takes what another VM knows of one upstream; returns whether any of it is new. */
@@ -116,7 +116,7 @@
     /** Tells the other VMs. */
     public void tick(long nowMs) {
         mTable.tick(nowMs);
-        if (mNews.repeats(nowMs)) {
+        if (mNews.isRepeatDue(nowMs)) {
             mBoard.leavingByAnswerAlone(nowMs).forEach(mNews::add);
             mLimitsNamed.forEach(mNews::add);
             mLimitsNamed.clear();
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/SignalReport.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/SignalReport.java
@@ -50,8 +50,8 @@
                     upstream,
                     signals.leaving(),
                     limit.perSecond().orElse(NO_LIMIT),
-                    known ? Math.max(0, nowMs - limit.askedMs()) : UNKNOWN,
-                    known ? Math.max(0, nowMs - limit.heardMs()) : UNKNOWN);
+                    known ? Math.max(0, nowMs - limit.requestSentMs()) : UNKNOWN,
+                    known ? Math.max(0, nowMs - limit.answeredMs()) : UNKNOWN);
         }
 
         /** Returns the signals by the receiver's clock. */
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/SignalTable.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/SignalTable.java
@@ -47,7 +47,7 @@
     UpstreamSignals merge(long nowMs, UpstreamIncarnation upstream, UpstreamSignals signals) {
         UpstreamSignals before = get(upstream);
         UpstreamSignals after = before.merge(signals);
-        boolean limitedBefore = before.rateLimit().limits();
+        boolean limitedBefore = before.rateLimit().hasLimit();
         long fromMs = limitedBefore ? mEntries.get(upstream).limitedFromMs() : nowMs;
         mEntries.put(upstream, new Entry(after, fromMs, nowMs));
         return before;
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/UpstreamInstance.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/UpstreamInstance.java
@@ -80,7 +80,7 @@
     }
 
     /** Returns whether its entry has been missing for so long that it counts as gone. */
-    boolean gone(long nowMs) {
+    boolean isGone(long nowMs) {
         return nowMs >= mGoneAtMs;
     }
 
@@ -100,13 +100,13 @@
     }
 
     /** Returns whether it was ever seen leaving. */
-    public boolean leaving() {
+    public boolean isLeaving() {
         return mLeaving;
     }
 
     /** Returns whether it may take new requests at all. */
-    public boolean usable(long nowMs) {
-        return !mLeaving && !gone(nowMs) && askedPauseLeftMs(nowMs) == 0;
+    public boolean isUsable(long nowMs) {
+        return !mLeaving && !isGone(nowMs) && requestedPauseLeftMs(nowMs) == 0;
     }
 
     /**
@@ -116,18 +116,18 @@
      * @param nowMs the present time in milliseconds
      * @param pauseMs for how long, in milliseconds
      */
-    public void onPauseAsked(long nowMs, long pauseMs) {
+    public void onPauseRequested(long nowMs, long pauseMs) {
         long untilMs = nowMs + Math.min(pauseMs, MAX_ASKED_PAUSE_MS);
         mAskedPauseUntilMs = Math.max(mAskedPauseUntilMs, untilMs);
     }
 
     /** Returns for how long it still wants nothing from this VM, in milliseconds. */
-    long askedPauseLeftMs(long nowMs) {
+    long requestedPauseLeftMs(long nowMs) {
         return Math.max(0, mAskedPauseUntilMs - nowMs);
     }
 
     /** Returns whether it is left alone for a while after failures. */
-    public boolean paused(long nowMs) {
+    public boolean isPaused(long nowMs) {
         return nowMs < mPausedUntilMs;
     }
 
@@ -174,7 +174,7 @@
      * @param nowMs the present time in milliseconds
      * @param latencyMs how long it took to its first byte, in milliseconds
      */
-    public void onGood(long nowMs, double latencyMs) {
+    public void onSuccess(long nowMs, double latencyMs) {
         fade(nowMs);
         mGood++;
         mFailuresInRow = 0;
@@ -191,7 +191,7 @@
      * @param promptTokens the tokens of the prompt
      */
     public void onFirstPart(long nowMs, double latencyMs, long promptTokens) {
-        onGood(nowMs, latencyMs);
+        onSuccess(nowMs, latencyMs);
         double delayMs = Math.max(0, latencyMs - promptTokens / TOKENS_PER_MS);
         mDelayMs += LATENCY_WEIGHT * (delayMs - mDelayMs);
     }
@@ -203,14 +203,14 @@
     }
 
     /** Takes an answer that reports a failure as evidence. */
-    public void onBad(long nowMs) {
+    public void onErrorAnswer(long nowMs) {
         fade(nowMs);
         mBad++;
         mFailuresInRow = 0;
     }
 
     /** Takes a connection or an answer that did not come about as evidence. */
-    public void onSilent(long nowMs) {
+    public void onNoAnswer(long nowMs) {
         fade(nowMs);
         mBad++;
         mFailuresInRow++;
@@ -222,7 +222,7 @@
     }
 
     /** Takes the word of an upstream that it has no room; it gets new requests again soon. */
-    public void onFull(long nowMs, long pauseMs) {
+    public void onOverloaded(long nowMs, long pauseMs) {
         mPausedUntilMs = Math.max(mPausedUntilMs, nowMs + pauseMs);
     }
 
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/UpstreamBoard.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/UpstreamRegistry.java
@@ -24,7 +24,7 @@
  * is chosen only where all usable ones of its service are; one whose rate limit the fleet has used
  * up is not chosen. Confined to one thread.
  */
-public final class UpstreamBoard {
+public final class UpstreamRegistry {
     /**
      * How long an entry that is missing after an outage of the platform may still come back, in
      * milliseconds; the platform's own entries are back within two seconds.
@@ -62,7 +62,7 @@
     private final IntSupplier mVms;
 
     /** Makes an empty board for upstreams of which nothing is known but their entries. */
-    public UpstreamBoard(RandomGenerator random, IntSupplier vms) {
+    public UpstreamRegistry(RandomGenerator random, IntSupplier vms) {
         this(random, vms, new SignalTable(), SendGate.OPEN);
     }
 
@@ -74,7 +74,7 @@
      * @param signals what upstreams have said of themselves
      * @param gate tells which upstreams take no more requests for now
      */
-    public UpstreamBoard(
+    public UpstreamRegistry(
             RandomGenerator random, IntSupplier vms, SignalTable signals, SendGate gate) {
         mRandom = random;
         mVms = vms;
@@ -104,26 +104,26 @@
      * @param entry the entry
      * @return what became of it
      */
-    public EntryVerdict onEntry(long nowMs, UpstreamEntry entry) {
+    public EntryResult onEntry(long nowMs, UpstreamEntry entry) {
         UpstreamInstance known = mById.get(entry.id());
         if (known == null) {
             if (mFormer.ended(entry)) {
-                return EntryVerdict.FORMER_INCARNATION;
+                return EntryResult.FORMER_INCARNATION;
             }
             add(entry);
-            return EntryVerdict.ADDED;
+            return EntryResult.ADDED;
         }
         if (known.entry().startedAfter(entry)) {
-            return EntryVerdict.FORMER_INCARNATION;
+            return EntryResult.FORMER_INCARNATION;
         }
         if (!entry.startedAfter(known.entry())) {
             update(known, entry);
-            return EntryVerdict.UPDATED;
+            return EntryResult.UPDATED;
         }
         mByService.get(known.entry().service()).remove(known);
         add(entry);
         known.end(nowMs);
-        return EntryVerdict.STARTED_AGAIN;
+        return EntryResult.STARTED_AGAIN;
     }
 
     private void update(UpstreamInstance known, UpstreamEntry entry) {
@@ -145,7 +145,7 @@
     }
 
     /** Takes an entry that can't be understood: it names no upstream, whatever it named before. */
-    public void onUnreadable(long nowMs, String id) {
+    public void onUnreadableEntry(long nowMs, String id) {
         onRemoved(nowMs, id, false);
     }
 
@@ -175,7 +175,7 @@
     /** Returns the upstreams that leave, and whose entries don't say so. */
     List<UpstreamIncarnation> leavingByAnswerAlone(long nowMs) {
         return mById.values().stream()
-                .filter(i -> i.leaving() && !i.entry().leaving() && !i.gone(nowMs))
+                .filter(i -> i.isLeaving() && !i.entry().leaving() && !i.isGone(nowMs))
                 .map(UpstreamInstance::incarnation)
                 .toList();
     }
@@ -183,13 +183,13 @@
     /** Returns the listed upstreams that have named a rate limit. */
     public Set<String> rateLimited() {
         return mById.values().stream()
-                .filter(i -> mSignals.get(i.incarnation()).rateLimit().limits())
+                .filter(i -> mSignals.get(i.incarnation()).rateLimit().hasLimit())
                 .map(UpstreamInstance::id)
                 .collect(Collectors.toSet());
     }
 
     /** Takes the word of whoever listens at an address that it is not this upstream. */
-    public void onMismatch(long nowMs, UpstreamInstance instance) {
+    public void onIdentityMismatch(long nowMs, UpstreamInstance instance) {
         instance.markGoneAt(nowMs);
     }
 
@@ -199,14 +199,14 @@
         mFleetLoad.tick(nowMs);
         mById.values().removeIf(i -> forget(nowMs, i));
         for (List<UpstreamInstance> instances : mByService.values()) {
-            instances.removeIf(i -> i.gone(nowMs) && i.inFlight() == 0);
+            instances.removeIf(i -> i.isGone(nowMs) && i.inFlight() == 0);
         }
     }
 
     private boolean forget(long nowMs, UpstreamInstance instance) {
-        boolean over = instance.gone(nowMs) && instance.inFlight() == 0;
+        boolean over = instance.isGone(nowMs) && instance.inFlight() == 0;
         if (over) {
-            mFormer.add(nowMs, instance.entry(), instance.leaving());
+            mFormer.add(nowMs, instance.entry(), instance.isLeaving());
         }
         return over;
     }
@@ -225,7 +225,7 @@
         boolean mustTell = telling > 0 && 2 * telling >= all.size();
         List<UpstreamInstance> usable = new ArrayList<>(all.size());
         for (UpstreamInstance each : all) {
-            boolean may = each.usable(nowMs) && (!mustTell || each.tellsIncarnation());
+            boolean may = each.isUsable(nowMs) && (!mustTell || each.tellsIncarnation());
             if (may && mGate.waitMs(nowMs, each.incarnation()) == 0) {
                 usable.add(each);
             }
@@ -257,8 +257,8 @@
      * @param service the service's name
      * @return the time in milliseconds from now on; empty where no pause keeps requests from it
      */
-    public OptionalLong pauseLeftMs(long nowMs, String service) {
-        return shortest(nowMs, service, i -> i.askedPauseLeftMs(nowMs));
+    public OptionalLong requestedPauseLeftMs(long nowMs, String service) {
+        return shortest(nowMs, service, i -> i.requestedPauseLeftMs(nowMs));
     }
 
     /**
@@ -269,17 +269,17 @@
      * @param service the service's name
      * @return the time in milliseconds from now on; empty where one takes requests now
      */
-    public OptionalLong closedForMs(long nowMs, String service) {
+    public OptionalLong unavailableForMs(long nowMs, String service) {
         return shortest(
                 nowMs,
                 service,
-                i -> Math.max(i.askedPauseLeftMs(nowMs), mGate.waitMs(nowMs, i.incarnation())));
+                i -> Math.max(i.requestedPauseLeftMs(nowMs), mGate.waitMs(nowMs, i.incarnation())));
     }
 
     private OptionalLong shortest(
             long nowMs, String service, ToLongFunction<UpstreamInstance> waitMs) {
         return mByService.getOrDefault(service, List.of()).stream()
-                .filter(i -> !i.leaving() && !i.gone(nowMs))
+                .filter(i -> !i.isLeaving() && !i.isGone(nowMs))
                 .mapToLong(waitMs)
                 .min()
                 .stream()
@@ -299,7 +299,7 @@
         boolean lowestPaused = true;
         UpstreamInstance best = null;
         for (UpstreamInstance each : instances) {
-            boolean paused = each.paused(nowMs);
+            boolean paused = each.isPaused(nowMs);
             if (tried.contains(each.id()) || (paused && !lowestPaused)) {
                 continue;
             }
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/UpstreamSignals.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/UpstreamSignals.java
@@ -19,6 +19,6 @@
 
     /** Returns whether it restricts what the upstream may be sent. */
     boolean restricts() {
-        return leaving || rateLimit.limits();
+        return leaving || rateLimit.hasLimit();
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/upstream/UpstreamLife.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/upstream/IncarnationTracker.java
@@ -11,7 +11,7 @@
  * never gets new work again, so only a greater incarnation brings the upstream back. Guarded by the
  * table's lock.
  */
-final class UpstreamLife {
+final class IncarnationTracker {
     private static final long NONE = -1;
 
     private long mIncarnation;
@@ -20,7 +20,7 @@
     private long mLiveSinceMs;
     private Optional<Evidence> mEvidence = Optional.empty();
 
-    UpstreamLife(long nowMs) {
+    IncarnationTracker(long nowMs) {
         mLiveSinceMs = nowMs;
     }
 
--- a/coordination/src/main/java/org/hornbeampass/coordination/upstream/PrefixBelief.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/upstream/PrefixCacheEstimate.java
@@ -13,7 +13,7 @@
  * number of blocks is held; the oldest belief is dropped first, and of one prompt its end. Guarded
  * by the table's lock.
  */
-final class PrefixBelief {
+final class PrefixCacheEstimate {
     private static final long UNKNOWN = -1;
 
     private final LongHashSet mDigests = new LongHashSet();
@@ -22,7 +22,7 @@
     private long mNextSequence = UNKNOWN;
     private long mGaps;
 
-    PrefixBelief(int maxBlocks) {
+    PrefixCacheEstimate(int maxBlocks) {
         mOrder = new long[maxBlocks];
     }
 
--- a/coordination/src/main/java/org/hornbeampass/coordination/upstream/UpstreamState.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/upstream/UpstreamState.java
@@ -18,10 +18,10 @@
     private static final double SLOW_START_MS = 10_000;
     private static final double FIRST_WEIGHT = 0.1;
 
-    private final UpstreamLife mLife;
+    private final IncarnationTracker mLife;
     private final LoadEstimate mLoad = new LoadEstimate();
     private final UpstreamHealth mHealth = new UpstreamHealth();
-    private final PrefixBelief mPrefixes;
+    private final PrefixCacheEstimate mPrefixes;
     private final ConcurrencyLimit mLimit;
     private UpstreamSpec mSpec;
     private Distance mDistance;
@@ -30,8 +30,8 @@
     UpstreamState(long nowMs, UpstreamSpec spec, Distance distance, RoutingSettings settings) {
         mSpec = spec;
         mDistance = distance;
-        mLife = new UpstreamLife(nowMs);
-        mPrefixes = new PrefixBelief(settings.maxBelievedBlocks());
+        mLife = new IncarnationTracker(nowMs);
+        mPrefixes = new PrefixCacheEstimate(settings.maxCachedBlocks());
         mLimit = new ConcurrencyLimit(spec.maxConcurrent(), settings.adaptiveLimits());
     }
 
@@ -131,11 +131,11 @@
         mLoad.ended(nowMs, awaitedFirst, progress);
     }
 
-    UpstreamLife life() {
+    IncarnationTracker life() {
         return mLife;
     }
 
-    PrefixBelief prefixes() {
+    PrefixCacheEstimate prefixes() {
         return mPrefixes;
     }
 
--- a/coordination/src/test/java/org/hornbeampass/coordination/quarantine/QuarantineFleet.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/quarantine/QuarantineFleet.java
@@ -7,7 +7,7 @@
 import org.hornbeampass.coordination.platform.Platform;
 import org.hornbeampass.coordination.platform.PlatformCall;
 import org.hornbeampass.coordination.platform.PlatformReply;
-import org.hornbeampass.coordination.service.FleetPaths;
+import org.hornbeampass.coordination.service.BroadcastPaths;
 import org.hornbeampass.coordination.service.TestMembers;
 import org.hornbeampass.coordination.service.UpstreamIncarnation;
 import org.hornbeampass.state.VmId;
@@ -56,7 +56,7 @@
         mMembers.removeIf(m -> m.name().equals(name));
         mMembers.add(self);
         chooseKeeper();
-        Function<List<Member>, FleetPaths> paths = FleetPaths.remembering(self);
+        Function<List<Member>, BroadcastPaths> paths = BroadcastPaths.cachedChooser(self);
         mByVm.put(
                 name,
                 new Quarantine(
--- a/coordination/src/test/java/org/hornbeampass/coordination/ratelimit/RateLimitFleet.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/ratelimit/RateLimitFleet.java
@@ -5,7 +5,7 @@
 import org.hornbeampass.coordination.hash.RendezvousHash;
 import org.hornbeampass.coordination.peer.PeerMessage;
 import org.hornbeampass.coordination.peer.PeerNetwork;
-import org.hornbeampass.coordination.service.FleetPaths;
+import org.hornbeampass.coordination.service.BroadcastPaths;
 import org.hornbeampass.coordination.service.IncarnationListener;
 import org.hornbeampass.coordination.service.RateLimit;
 import org.hornbeampass.coordination.service.SignalExchange;
@@ -13,9 +13,9 @@
 import org.hornbeampass.coordination.service.SignalReport;
 import org.hornbeampass.coordination.service.SignalTable;
 import org.hornbeampass.coordination.service.TestMembers;
-import org.hornbeampass.coordination.service.UpstreamBoard;
 import org.hornbeampass.coordination.service.UpstreamIncarnation;
 import org.hornbeampass.coordination.service.UpstreamInstance;
+import org.hornbeampass.coordination.service.UpstreamRegistry;
 import org.hornbeampass.coordination.service.UpstreamSignals;
 import org.hornbeampass.state.ErrorKind;
 import org.hornbeampass.state.Failure;
@@ -63,7 +63,7 @@
         private final long mStartedMs;
         private final Set<String> mKnown = new HashSet<>();
         private final SignalTable mTable = new SignalTable();
-        private final UpstreamBoard mBoard;
+        private final UpstreamRegistry mUpstreamRegistry;
         private final SignalExchange mExchange;
         private final RateLimiter mLimiter;
 
@@ -71,17 +71,17 @@
             mSelf = self;
             mStartedMs = mNowMs;
             mLimiter = new RateLimiter(mTable, this::exchange, this, this);
-            mBoard = new UpstreamBoard(mRandom, mVms::size, mTable, mLimiter);
-            mExchange = new SignalExchange(mBoard, mTable, this, this::paths, this);
+            mUpstreamRegistry = new UpstreamRegistry(mRandom, mVms::size, mTable, mLimiter);
+            mExchange = new SignalExchange(mUpstreamRegistry, mTable, this, this::paths, this);
         }
 
         private SignalExchange exchange() {
             return mExchange;
         }
 
-        private FleetPaths paths() {
+        private BroadcastPaths paths() {
             List<Member> known = mMembers.stream().filter(m -> mKnown.contains(m.name())).toList();
-            return FleetPaths.choose(mSelf, known);
+            return BroadcastPaths.choose(mSelf, known);
         }
 
         @Override
@@ -200,7 +200,7 @@
     }
 
     private void list(Vm vm, String upstream) {
-        vm.mBoard.onEntry(
+        vm.mUpstreamRegistry.onEntry(
                 mNowMs,
                 new UpstreamEntry(
                         upstream,
@@ -308,7 +308,7 @@
         for (Vm vm : List.copyOf(mVms.values())) {
             vm.mExchange.tick(mNowMs);
             vm.mLimiter.tick(mNowMs);
-            vm.mBoard.tick(mNowMs);
+            vm.mUpstreamRegistry.tick(mNowMs);
         }
         after(TICK_MS, this::tick);
     }
@@ -338,8 +338,8 @@
 
     /** Chooses and asks for a permit as the relay does. */
     private void attempt(Vm vm, int denied) {
-        Set<String> leftOut = denied >= MAX_DENIED ? vm.mBoard.rateLimited() : Set.of();
-        var chosen = vm.mBoard.choose(mNowMs, SERVICE, Prompt.NONE, leftOut);
+        Set<String> leftOut = denied >= MAX_DENIED ? vm.mUpstreamRegistry.rateLimited() : Set.of();
+        var chosen = vm.mUpstreamRegistry.choose(mNowMs, SERVICE, Prompt.NONE, leftOut);
         if (chosen.isEmpty()) {
             mRefused++;
             return;
@@ -387,7 +387,7 @@
                     if (limit.isPresent()) {
                         upstream.onTold(mNowMs, vm.self());
                     }
-                    instance.onGood(mNowMs, (double) (mNowMs - askedMs));
+                    instance.onSuccess(mNowMs, (double) (mNowMs - askedMs));
                     vm.mExchange.onAnswer(
                             mNowMs,
                             instance,
--- a/coordination/src/test/java/org/hornbeampass/coordination/routing/LifeProperties.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/routing/IncarnationProperties.java
@@ -20,7 +20,7 @@
 import java.util.stream.LongStream;
 
 /** Schedules of late news: an upstream whose life ended gets no new work, whatever comes later. */
-class LifeProperties {
+class IncarnationProperties {
     private static final int RUNNERS = 4;
     private static final int EVENTS = 60;
 
@@ -40,7 +40,7 @@
         private final SplittableRandom mRandom;
         private final Delivery mDelivery;
         private final UpstreamTable mTable =
-                new UpstreamTable(Fleet.placement(), RoutingSettings.defaults());
+                new UpstreamTable(UpstreamFixtures.placement(), RoutingSettings.defaults());
         private final UpstreamChooser mChooser =
                 new UpstreamChooser(mTable, RoutingPolicy.RANDOM, 1);
         private final long[] mSeen = new long[RUNNERS];
@@ -53,14 +53,14 @@
             mRandom = new SplittableRandom(seed);
             mDelivery = delivery;
             Arrays.fill(mEnded, -1);
-            mTable.applyConfig(0, Fleet.config(1, RUNNERS, 1_000));
+            mTable.applyConfig(0, UpstreamFixtures.config(1, RUNNERS, 1_000));
         }
 
         private Optional<String> run() {
             for (int now = 1; now <= EVENTS; now++) {
                 event(now);
                 for (int i = 0; i < 8; i++) {
-                    var choice = mChooser.choose(now, Fleet.query());
+                    var choice = mChooser.choose(now, UpstreamFixtures.query());
                     if (choice.isRight()) {
                         int n = number(choice.get());
                         if (mSeen[n] <= mEnded[n]) {
@@ -78,12 +78,15 @@
             switch (mRandom.nextInt(5)) {
                 case 0 -> {
                     mTable.onLoadReport(
-                            nowMs, Fleet.runner(runner), Fleet.report(nowMs, incarnation, 0));
+                            nowMs,
+                            UpstreamFixtures.runner(runner),
+                            UpstreamFixtures.report(nowMs, incarnation, 0));
                     see(runner, incarnation);
                 }
                 case 1 -> word(nowMs, runner, incarnation);
                 case 2 -> {
-                    mTable.onLeaving(nowMs, Fleet.runner(runner), Evidence.OWN, incarnation);
+                    mTable.onLeaving(
+                            nowMs, UpstreamFixtures.runner(runner), Evidence.OWN, incarnation);
                     end(runner, incarnation);
                 }
                 default -> list(nowMs);
@@ -92,7 +95,10 @@
 
         private void word(long nowMs, int runner, long incarnation) {
             if (mDelivery != Delivery.WORD_IS_IGNORED) {
-                mTable.onLoadReport(nowMs, Fleet.runner(runner), Fleet.leaving(nowMs, incarnation));
+                mTable.onLoadReport(
+                        nowMs,
+                        UpstreamFixtures.runner(runner),
+                        UpstreamFixtures.leaving(nowMs, incarnation));
             }
             end(runner, incarnation);
         }
@@ -105,7 +111,7 @@
                 if (mRandom.nextInt(4) > 0) {
                     long incarnation = Math.max(0, mSeen[i] + mRandom.nextInt(3) - 1);
                     boolean leaving = mRandom.nextInt(4) == 0;
-                    lines.add(new ListedUpstream(Fleet.runner(i), incarnation, leaving));
+                    lines.add(new ListedUpstream(UpstreamFixtures.runner(i), incarnation, leaving));
                     if (fresh) {
                         listed(i, incarnation, leaving);
                     }
@@ -127,7 +133,8 @@
             mDelivered++;
             if (mDelivery == Delivery.LIST_REVIVES) {
                 for (ListedUpstream each : lines) {
-                    mTable.onLoadReport(nowMs, each.id(), Fleet.report(nowMs, 1_000 + nowMs, 0));
+                    mTable.onLoadReport(
+                            nowMs, each.id(), UpstreamFixtures.report(nowMs, 1_000 + nowMs, 0));
                 }
             }
             boolean distorted = mDelivery == Delivery.EACH_LIST_IS_NEW;
--- a/coordination/src/test/java/org/hornbeampass/coordination/routing/SilentUpstreamTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/routing/SilentUpstreamTest.java
@@ -16,13 +16,13 @@
 /** Tests what {@link UpstreamChooser} learns and tells of attempts that are silent. */
 class SilentUpstreamTest {
     private final UpstreamTable mTable =
-            new UpstreamTable(Fleet.placement(), RoutingSettings.defaults());
+            new UpstreamTable(UpstreamFixtures.placement(), RoutingSettings.defaults());
     private final UpstreamChooser mChooser =
             new UpstreamChooser(mTable, RoutingPolicy.PREDICTED_WAIT, 1);
 
     @Test
     void timeouts_followLatencyOfModel() {
-        mTable.applyConfig(0, Fleet.config(1, 2, 4));
+        mTable.applyConfig(0, UpstreamFixtures.config(1, 2, 4));
         UpstreamChoice first = choose(0);
         long before = mChooser.timeouts(0, first, AnswerKind.STREAM).firstMs();
         mChooser.onFirstToken(900, first);
@@ -34,7 +34,7 @@
 
     @Test
     void progressOfOneAttempt_showsItsUpstreamAliveToOthers() {
-        mTable.applyConfig(0, Fleet.config(1, 1, 4));
+        mTable.applyConfig(0, UpstreamFixtures.config(1, 1, 4));
         UpstreamChoice one = choose(0);
         UpstreamChoice other = choose(0);
         assertThat(mChooser.lastProgressMs(other)).isEqualTo(Long.MIN_VALUE);
@@ -46,7 +46,7 @@
 
     @Test
     void twoSilentAttempts_ejectUpstream() {
-        mTable.applyConfig(0, Fleet.config(1, 3, 8));
+        mTable.applyConfig(0, UpstreamFixtures.config(1, 3, 8));
         UpstreamChoice one = choose(0);
         mChooser.onEnded(2_000, one, AttemptOutcome.SILENT);
         while (true) {
@@ -65,31 +65,33 @@
 
     @Test
     void runnerWhoseReportsStop_getsNothingWhileOthersReport() {
-        mTable.applyConfig(0, Fleet.config(1, 3, 64));
+        mTable.applyConfig(0, UpstreamFixtures.config(1, 3, 64));
         report(0, 1_000, 0);
         report(1_100, 2_100, 1);
 
         for (int i = 0; i < 60; i++) {
-            assertThat(choose(2_100).upstream()).isNotEqualTo(Fleet.runner(0));
+            assertThat(choose(2_100).upstream()).isNotEqualTo(UpstreamFixtures.runner(0));
         }
         report(2_200, 2_200, 0);
-        assertThat(chosenInTurn(2_200)).contains(Fleet.runner(0));
+        assertThat(chosenInTurn(2_200)).contains(UpstreamFixtures.runner(0));
     }
 
     @Test
     void whereMostReportsStop_newsIsNotBelieved() {
-        mTable.applyConfig(0, Fleet.config(1, 3, 64));
+        mTable.applyConfig(0, UpstreamFixtures.config(1, 3, 64));
         report(0, 1_000, 0);
         report(1_100, 2_100, 2);
 
-        assertThat(chosenInTurn(2_100)).contains(Fleet.runner(0), Fleet.runner(1));
+        assertThat(chosenInTurn(2_100))
+                .contains(UpstreamFixtures.runner(0), UpstreamFixtures.runner(1));
     }
 
     /** Gives reports of all runners but the first ones, 100 ms apart. */
     private void report(long fromMs, long untilMs, int firstRunner) {
         for (long nowMs = fromMs; nowMs <= untilMs; nowMs += 100) {
             for (int n = firstRunner; n < 3; n++) {
-                mTable.onLoadReport(nowMs, Fleet.runner(n), Fleet.report(nowMs, 0, 0));
+                mTable.onLoadReport(
+                        nowMs, UpstreamFixtures.runner(n), UpstreamFixtures.report(nowMs, 0, 0));
             }
         }
     }
@@ -99,6 +101,6 @@
     }
 
     private UpstreamChoice choose(long nowMs) {
-        return mChooser.choose(nowMs, Fleet.query()).get();
+        return mChooser.choose(nowMs, UpstreamFixtures.query()).get();
     }
 }
--- a/coordination/src/test/java/org/hornbeampass/coordination/routing/UpstreamChooserTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/routing/UpstreamChooserTest.java
@@ -31,21 +31,22 @@
 /** Tests {@link UpstreamChooser} with {@link UpstreamTable}. */
 class UpstreamChooserTest {
     private final UpstreamTable mTable =
-            new UpstreamTable(Fleet.placement(), RoutingSettings.defaults());
+            new UpstreamTable(UpstreamFixtures.placement(), RoutingSettings.defaults());
     private final UpstreamChooser mChooser =
             new UpstreamChooser(mTable, RoutingPolicy.PREDICTED_WAIT, 1);
 
     @Test
     void choose_withoutAnyUpstream_isNoUpstream() {
-        assertThat(kind(mChooser.choose(0, Fleet.query()))).isEqualTo(ErrorKind.NO_UPSTREAM);
+        assertThat(kind(mChooser.choose(0, UpstreamFixtures.query())))
+                .isEqualTo(ErrorKind.NO_UPSTREAM);
     }
 
     @Test
     void choose_afterDeadline_isNotRun() {
-        mTable.applyConfig(0, Fleet.config(1, 3, 4));
+        mTable.applyConfig(0, UpstreamFixtures.config(1, 3, 4));
         RoutingQuery late =
                 new RoutingQuery(
-                        WorkTarget.model(Fleet.MODEL),
+                        WorkTarget.model(UpstreamFixtures.MODEL),
                         new OrganisationId("o"),
                         5,
                         PrefixDigests.none(),
@@ -58,37 +59,39 @@
     @ParameterizedTest
     @EnumSource(RoutingPolicy.class)
     void choose_atAllLimits_isOverloaded(RoutingPolicy policy) {
-        mTable.applyConfig(0, Fleet.config(1, 3, 4));
+        mTable.applyConfig(0, UpstreamFixtures.config(1, 3, 4));
         UpstreamChooser chooser = new UpstreamChooser(mTable, policy, 1);
         for (int i = 0; i < 12; i++) {
-            assertThat(chooser.choose(0, Fleet.query()).isRight()).isTrue();
+            assertThat(chooser.choose(0, UpstreamFixtures.query()).isRight()).isTrue();
         }
 
-        assertThat(kind(chooser.choose(0, Fleet.query()))).isEqualTo(ErrorKind.OVERLOADED);
+        assertThat(kind(chooser.choose(0, UpstreamFixtures.query())))
+                .isEqualTo(ErrorKind.OVERLOADED);
     }
 
     @Test
     void onEnded_twice_givesOnePlaceBack() {
-        mTable.applyConfig(0, Fleet.config(1, 1, 2));
-        UpstreamChoice first = mChooser.choose(0, Fleet.query()).get();
-        mChooser.choose(0, Fleet.query());
+        mTable.applyConfig(0, UpstreamFixtures.config(1, 1, 2));
+        UpstreamChoice first = mChooser.choose(0, UpstreamFixtures.query()).get();
+        mChooser.choose(0, UpstreamFixtures.query());
         mChooser.onEnded(1, first, AttemptOutcome.SUCCEEDED);
         mChooser.onEnded(1, first, AttemptOutcome.SUCCEEDED);
 
-        assertThat(mChooser.choose(2, Fleet.query()).isRight()).isTrue();
-        assertThat(kind(mChooser.choose(2, Fleet.query()))).isEqualTo(ErrorKind.OVERLOADED);
+        assertThat(mChooser.choose(2, UpstreamFixtures.query()).isRight()).isTrue();
+        assertThat(kind(mChooser.choose(2, UpstreamFixtures.query())))
+                .isEqualTo(ErrorKind.OVERLOADED);
     }
 
     @Test
     void choose_prefersOwnFailureDomainWhenIdle() {
-        mTable.applyConfig(0, Fleet.config(1, 3, 4));
+        mTable.applyConfig(0, UpstreamFixtures.config(1, 3, 4));
 
-        assertThat(next(0)).isEqualTo(Fleet.runner(0));
+        assertThat(next(0)).isEqualTo(UpstreamFixtures.runner(0));
     }
 
     @Test
     void choose_spreadsOverAllWhenBusy() {
-        mTable.applyConfig(0, Fleet.config(1, 3, 100));
+        mTable.applyConfig(0, UpstreamFixtures.config(1, 3, 100));
         Set<UpstreamId> used = new HashSet<>();
         IntStream.range(0, 30).forEach(i -> used.add(next(0)));
 
@@ -97,76 +100,80 @@
 
     @Test
     void choose_skipsExcluded() {
-        mTable.applyConfig(0, Fleet.config(1, 2, 4));
-        RoutingQuery retry = Fleet.query().without(Fleet.runner(0));
+        mTable.applyConfig(0, UpstreamFixtures.config(1, 2, 4));
+        RoutingQuery retry = UpstreamFixtures.query().without(UpstreamFixtures.runner(0));
 
-        assertThat(mChooser.choose(0, retry).get().upstream()).isEqualTo(Fleet.runner(1));
-        assertThat(kind(mChooser.choose(0, retry.without(Fleet.runner(1)))))
+        assertThat(mChooser.choose(0, retry).get().upstream())
+                .isEqualTo(UpstreamFixtures.runner(1));
+        assertThat(kind(mChooser.choose(0, retry.without(UpstreamFixtures.runner(1)))))
                 .isEqualTo(ErrorKind.NO_UPSTREAM);
     }
 
     @Test
     void leaving_byEachEvidence_getsNoNewWork() {
-        mTable.applyConfig(0, Fleet.config(1, 4, 100));
-        mTable.onLeaving(1, Fleet.runner(0), Evidence.OWN, 0);
-        mTable.onLoadReport(1, Fleet.runner(1), Fleet.leaving(1, 7));
+        mTable.applyConfig(0, UpstreamFixtures.config(1, 4, 100));
+        mTable.onLeaving(1, UpstreamFixtures.runner(0), Evidence.OWN, 0);
+        mTable.onLoadReport(1, UpstreamFixtures.runner(1), UpstreamFixtures.leaving(1, 7));
         mTable.onListed(
                 1,
                 new UpstreamList(
                         5,
                         List.of(
-                                new ListedUpstream(Fleet.runner(2), 3, true),
-                                new ListedUpstream(Fleet.runner(3), 3, false))));
+                                new ListedUpstream(UpstreamFixtures.runner(2), 3, true),
+                                new ListedUpstream(UpstreamFixtures.runner(3), 3, false))));
 
         for (int i = 0; i < 50; i++) {
-            assertThat(next(2)).isEqualTo(Fleet.runner(3));
+            assertThat(next(2)).isEqualTo(UpstreamFixtures.runner(3));
         }
     }
 
     @Test
     void olderList_neverRevives() {
-        mTable.applyConfig(0, Fleet.config(1, 2, 100));
-        mTable.onLoadReport(1, Fleet.runner(0), Fleet.leaving(1, 7));
+        mTable.applyConfig(0, UpstreamFixtures.config(1, 2, 100));
+        mTable.onLoadReport(1, UpstreamFixtures.runner(0), UpstreamFixtures.leaving(1, 7));
         List<ListedUpstream> live =
                 List.of(
-                        new ListedUpstream(Fleet.runner(0), 7, false),
-                        new ListedUpstream(Fleet.runner(1), 7, false));
+                        new ListedUpstream(UpstreamFixtures.runner(0), 7, false),
+                        new ListedUpstream(UpstreamFixtures.runner(1), 7, false));
         mTable.onListed(2, new UpstreamList(5, live));
         mTable.onListed(3, new UpstreamList(4, List.of()));
 
         assertThat(IntStream.range(0, 20).mapToObj(i -> next(4)).distinct())
-                .containsExactly(Fleet.runner(1));
+                .containsExactly(UpstreamFixtures.runner(1));
     }
 
     @Test
     void restartedUpstream_getsWorkAgain() {
-        mTable.applyConfig(0, Fleet.config(1, 1, 100));
-        mTable.onLoadReport(1, Fleet.runner(0), Fleet.leaving(1, 7));
-        assertThat(mChooser.choose(2, Fleet.query()).isLeft()).isTrue();
+        mTable.applyConfig(0, UpstreamFixtures.config(1, 1, 100));
+        mTable.onLoadReport(1, UpstreamFixtures.runner(0), UpstreamFixtures.leaving(1, 7));
+        assertThat(mChooser.choose(2, UpstreamFixtures.query()).isLeft()).isTrue();
 
-        mTable.onLoadReport(3, Fleet.runner(0), Fleet.report(3, 8, 0));
+        mTable.onLoadReport(3, UpstreamFixtures.runner(0), UpstreamFixtures.report(3, 8, 0));
 
-        assertThat(next(4)).isEqualTo(Fleet.runner(0));
+        assertThat(next(4)).isEqualTo(UpstreamFixtures.runner(0));
     }
 
     @Test
     void choose_ofModelThatIsNotReady_goesWhereItIs() {
-        mTable.applyConfig(0, Fleet.config(1, 2, 100));
+        mTable.applyConfig(0, UpstreamFixtures.config(1, 2, 100));
         LoadReport other =
                 new LoadReport(1, 0, 0, 0, 0, false, Set.of(new ModelId("x")), Set.of("a"));
-        mTable.onLoadReport(1, Fleet.runner(0), other);
+        mTable.onLoadReport(1, UpstreamFixtures.runner(0), other);
 
-        assertThat(next(2)).isEqualTo(Fleet.runner(1));
+        assertThat(next(2)).isEqualTo(UpstreamFixtures.runner(1));
         RoutingQuery adapter =
-                Fleet.query(WorkTarget.adapter(new ModelId("x"), "a"), PrefixDigests.none());
-        assertThat(mChooser.choose(2, adapter).get().upstream()).isEqualTo(Fleet.runner(0));
+                UpstreamFixtures.query(
+                        WorkTarget.adapter(new ModelId("x"), "a"), PrefixDigests.none());
+        assertThat(mChooser.choose(2, adapter).get().upstream())
+                .isEqualTo(UpstreamFixtures.runner(0));
     }
 
     @Test
     void choose_keepsPrefixTogetherUntilLoaded() {
-        mTable.applyConfig(0, Fleet.config(1, 3, 1_000));
+        mTable.applyConfig(0, UpstreamFixtures.config(1, 3, 1_000));
         PrefixDigests prefix = PrefixDigests.of(1, 2, 3, 4, 5, 6);
-        RoutingQuery query = Fleet.query(WorkTarget.model(Fleet.MODEL), prefix);
+        RoutingQuery query =
+                UpstreamFixtures.query(WorkTarget.model(UpstreamFixtures.MODEL), prefix);
         UpstreamId holder = serve(0, query);
         for (int i = 1; i < 20; i++) {
             assertThat(serve(i * 100L, query)).isEqualTo(holder);
@@ -180,10 +187,10 @@
 
     @Test
     void frozenUpstream_isLeftOutOnceItIsSilent() {
-        mTable.applyConfig(0, Fleet.config(1, 3, 1_000));
+        mTable.applyConfig(0, UpstreamFixtures.config(1, 3, 1_000));
         for (int i = 0; i < 300; i++) {
-            UpstreamChoice choice = mChooser.choose(i * 20L, Fleet.query()).get();
-            if (!choice.upstream().equals(Fleet.runner(0))) {
+            UpstreamChoice choice = mChooser.choose(i * 20L, UpstreamFixtures.query()).get();
+            if (!choice.upstream().equals(UpstreamFixtures.runner(0))) {
                 mChooser.onFirstToken(i * 20L + 15, choice);
                 mChooser.onEnded(i * 20L + 15, choice, AttemptOutcome.SUCCEEDED);
             } else {
@@ -194,22 +201,25 @@
 
     @Test
     void unreachableUpstream_isEjectedAndProbedOneByOne() {
-        mTable.applyConfig(0, Fleet.config(1, 4, 1_000));
-        fail(0, Fleet.runner(0), AttemptOutcome.CONNECT_FAILED);
-        fail(1, Fleet.runner(0), AttemptOutcome.CONNECT_FAILED);
-        IntStream.range(0, 50).forEach(i -> assertThat(next(2)).isNotEqualTo(Fleet.runner(0)));
+        mTable.applyConfig(0, UpstreamFixtures.config(1, 4, 1_000));
+        fail(0, UpstreamFixtures.runner(0), AttemptOutcome.CONNECT_FAILED);
+        fail(1, UpstreamFixtures.runner(0), AttemptOutcome.CONNECT_FAILED);
+        IntStream.range(0, 50)
+                .forEach(i -> assertThat(next(2)).isNotEqualTo(UpstreamFixtures.runner(0)));
 
         long probes =
-                IntStream.range(0, 50).filter(i -> next(2_500).equals(Fleet.runner(0))).count();
+                IntStream.range(0, 50)
+                        .filter(i -> next(2_500).equals(UpstreamFixtures.runner(0)))
+                        .count();
         assertThat(probes).isLessThanOrEqualTo(1);
     }
 
     @Test
     void ejection_leavesAtLeastHalf() {
-        mTable.applyConfig(0, Fleet.config(1, 4, 1_000));
+        mTable.applyConfig(0, UpstreamFixtures.config(1, 4, 1_000));
         for (int runner = 0; runner < 4; runner++) {
             for (int i = 0; i < 5; i++) {
-                fail(i, Fleet.runner(runner), AttemptOutcome.CONNECT_FAILED);
+                fail(i, UpstreamFixtures.runner(runner), AttemptOutcome.CONNECT_FAILED);
             }
         }
 
@@ -226,16 +236,19 @@
     }
 
     private void fail(long nowMs, UpstreamId upstream, AttemptOutcome outcome) {
-        RoutingQuery only = Fleet.query();
+        RoutingQuery only = UpstreamFixtures.query();
         for (int i = 0; i < 4; i++) {
-            only = Fleet.runner(i).equals(upstream) ? only : only.without(Fleet.runner(i));
+            only =
+                    UpstreamFixtures.runner(i).equals(upstream)
+                            ? only
+                            : only.without(UpstreamFixtures.runner(i));
         }
         Either<Failure, UpstreamChoice> choice = mChooser.choose(nowMs, only);
         choice.peek(c -> mChooser.onEnded(nowMs, c, outcome));
     }
 
     private UpstreamId next(long nowMs) {
-        return mChooser.choose(nowMs, Fleet.query()).get().upstream();
+        return mChooser.choose(nowMs, UpstreamFixtures.query()).get().upstream();
     }
 
     private static ErrorKind kind(Either<Failure, UpstreamChoice> result) {
--- a/coordination/src/test/java/org/hornbeampass/coordination/routing/Fleet.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/routing/UpstreamFixtures.java
@@ -20,7 +20,7 @@
 import java.util.stream.IntStream;
 
 /** Makes small fleets of upstreams and queries for them; stateless. */
-public final class Fleet {
+public final class UpstreamFixtures {
     /** The model of all runners. */
     public static final ModelId MODEL = new ModelId("flight-desk");
 
@@ -29,7 +29,7 @@
 
     private static final int DOMAINS = 3;
 
-    private Fleet() {}
+    private UpstreamFixtures() {}
 
     /** Returns where VM {@code vm-0} is: in failure domain {@code d0}. */
     public static Placement placement() {
--- a/coordination/src/test/java/org/hornbeampass/coordination/routing/UpstreamSteps.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/routing/UpstreamSteps.java
@@ -37,7 +37,7 @@
     private static final long REPORT_EVERY_MS = 500;
 
     private final UpstreamTable mTable =
-            new UpstreamTable(Fleet.placement(), RoutingSettings.defaults());
+            new UpstreamTable(UpstreamFixtures.placement(), RoutingSettings.defaults());
     private final UpstreamChooser mChooser =
             new UpstreamChooser(mTable, RoutingPolicy.PREDICTED_WAIT, 7);
     private final RetryBudget mBudget = RetryBudget.defaults();
@@ -67,7 +67,7 @@
     @Given("a flight desk with {int} runners in 3 failure domains")
     public void flightDesk(int runners) {
         mRunners = runners;
-        mTable.applyConfig(0, Fleet.config(1, runners, 64));
+        mTable.applyConfig(0, UpstreamFixtures.config(1, runners, 64));
         list(5, Set.of());
     }
 
@@ -97,7 +97,11 @@
         at(afterS * 1_000L, () -> mFaultAtMs.put(runner, mNowMs));
         at(
                 afterS * 1_000L + REPORT_EVERY_MS,
-                () -> mTable.onLoadReport(mNowMs, Fleet.runner(runner), Fleet.leaving(mNowMs, 1)));
+                () ->
+                        mTable.onLoadReport(
+                                mNowMs,
+                                UpstreamFixtures.runner(runner),
+                                UpstreamFixtures.leaving(mNowMs, 1)));
         mLater.add(() -> run(seconds));
     }
 
@@ -172,7 +176,10 @@
     private void list(long version, Set<Integer> leaving) {
         List<ListedUpstream> lines =
                 IntStream.range(0, mRunners)
-                        .mapToObj(r -> new ListedUpstream(Fleet.runner(r), 1, leaving.contains(r)))
+                        .mapToObj(
+                                r ->
+                                        new ListedUpstream(
+                                                UpstreamFixtures.runner(r), 1, leaving.contains(r)))
                         .toList();
         mTable.onListed(mNowMs, new UpstreamList(version, lines));
     }
@@ -196,7 +203,7 @@
     private void request() {
         int number = ++mRequests;
         mBudget.onFirstAttempt();
-        attempt(number, 1, mNowMs, Fleet.query());
+        attempt(number, 1, mNowMs, UpstreamFixtures.query());
     }
 
     private void attempt(int number, int attempts, long startedMs, RoutingQuery query) {
--- a/coordination/src/test/java/org/hornbeampass/coordination/service/LoadExchangeTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/service/LoadExchangeTest.java
@@ -23,11 +23,11 @@
 class LoadExchangeTest {
     private static final ServiceSpec SERVICE = new ServiceSpec("s", 100, Optional.empty());
 
-    private final UpstreamBoard mBoard = new UpstreamBoard(new Random(1), () -> 3);
+    private final UpstreamRegistry mBoard = new UpstreamRegistry(new Random(1), () -> 3);
     private final List<String> mTold = new ArrayList<>();
     private final List<InFlightReport> mReports = new ArrayList<>();
-    private FleetPaths mPaths =
-            new FleetPaths("vm-1", Optional.empty(), List.of("vm-2", "vm-3"), List.of());
+    private BroadcastPaths mPaths =
+            new BroadcastPaths("vm-1", Optional.empty(), List.of("vm-2", "vm-3"), List.of());
     private final LoadExchange mExchange = new LoadExchange(mBoard, new Recorder(), () -> mPaths);
 
     /** Notes what is sent. */
@@ -72,7 +72,7 @@
     void largeFleet_costsAVmNoMoreMessages() {
         upstream().onSent(700, t -> {});
         List<String> near = IntStream.range(0, 78).mapToObj(i -> "vm-" + i).toList();
-        mPaths = new FleetPaths("vm-1", Optional.of("vm-9"), near, List.of());
+        mPaths = new BroadcastPaths("vm-1", Optional.of("vm-9"), near, List.of());
         for (long t = 0; t < 20_000; t += 100) {
             mExchange.tick(t);
         }
--- a/coordination/src/test/java/org/hornbeampass/coordination/service/LoadRelayTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/service/LoadRelayTest.java
@@ -30,7 +30,7 @@
     private static final ServiceSpec SERVICE = new ServiceSpec("s", 100, Optional.empty());
 
     private final Map<String, LoadExchange> mExchanges = new HashMap<>();
-    private final Map<String, UpstreamBoard> mBoards = new HashMap<>();
+    private final Map<String, UpstreamRegistry> mBoards = new HashMap<>();
     private final List<Member> mMembers = new ArrayList<>();
     private List<Member> mUp = List.of();
     private int mMessages;
@@ -61,12 +61,12 @@
         }
         mUp = mMembers;
         for (Member each : mMembers) {
-            add(each, () -> FleetPaths.choose(each, mUp));
+            add(each, () -> BroadcastPaths.choose(each, mUp));
         }
     }
 
-    private void add(Member self, Supplier<FleetPaths> paths) {
-        UpstreamBoard board = new UpstreamBoard(new Random(1), () -> VMS);
+    private void add(Member self, Supplier<BroadcastPaths> paths) {
+        UpstreamRegistry board = new UpstreamRegistry(new Random(1), () -> VMS);
         board.onEntry(
                 0,
                 new UpstreamEntry(
@@ -89,7 +89,7 @@
     @Test
     void eachVm_knowsTheLoadOfAllOthers() {
         run(1_000);
-        for (UpstreamBoard board : mBoards.values()) {
+        for (UpstreamRegistry board : mBoards.values()) {
             assertThat(board.fleetLoad().vmsHeard()).isEqualTo(VMS - 1);
             assertThat(board.fleetLoad().at("a").requests()).isEqualTo(VMS - 1);
             assertThat(board.fleetLoad().at("a").unreadTokens()).isEqualTo((VMS - 1) * TOKENS);
@@ -108,7 +108,7 @@
     @Test
     void relayThatDies_isReplacedByAnother() {
         run(1_000);
-        String relay = FleetPaths.choose(mMembers.get(0), mMembers).relay().orElseThrow();
+        String relay = BroadcastPaths.choose(mMembers.get(0), mMembers).relay().orElseThrow();
         mUp = mMembers.stream().filter(m -> !m.name().equals(relay)).toList();
         run(2_000);
         for (Member each : mUp) {
@@ -121,13 +121,16 @@
     void twoRelaysOfOneDomain_doNotAddUpEachOthersSums() {
         List<Member> domain =
                 mMembers.stream().filter(m -> m.domain().value().equals("d0")).toList();
-        String relay = FleetPaths.choose(domain.get(0), mMembers).relay().orElseThrow();
+        String relay = BroadcastPaths.choose(domain.get(0), mMembers).relay().orElseThrow();
         Member second =
                 domain.stream().filter(m -> !m.name().equals(relay)).findFirst().orElseThrow();
-        FleetPaths before = FleetPaths.choose(second, mMembers);
-        FleetPaths asRelay =
-                new FleetPaths(
-                        second.name(), Optional.of(second.name()), before.near(), before.relays());
+        BroadcastPaths before = BroadcastPaths.choose(second, mMembers);
+        BroadcastPaths asRelay =
+                new BroadcastPaths(
+                        second.name(),
+                        Optional.of(second.name()),
+                        before.directPeers(),
+                        before.otherRelays());
         mExchanges.put(
                 second.name(),
                 new LoadExchange(
@@ -143,8 +146,8 @@
 
     @Test
     void smallFleet_isToldDirectly() {
-        FleetPaths paths = FleetPaths.choose(mMembers.get(0), mMembers.subList(0, 8));
+        BroadcastPaths paths = BroadcastPaths.choose(mMembers.get(0), mMembers.subList(0, 8));
         assertThat(paths.relay()).isEmpty();
-        assertThat(paths.near()).hasSize(7);
+        assertThat(paths.directPeers()).hasSize(7);
     }
 }
--- a/coordination/src/test/java/org/hornbeampass/coordination/service/RetryWindowTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/service/RetryWindowTest.java
@@ -27,7 +27,7 @@
         for (long nowMs = 0; nowMs < 60_000; nowMs += 5) {
             RetryWindow window = windows[random.nextInt(VMS)];
             if (random.nextInt(4) == 0) {
-                window.onFirst(nowMs);
+                window.onFirstSend(nowMs);
                 first.add(nowMs);
             } else if (window.tryTake(nowMs, RATIO, EXTRA, VMS)) {
                 further.add(nowMs);
--- a/coordination/src/test/java/org/hornbeampass/coordination/service/SignalExchangeTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/service/SignalExchangeTest.java
@@ -31,7 +31,7 @@
     private static final OptionalDouble ONE = OptionalDouble.of(1);
     private static final ServiceSpec SERVICE = new ServiceSpec("s", 100, Optional.empty());
 
-    private final Map<String, UpstreamBoard> mBoards = new HashMap<>();
+    private final Map<String, UpstreamRegistry> mBoards = new HashMap<>();
     private final Map<String, SignalTable> mTables = new HashMap<>();
     private final Map<String, SignalExchange> mExchanges = new HashMap<>();
     private final List<Member> mMembers = new ArrayList<>();
@@ -84,7 +84,7 @@
         Member self = TestMembers.live("vm-" + number, number % DOMAINS);
         mMembers.add(self);
         SignalTable table = new SignalTable();
-        UpstreamBoard board = new UpstreamBoard(new Random(1), () -> 8, table, SendGate.OPEN);
+        UpstreamRegistry board = new UpstreamRegistry(new Random(1), () -> 8, table, SendGate.OPEN);
         mBoards.put(self.name(), board);
         mTables.put(self.name(), table);
         mExchanges.put(
@@ -93,7 +93,7 @@
                         board,
                         table,
                         new Peers(self.vm()),
-                        () -> FleetPaths.choose(self, mMembers),
+                        () -> BroadcastPaths.choose(self, mMembers),
                         new Listener(self.name())));
         show(self.name(), entry("i-1", 100, false));
         show(self.name(), entry("i-2", 100, false));
--- a/coordination/src/test/java/org/hornbeampass/coordination/service/UpstreamBoardTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/service/UpstreamRegistryTest.java
@@ -16,7 +16,7 @@
 import java.util.Set;
 
 /** Checks which upstream a request gets, and that one that leaves gets none. */
-class UpstreamBoardTest {
+class UpstreamRegistryTest {
     private static final ServiceSpec PLAIN = new ServiceSpec("s", 100, Optional.empty());
     private static final ServiceSpec MODEL =
             new ServiceSpec("s", 100, Optional.of(new ServiceSpec.Engine(64, 400_000, 7)));
@@ -26,7 +26,7 @@
                     100,
                     List.of(new Prompt.Part("aa", 5_000), new Prompt.Part("own", 1_000)));
 
-    private final UpstreamBoard mBoard = new UpstreamBoard(new Random(1), () -> 8);
+    private final UpstreamRegistry mBoard = new UpstreamRegistry(new Random(1), () -> 8);
 
     private static UpstreamEntry entry(String id, boolean leaving) {
         return new UpstreamEntry(
@@ -67,7 +67,7 @@
         mBoard.onEntry(0, entry("a", false));
         mBoard.onRemoved(100, "a", true);
         assertThat(choose(100, PLAIN, Prompt.NONE)).contains("a");
-        assertThat(choose(100 + UpstreamBoard.MISSING_GRACE_MS, PLAIN, Prompt.NONE)).isEmpty();
+        assertThat(choose(100 + UpstreamRegistry.MISSING_GRACE_MS, PLAIN, Prompt.NONE)).isEmpty();
     }
 
     @Test
@@ -82,26 +82,26 @@
     void silentUpstream_isPausedAndComesBack() {
         UpstreamInstance first = only("a");
         mBoard.onEntry(0, entry("b", false));
-        first.onSilent(0);
-        first.onSilent(0);
-        assertThat(first.paused(100)).isTrue();
+        first.onNoAnswer(0);
+        first.onNoAnswer(0);
+        assertThat(first.isPaused(100)).isTrue();
         for (int i = 0; i < 50; i++) {
             assertThat(choose(100, PLAIN, Prompt.NONE)).contains("b");
         }
-        assertThat(first.paused(600)).isFalse();
+        assertThat(first.isPaused(600)).isFalse();
     }
 
     @Test
     void onlyUpstream_isUsedAlsoWhilePaused() {
         UpstreamInstance only = only("a");
-        only.onSilent(0);
-        only.onSilent(0);
+        only.onNoAnswer(0);
+        only.onNoAnswer(0);
         assertThat(choose(1, PLAIN, Prompt.NONE)).contains("a");
     }
 
     @Test
     void sharedPrompt_goesWhereOtherVmsSendItToo() {
-        UpstreamBoard other = new UpstreamBoard(new Random(99), () -> 8);
+        UpstreamRegistry other = new UpstreamRegistry(new Random(99), () -> 8);
         for (String id : List.of("a", "b", "c", "d")) {
             mBoard.onEntry(0, entry(id, false));
         }
@@ -128,7 +128,7 @@
         UpstreamInstance bad = only("a");
         mBoard.onEntry(0, entry("b", false));
         for (int i = 0; i < 5; i++) {
-            bad.onBad(0);
+            bad.onErrorAnswer(0);
         }
         assertThat(choose(1, PLAIN, Prompt.NONE)).contains("b");
         assertThat(bad.failureShare(1)).isGreaterThan(0.5);
@@ -173,7 +173,7 @@
         mBoard.onEntry(0, born("a", 100, false));
         mBoard.onEntry(0, born("a", 100, true));
         assertThat(choose(0, PLAIN, Prompt.NONE)).isEmpty();
-        assertThat(mBoard.onEntry(1, born("a", 200, false))).isEqualTo(EntryVerdict.STARTED_AGAIN);
+        assertThat(mBoard.onEntry(1, born("a", 200, false))).isEqualTo(EntryResult.STARTED_AGAIN);
         assertThat(choose(1, PLAIN, Prompt.NONE)).contains("a");
     }
 
@@ -185,25 +185,25 @@
         List<String> lost = new ArrayList<>();
         former.onSent(5_000, t -> lost.add("request"));
         former.onFirstPart(0, 900, 1_000);
-        former.onSilent(0);
-        former.onSilent(0);
+        former.onNoAnswer(0);
+        former.onNoAnswer(0);
         mBoard.onEntry(1, born("a", 200, false));
         UpstreamInstance next = mBoard.choose(1, MODEL, SHARED, Set.of()).orElseThrow().instance();
         assertThat(lost).containsExactly("request");
         assertThat(next).isNotSameAs(former);
-        assertThat(next.paused(1)).isFalse();
+        assertThat(next.isPaused(1)).isFalse();
         assertThat(next.inFlight()).isZero();
         assertThat(next.unreadTokens()).isZero();
         assertThat(next.failureShare(1)).isZero();
         assertThat(next.delayMs(1)).isZero();
-        assertThat(former.usable(1)).isFalse();
+        assertThat(former.isUsable(1)).isFalse();
     }
 
     @Test
     void lateEntryOfAFormerIncarnation_changesNothing() {
         mBoard.onEntry(0, born("a", 200, false));
         assertThat(mBoard.onEntry(1, born("a", 100, true)))
-                .isEqualTo(EntryVerdict.FORMER_INCARNATION);
+                .isEqualTo(EntryResult.FORMER_INCARNATION);
         assertThat(choose(1, PLAIN, Prompt.NONE)).contains("a");
     }
 
@@ -212,8 +212,7 @@
         mBoard.onEntry(0, entry("a", true));
         mBoard.onRemoved(10, "a", false);
         mBoard.tick(20);
-        assertThat(mBoard.onEntry(30, entry("a", false)))
-                .isEqualTo(EntryVerdict.FORMER_INCARNATION);
+        assertThat(mBoard.onEntry(30, entry("a", false))).isEqualTo(EntryResult.FORMER_INCARNATION);
         assertThat(choose(30, PLAIN, Prompt.NONE)).isEmpty();
     }
 
@@ -223,14 +222,14 @@
         mBoard.onRemoved(10, "a", false);
         mBoard.tick(20);
         assertThat(mBoard.onEntry(30, born("a", 100, false)))
-                .isEqualTo(EntryVerdict.FORMER_INCARNATION);
-        assertThat(mBoard.onEntry(40, born("a", 200, false))).isEqualTo(EntryVerdict.ADDED);
+                .isEqualTo(EntryResult.FORMER_INCARNATION);
+        assertThat(mBoard.onEntry(40, born("a", 200, false))).isEqualTo(EntryResult.ADDED);
     }
 
     @Test
     void unreadableEntry_namesNoUpstreamUntilAReadableOneComes() {
         mBoard.onEntry(0, entry("a", false));
-        mBoard.onUnreadable(10, "a");
+        mBoard.onUnreadableEntry(10, "a");
         assertThat(choose(10, PLAIN, Prompt.NONE)).isEmpty();
         mBoard.onEntry(20, entry("a", false));
         assertThat(choose(20, PLAIN, Prompt.NONE)).contains("a");
--- a/coordination/src/test/java/org/hornbeampass/coordination/upstream/UpstreamLifeTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/upstream/IncarnationTrackerTest.java
@@ -5,9 +5,9 @@
 import org.hornbeampass.state.upstream.Evidence;
 import org.junit.jupiter.api.Test;
 
-/** Tests {@link UpstreamLife}. */
-class UpstreamLifeTest {
-    private final UpstreamLife mLife = new UpstreamLife(0);
+/** Tests {@link IncarnationTracker}. */
+class IncarnationTrackerTest {
+    private final IncarnationTracker mLife = new IncarnationTracker(0);
 
     @Test
     void newUpstream_thatNoListShowsYet_isLive() {
--- a/coordination/src/test/java/org/hornbeampass/coordination/upstream/PrefixBeliefTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/upstream/PrefixCacheEstimateTest.java
@@ -12,11 +12,11 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Tests {@link PrefixBelief}. */
-class PrefixBeliefTest {
+/** Tests {@link PrefixCacheEstimate}. */
+class PrefixCacheEstimateTest {
     private static final PrefixDigests PROMPT = PrefixDigests.of(11, 12, 13, 14);
 
-    private final PrefixBelief mBelief = new PrefixBelief(4);
+    private final PrefixCacheEstimate mBelief = new PrefixCacheEstimate(4);
 
     @Test
     void matchingBlocks_countsLeadingBlocksOnly() {
--- a/experiment/src/main/java/org/hornbeampass/experiment/routing/SimulatedVm.java
+++ b/experiment/src/main/java/org/hornbeampass/experiment/routing/SimulatedVm.java
@@ -49,7 +49,7 @@
                         : new RetryBudget(1_000, 1_000, 1_000_000);
         for (WorkTarget target :
                 List.of(WorkTarget.model(Demand.MODEL), WorkTarget.service(Demand.SERVICE))) {
-            mQueues.put(target, new AdmissionQueue(mChooser.places(0, target), MAX_WAITING));
+            mQueues.put(target, new AdmissionQueue(mChooser.capacity(0, target), MAX_WAITING));
         }
     }
 
@@ -96,7 +96,7 @@
         }
         mQueues.forEach(
                 (target, queue) -> {
-                    queue.setCapacity(nowMs, mChooser.places(nowMs, target));
+                    queue.setCapacity(nowMs, mChooser.capacity(nowMs, target));
                     queue.expire(nowMs);
                 });
     }
--- a/router/src/main/java/org/hornbeampass/router/daemon/FleetView.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/FleetView.java
@@ -11,7 +11,7 @@
 import org.hornbeampass.coordination.platform.PlatformCall;
 import org.hornbeampass.coordination.platform.PlatformReply;
 import org.hornbeampass.coordination.ratelimit.PermitHomes;
-import org.hornbeampass.coordination.service.FleetPaths;
+import org.hornbeampass.coordination.service.BroadcastPaths;
 import org.hornbeampass.state.Json;
 import org.hornbeampass.state.VmId;
 import org.hornbeampass.state.member.ListedVm;
@@ -60,7 +60,7 @@
     private final VmList mList;
     private final ListedVm mSelf;
     private final MemberHomes mHomes = new MemberHomes();
-    private final Function<List<Member>, FleetPaths> mFleetPaths;
+    private final Function<List<Member>, BroadcastPaths> mFleetPaths;
     private final boolean mHasSeeds;
     private boolean mRegistered;
     private boolean mOpen;
@@ -85,7 +85,7 @@
                         settings.region(),
                         settings.domain(),
                         MemberState.LIVE);
-        mFleetPaths = FleetPaths.remembering(self);
+        mFleetPaths = BroadcastPaths.cachedChooser(self);
         mSelf =
                 new ListedVm(
                         vm,
@@ -165,7 +165,7 @@
     }
 
     /** Returns whom this VM tells what it has in progress. */
-    FleetPaths paths() {
+    BroadcastPaths paths() {
         return mFleetPaths.apply(mMembership.view().live());
     }
 
--- a/router/src/main/java/org/hornbeampass/router/daemon/RelayDaemon.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/RelayDaemon.java
@@ -28,7 +28,7 @@
 import org.hornbeampass.coordination.service.SignalExchange;
 import org.hornbeampass.coordination.service.SignalReport;
 import org.hornbeampass.coordination.service.SignalTable;
-import org.hornbeampass.coordination.service.UpstreamBoard;
+import org.hornbeampass.coordination.service.UpstreamRegistry;
 import org.hornbeampass.router.relay.RelayHandler;
 import org.hornbeampass.router.relay.RelayLog;
 import org.hornbeampass.router.relay.RelayParts;
@@ -81,7 +81,7 @@
 
     private final SignalTable mSignalTable = new SignalTable();
     private final RateLimiter mLimiter;
-    private final UpstreamBoard mBoard;
+    private final UpstreamRegistry mUpstreamRegistry;
     private final ObservedStore mStore;
     private final FleetView mFleet;
     private final PeerTransport mPeers;
@@ -119,14 +119,18 @@
                         name -> fleet().flatMap(f -> f.peerAddress(name)));
         mFleet = new FleetView(settings, vm, mPeers, mStore, new Random(mRandom.nextLong()));
         mLimiter = new RateLimiter(mSignalTable, this::signals, mPeers, mFleet);
-        mBoard = new UpstreamBoard(mRandom, this::vms, mSignalTable, mLimiter);
+        mUpstreamRegistry = new UpstreamRegistry(mRandom, this::vms, mSignalTable, mLimiter);
         mViews = views();
         mBudgets = budgets(ip);
         mBudgetMetrics = new BudgetMetrics(mMetrics, mBudgets);
-        mLoads = new LoadExchange(mBoard, mPeers, mFleet::paths);
+        mLoads = new LoadExchange(mUpstreamRegistry, mPeers, mFleet::paths);
         mSignals =
                 new SignalExchange(
-                        mBoard, mSignalTable, mPeers, mFleet::paths, new SignalLog(mLog));
+                        mUpstreamRegistry,
+                        mSignalTable,
+                        mPeers,
+                        mFleet::paths,
+                        new SignalLog(mLog));
         mLoans = new EscrowLoans(mBudgets, mPeers, mFleet.homes(), mRandom);
         mPool = new UpstreamPool(mLoops, mClock);
         mQuarantine = quarantine();
@@ -163,7 +167,7 @@
                 mSettings.relay(),
                 loop(),
                 mClock,
-                mBoard,
+                mUpstreamRegistry,
                 mPool,
                 new RequestHasher(mSettings.cluster().revealBytes()),
                 mQuarantine,
@@ -263,7 +267,8 @@
         mMetrics.register("peer_bytes_received", (Gauge<Long>) mPeers.counters()::bytesReceived);
         mMetrics.register("suspected_requests", (Gauge<Integer>) mQuarantine.suspects()::size);
         mMetrics.register(
-                "rate_limited_upstreams", (Gauge<Integer>) () -> mBoard.rateLimited().size());
+                "rate_limited_upstreams",
+                (Gauge<Integer>) () -> mUpstreamRegistry.rateLimited().size());
         PermitCounts permits = mLimiter.counts();
         mMetrics.register("permits_granted", (Gauge<Long>) permits::granted);
         mMetrics.register("permits_denied", (Gauge<Long>) permits::denied);
@@ -342,7 +347,7 @@
         mSignals.tick(nowMs);
         mLimiter.tick(nowMs);
         mQuarantine.tick(nowMs);
-        mBoard.tick(nowMs);
+        mUpstreamRegistry.tick(nowMs);
         mPool.tick(nowMs);
         mCallers.tick(nowMs);
         mShutdown.tick(nowMs);
--- a/router/src/main/java/org/hornbeampass/router/daemon/StoreChanges.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/StoreChanges.java
@@ -2,7 +2,7 @@
 
 import org.hornbeampass.coordination.platform.PlatformReply.Change;
 import org.hornbeampass.coordination.platform.WatchedView;
-import org.hornbeampass.coordination.service.EntryVerdict;
+import org.hornbeampass.coordination.service.EntryResult;
 import org.hornbeampass.coordination.service.RouteTable;
 import org.hornbeampass.router.relay.LogFields;
 import org.hornbeampass.router.relay.RelayParts;
@@ -66,7 +66,7 @@
         }
         var read = mParts.wire().readUpstream(change.key(), change.value().get());
         if (read.isLeft()) {
-            mParts.board().onUnreadable(nowMs, id);
+            mParts.upstreamRegistry().onUnreadableEntry(nowMs, id);
             notUnderstood(nowMs, "upstream-not-understood", change, read.getLeft());
             return;
         }
@@ -75,7 +75,7 @@
 
     private void remove(long nowMs, String id) {
         boolean afterOutage = mUpstreams.failedWithin(nowMs, AFTER_OUTAGE_MS);
-        mParts.board().onRemoved(nowMs, id, afterOutage);
+        mParts.upstreamRegistry().onRemoved(nowMs, id, afterOutage);
         mParts.log()
                 .believes(
                         nowMs,
@@ -84,20 +84,20 @@
     }
 
     private void list(long nowMs, UpstreamEntry entry, long revision) {
-        EntryVerdict verdict = mParts.board().onEntry(nowMs, entry);
-        if (verdict.replaces()) {
+        EntryResult result = mParts.upstreamRegistry().onEntry(nowMs, entry);
+        if (result.replacesIncarnation()) {
             mParts.pool().forget(entry.address());
         }
         mParts.log()
                 .believes(
                         nowMs,
-                        verdict.taken() ? "upstream-listed" : "upstream-entry-too-old",
+                        result.isAccepted() ? "upstream-listed" : "upstream-entry-too-old",
                         new LogFields()
                                 .add("upstream", entry.id())
                                 .add("born_ms", entry.bornMs().orElse(-1))
                                 .add("leaving", entry.leaving())
                                 .add("service_known", serviceKnown(entry))
-                                .add("verdict", verdict.name())
+                                .add("verdict", result.name())
                                 .add("revision", revision));
     }
 
--- a/router/src/main/java/org/hornbeampass/router/relay/AnswerSignals.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/AnswerSignals.java
@@ -35,7 +35,7 @@
         boolean current = answer.kind() != AnswerClass.UNRELATED;
         if (current && answer.pauseMs().isPresent()) {
             long pauseMs = answer.pauseMs().getAsLong();
-            upstream.onPauseAsked(nowMs, pauseMs);
+            upstream.onPauseRequested(nowMs, pauseMs);
             mLog.believes(
                     nowMs,
                     "upstream-pauses",
--- a/router/src/main/java/org/hornbeampass/router/relay/CrashDetector.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/CrashDetector.java
@@ -42,7 +42,7 @@
      * @param digest the request
      */
     void onBroken(UpstreamInstance instance, RequestDigest digest) {
-        if (instance.leaving()) {
+        if (instance.isLeaving()) {
             return;
         }
         UpstreamIncarnation crash = instance.incarnation();
@@ -70,7 +70,7 @@
      * progress there.
      */
     void onStartedAgain(long nowMs, UpstreamInstance instance, RequestDigest digest) {
-        if (!instance.leaving()) {
+        if (!instance.isLeaving()) {
             report(nowMs, instance.incarnation(), Set.of(digest));
         }
     }
--- a/router/src/main/java/org/hornbeampass/router/relay/RelayAttempts.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/RelayAttempts.java
@@ -120,7 +120,7 @@
             return true;
         }
         if (answer == AnswerClass.SPOILED) {
-            mUse.get().instance().onBad(nowMs);
+            mUse.get().instance().onErrorAnswer(nowMs);
             dropConnectionOnly();
             onLost(nowMs, "its answer lacks what proves it", mCrashes.standing());
             return true;
@@ -133,9 +133,9 @@
         UpstreamInstance instance = mUse.orElseThrow().instance();
         mCounts.onNotRun(answer);
         if (answer == AnswerClass.ANOTHER_UPSTREAM) {
-            mParts.board().onMismatch(nowMs, instance);
+            mParts.upstreamRegistry().onIdentityMismatch(nowMs, instance);
         } else {
-            instance.onFull(nowMs, RelayBounds.FULL_PAUSE_MS);
+            instance.onOverloaded(nowMs, RelayBounds.FULL_PAUSE_MS);
         }
         String decision = answer == AnswerClass.NOT_RUN ? "upstream-full" : "upstream-replaced";
         decided(nowMs, decision, mUse.get().fields());
@@ -151,7 +151,7 @@
         UpstreamInstance instance = mUse.orElseThrow().instance();
         mCrashes.onHead(head);
         if (answer == AnswerClass.FAILED) {
-            instance.onBad(nowMs);
+            instance.onErrorAnswer(nowMs);
             if (mayRunAgain() && !mAnswer.begun()) {
                 LogFields fields = mUse.get().fields().add("status", head.status().code());
                 decided(nowMs, "upstream-failed", fields);
@@ -253,7 +253,7 @@
         }
         mConnection = Optional.empty();
         UpstreamInstance instance = mUse.orElseThrow().instance();
-        instance.onSilent(nowMs);
+        instance.onNoAnswer(nowMs);
         RequestStanding before = mCrashes.onBroken(instance);
         onLost(nowMs, reason, before);
     }
@@ -300,7 +300,7 @@
         if (mConnection.isEmpty() || !mayRunAgain() || !mAnswer.mayRestart()) {
             return;
         }
-        mUse.ifPresent(u -> u.instance().onSilent(nowMs));
+        mUse.ifPresent(u -> u.instance().onNoAnswer(nowMs));
         dropConnectionOnly();
         onLost(nowMs, "it was silent for too long", mCrashes.standing());
     }
@@ -308,7 +308,7 @@
     /** The time is over. */
     void onDeadline(long nowMs) {
         if (mConnection.isPresent() && mFirstByteMs < 0) {
-            mUse.ifPresent(u -> u.instance().onSilent(nowMs));
+            mUse.ifPresent(u -> u.instance().onNoAnswer(nowMs));
         }
         dropConnection();
         if (mAnswer.begun()) {
@@ -359,8 +359,8 @@
             return;
         }
         String service = mPlan.service().name();
-        OptionalLong pauseLeftMs = mParts.board().pauseLeftMs(nowMs, service);
-        OptionalLong closedForMs = mParts.board().closedForMs(nowMs, service);
+        OptionalLong pauseLeftMs = mParts.upstreamRegistry().requestedPauseLeftMs(nowMs, service);
+        OptionalLong closedForMs = mParts.upstreamRegistry().unavailableForMs(nowMs, service);
         if (pauseLeftMs.isPresent()) {
             fail(nowMs, Refusals.upstreamsPause(pauseLeftMs.getAsLong()));
         } else if (closedForMs.isPresent()) {
--- a/router/src/main/java/org/hornbeampass/router/relay/RelayParts.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/RelayParts.java
@@ -10,7 +10,7 @@
 import org.hornbeampass.coordination.service.RetryWindow;
 import org.hornbeampass.coordination.service.RouteTable;
 import org.hornbeampass.coordination.service.SignalExchange;
-import org.hornbeampass.coordination.service.UpstreamBoard;
+import org.hornbeampass.coordination.service.UpstreamRegistry;
 import org.hornbeampass.transport.Clock;
 import org.hornbeampass.transport.relay.UpstreamPool;
 
@@ -31,7 +31,7 @@
     private RelaySettings mSettings;
     private final EventLoop mLoop;
     private final Clock mClock;
-    private final UpstreamBoard mBoard;
+    private final UpstreamRegistry mUpstreamRegistry;
     private final UpstreamPool mPool;
     private final CrashDetector mCrashes;
     private final RequestHasher mHasher;
@@ -57,7 +57,7 @@
             RelaySettings settings,
             EventLoop loop,
             Clock clock,
-            UpstreamBoard board,
+            UpstreamRegistry upstreamRegistry,
             UpstreamPool pool,
             RequestHasher hasher,
             Quarantine quarantine,
@@ -73,7 +73,7 @@
         mSettings = settings;
         mLoop = loop;
         mClock = clock;
-        mBoard = board;
+        mUpstreamRegistry = upstreamRegistry;
         mPool = pool;
         mCrashes = new CrashDetector(pool, clock, log, quarantine);
         mQuarantine = quarantine;
@@ -102,8 +102,8 @@
     }
 
     /** Returns the upstreams. */
-    public UpstreamBoard board() {
-        return mBoard;
+    public UpstreamRegistry upstreamRegistry() {
+        return mUpstreamRegistry;
     }
 
     /** Returns the connections to upstreams. */
@@ -179,7 +179,7 @@
     }
 
     void countFirst(long nowMs, String service) {
-        retries(service).onFirst(nowMs);
+        retries(service).onFirstSend(nowMs);
     }
 
     boolean takeRetry(long nowMs, String service) {
--- a/router/src/main/java/org/hornbeampass/router/relay/RelayPlan.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/RelayPlan.java
@@ -6,7 +6,7 @@
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpVersion;
 
-import org.hornbeampass.coordination.service.ReadingUrgency;
+import org.hornbeampass.coordination.service.PrefillUrgency;
 import org.hornbeampass.state.service.Route;
 import org.hornbeampass.state.service.ServiceSpec;
 
@@ -63,7 +63,7 @@
         OptionalLong after = lastEvent >= 0 ? OptionalLong.of(lastEvent) : OptionalLong.empty();
         OptionalInt urgency =
                 service.engine().isPresent()
-                        ? OptionalInt.of(ReadingUrgency.of(use.tokensToRead()).rank())
+                        ? OptionalInt.of(PrefillUrgency.of(use.tokensToRead()).rank())
                         : OptionalInt.empty();
         wire.writeUpstreamHead(
                 copy.headers(),
--- a/router/src/main/java/org/hornbeampass/router/relay/UpstreamSearch.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/UpstreamSearch.java
@@ -92,7 +92,8 @@
     }
 
     private Optional<UpstreamChoice> choose(long nowMs) {
-        return mParts.board().choose(nowMs, mPlan.service(), mPlan.head().prompt(), mTried);
+        return mParts.upstreamRegistry()
+                .choose(nowMs, mPlan.service(), mPlan.head().prompt(), mTried);
     }
 
     /** Returns whether there is an upstream that the request was not sent to yet. */
@@ -111,7 +112,7 @@
                     "permit-denied",
                     new LogFields().add("upstream", choice.instance().id()));
             if (mCounts.onDenied()) {
-                mTried.addAll(mParts.board().rateLimited());
+                mTried.addAll(mParts.upstreamRegistry().rateLimited());
             }
             start(nowMs);
             return;
@@ -153,7 +154,7 @@
         }
         if (connection.isEmpty()) {
             mParts.limiter().giveBack(nowMs, permit);
-            instance.onSilent(nowMs);
+            instance.onNoAnswer(nowMs);
             cancel();
             decided(nowMs, "unreachable", use.fields());
             if (mCounts.onUnreachable()) {
@@ -163,7 +164,7 @@
             }
             return;
         }
-        if (!instance.usable(nowMs)) {
+        if (!instance.isUsable(nowMs)) {
             mParts.limiter().giveBack(nowMs, permit);
             lookElsewhere(nowMs, connection.get());
             return;
--- a/router/src/test/java/org/hornbeampass/router/relay/AnswerSignalsTest.java
+++ b/router/src/test/java/org/hornbeampass/router/relay/AnswerSignalsTest.java
@@ -8,14 +8,14 @@
 
 import org.hornbeampass.coordination.peer.PeerMessage;
 import org.hornbeampass.coordination.peer.PeerNetwork;
-import org.hornbeampass.coordination.service.FleetPaths;
+import org.hornbeampass.coordination.service.BroadcastPaths;
 import org.hornbeampass.coordination.service.SendGate;
 import org.hornbeampass.coordination.service.SignalExchange;
 import org.hornbeampass.coordination.service.SignalListener;
 import org.hornbeampass.coordination.service.SignalTable;
-import org.hornbeampass.coordination.service.UpstreamBoard;
 import org.hornbeampass.coordination.service.UpstreamIncarnation;
 import org.hornbeampass.coordination.service.UpstreamInstance;
+import org.hornbeampass.coordination.service.UpstreamRegistry;
 import org.hornbeampass.state.Failure;
 import org.hornbeampass.state.FailureDomain;
 import org.hornbeampass.state.service.Prompt;
@@ -39,26 +39,32 @@
     private static final ServiceSpec SERVICE = new ServiceSpec("s", 100, Optional.empty());
 
     private final SignalTable mTable = new SignalTable();
-    private final UpstreamBoard mBoard =
-            new UpstreamBoard(new Random(1), () -> 1, mTable, SendGate.OPEN);
+    private final UpstreamRegistry mUpstreamRegistry =
+            new UpstreamRegistry(new Random(1), () -> 1, mTable, SendGate.OPEN);
     private final AnswerSignals mSignals =
             new AnswerSignals(
                     new SignalExchange(
-                            mBoard,
+                            mUpstreamRegistry,
                             mTable,
                             new NoPeers(),
-                            () -> new FleetPaths("vm-1", Optional.empty(), List.of(), List.of()),
+                            () ->
+                                    new BroadcastPaths(
+                                            "vm-1", Optional.empty(), List.of(), List.of()),
                             new NoListener()),
                     new RelayLog(new MetricRegistry()));
     private UpstreamInstance mUpstream;
 
     @BeforeEach
     void list() {
-        mBoard.onEntry(
+        mUpstreamRegistry.onEntry(
                 0,
                 new UpstreamEntry(
                         "i-1", OptionalLong.of(1), "s", "a:80", new FailureDomain("d"), 6, false));
-        mUpstream = mBoard.choose(0, SERVICE, Prompt.NONE, Set.of()).orElseThrow().instance();
+        mUpstream =
+                mUpstreamRegistry
+                        .choose(0, SERVICE, Prompt.NONE, Set.of())
+                        .orElseThrow()
+                        .instance();
     }
 
     private void answer(AnswerClass kind, boolean proven, OptionalDouble limit, long askedMs) {
@@ -118,13 +124,13 @@
     @Test
     void lateAnswerToAnotherRequest_asksForNoPause() {
         answerWithPause(AnswerClass.UNRELATED);
-        assertThat(mBoard.pauseLeftMs(HEARD_MS, "s")).isEmpty();
+        assertThat(mUpstreamRegistry.requestedPauseLeftMs(HEARD_MS, "s")).isEmpty();
     }
 
     @Test
     void refusalOfTheRequest_asksForAPause() {
         answerWithPause(AnswerClass.NOT_RUN);
-        assertThat(mBoard.pauseLeftMs(HEARD_MS, "s")).hasValue(60_000);
+        assertThat(mUpstreamRegistry.requestedPauseLeftMs(HEARD_MS, "s")).hasValue(60_000);
     }
 
     @Test
@@ -139,7 +145,7 @@
                         true,
                         OptionalLong.empty(),
                         OptionalDouble.empty()));
-        assertThat(mUpstream.leaving()).isTrue();
+        assertThat(mUpstream.isLeaving()).isTrue();
     }
 
     /** A network without other VMs. */
