--- a/coordination/src/main/java/org/hornbeampass/coordination/routing/Candidates.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/routing/Candidates.java
@@ -21,19 +21,19 @@
     private UpstreamState[] mStates = new UpstreamState[0];
     private long[] mHashes = new long[0];
     private int mSize;
-    private int mBusy;
+    private int mAtLimit;
     private int mUnhealthy;
-    private boolean mNewsHolds;
+    private boolean mReportsReliable;
     private PrefixDigests mPrefix = PrefixDigests.none();
 
     /** How strictly upstreams are sieved. */
-    enum Sieve {
+    enum Filter {
         /** Healthy ones only, whose requests go on and whose reports have not stopped. */
         HEALTHY,
         /** Stalled ones too, where no other is left. */
-        STALLED_TOO,
+        ALLOW_STALLED,
         /** Ejected ones too, where no other is left. */
-        EJECTED_TOO
+        ALLOW_EJECTED
     }
 
     /**
@@ -44,22 +44,25 @@
             long nowMs,
             UpstreamGroup group,
             RoutingQuery query,
-            Sieve sieve,
+            Filter filter,
             SplittableRandom random) {
         if (mStates.length < group.size()) {
             mStates = new UpstreamState[group.size()];
             mHashes = new long[group.size()];
         }
         mSize = 0;
-        mBusy = 0;
+        mAtLimit = 0;
         mUnhealthy = 0;
         mPrefix = query.prefix();
-        mNewsHolds = group.newsHolds(nowMs);
+        mReportsReliable = group.areReportsReliable(nowMs);
         double stallMs = Math.max(MIN_STALL_MS, STALL_RATIO * group.meanFirstTokenMs(nowMs));
         boolean sampled = group.size() > MAX_CANDIDATES;
-        int home = sampled && mPrefix.size() > 0 ? group.best(PredictedWait.head(mPrefix)) : -1;
-        if (home >= 0) {
-            consider(nowMs, group, home, query, sieve, stallMs);
+        int preferred =
+                sampled && mPrefix.size() > 0
+                        ? group.firstRanked(PredictedWait.affinityKey(mPrefix))
+                        : -1;
+        if (preferred >= 0) {
+            addIfEligible(nowMs, group, preferred, query, filter, stallMs);
         }
         int first = sampled ? random.nextInt(group.size()) : 0;
         for (int step = 0; step < group.size(); step++) {
@@ -67,21 +70,21 @@
                 return;
             }
             int index = (first + step) % group.size();
-            if (index != home) {
-                consider(nowMs, group, index, query, sieve, stallMs);
+            if (index != preferred) {
+                addIfEligible(nowMs, group, index, query, filter, stallMs);
             }
         }
     }
 
-    private void consider(
+    private void addIfEligible(
             long nowMs,
             UpstreamGroup group,
             int index,
             RoutingQuery query,
-            Sieve sieve,
+            Filter filter,
             double stallMs) {
         UpstreamState state = group.member(index);
-        if (suitable(state, query) && admitted(nowMs, state, sieve, stallMs)) {
+        if (isSuitable(state, query) && passesFilter(nowMs, state, filter, stallMs)) {
             mStates[mSize] = state;
             mHashes[mSize] = group.hash(index);
             mSize++;
@@ -109,8 +112,8 @@
     }
 
     /** Returns how many suitable upstreams had no place left. */
-    int busy() {
-        return mBusy;
+    int atLimit() {
+        return mAtLimit;
     }
 
     /** Returns how many suitable upstreams were left out as ejected or stalled. */
@@ -118,25 +121,25 @@
         return mUnhealthy;
     }
 
-    private static boolean suitable(UpstreamState state, RoutingQuery query) {
-        return state.live()
+    private static boolean isSuitable(UpstreamState state, RoutingQuery query) {
+        return state.isLive()
                 && state.serves(query.target())
                 && (query.excluded().isEmpty() || !query.excluded().contains(state.id()));
     }
 
-    private boolean admitted(long nowMs, UpstreamState state, Sieve sieve, double stallMs) {
+    private boolean passesFilter(long nowMs, UpstreamState state, Filter filter, double stallMs) {
         LoadEstimate load = state.load();
-        if (sieve != Sieve.EJECTED_TOO && !state.health().admits(nowMs, load.inFlight())) {
+        if (filter != Filter.ALLOW_EJECTED && !state.health().admits(nowMs, load.inFlight())) {
             mUnhealthy++;
             return false;
         }
-        boolean stopped = mNewsHolds && load.reportsStopped(nowMs);
-        if (sieve == Sieve.HEALTHY && (stopped || load.silentMs(nowMs) >= stallMs)) {
+        boolean stopped = mReportsReliable && load.reportsStopped(nowMs);
+        if (filter == Filter.HEALTHY && (stopped || load.silentMs(nowMs) >= stallMs)) {
             mUnhealthy++;
             return false;
         }
         if (load.inFlight() >= state.limit().limit()) {
-            mBusy++;
+            mAtLimit++;
             return false;
         }
         return true;
--- a/coordination/src/main/java/org/hornbeampass/coordination/routing/PredictedWait.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/routing/PredictedWait.java
@@ -17,25 +17,25 @@
  * same news don't all choose the same one. Stateless; runs under the table's lock.
  */
 final class PredictedWait {
-    private static final double DEFAULT_UNIT_MS = 10;
+    private static final double DEFAULT_MS_PER_REQUEST = 10;
     private static final double CACHED_SAVING = 0.6;
-    private static final double HOME_SAVING = 0.15;
-    private static final int HOME_BLOCKS = 4;
+    private static final double PREFERRED_SAVING = 0.15;
+    private static final int AFFINITY_BLOCKS = 4;
     private static final double CLOSE_RATIO = 1.1;
     private static final double ERROR_PENALTY = 8;
 
     private PredictedWait() {}
 
     static int pick(long nowMs, Candidates candidates, SplittableRandom random) {
-        double meanOthers = meanOthers(candidates);
-        double groupUnitMs = groupUnitMs(candidates);
-        double fullWeight = fullWeight(nowMs, candidates);
-        int home = home(candidates);
+        double meanOthers = meanOthersLoad(candidates);
+        double groupUnitMs = meanMsPerRequest(candidates);
+        double fullWeight = maxSlowStartWeight(nowMs, candidates);
+        int home = preferred(candidates);
         double best = Double.MAX_VALUE;
         int chosen = 0;
         int close = 0;
         for (int i = 0; i < candidates.size(); i++) {
-            double saving = saving(candidates, i, i == home);
+            double saving = cacheSaving(candidates, i, i == home);
             UpstreamState state = candidates.state(i);
             double weight = state.slowStartWeight(nowMs) / fullWeight;
             double ms =
@@ -55,19 +55,19 @@
     }
 
     /** Returns the estimated load of an upstream, in requests. */
-    static double load(long nowMs, LoadEstimate load, double meanOthers) {
+    static double estimateLoad(long nowMs, LoadEstimate load, double meanOthers) {
         double weight = load.reportWeight(nowMs);
-        return load.inFlight() + weight * load.others() + (1 - weight) * meanOthers;
+        return load.inFlight() + weight * load.othersLoad() + (1 - weight) * meanOthers;
     }
 
     /** Returns the mean load by others over the candidates that reported; 0 without any report. */
-    static double meanOthers(Candidates candidates) {
+    static double meanOthersLoad(Candidates candidates) {
         double sum = 0;
         int known = 0;
         for (int i = 0; i < candidates.size(); i++) {
             LoadEstimate load = candidates.state(i).load();
             if (load.hasReport()) {
-                sum += load.others();
+                sum += load.othersLoad();
                 known++;
             }
         }
@@ -77,14 +77,14 @@
     private static double predictMs(
             long nowMs, UpstreamState state, double meanOthers, double groupUnitMs) {
         LoadEstimate load = state.load();
-        double unitMs = load.unitMs() == 0 ? groupUnitMs : load.unitMs();
-        double waitMs = unitMs * (load(nowMs, load, meanOthers) + 1);
+        double unitMs = load.msPerRequest() == 0 ? groupUnitMs : load.msPerRequest();
+        double waitMs = unitMs * (estimateLoad(nowMs, load, meanOthers) + 1);
         double penalty = 1 + ERROR_PENALTY * state.health().errorShare();
         return Math.max(waitMs, (double) load.silentMs(nowMs)) * penalty;
     }
 
     /** Returns the greatest slow-start weight: where all are new, none is held back. */
-    private static double fullWeight(long nowMs, Candidates candidates) {
+    private static double maxSlowStartWeight(long nowMs, Candidates candidates) {
         double most = 0;
         for (int i = 0; i < candidates.size(); i++) {
             most = Math.max(most, candidates.state(i).slowStartWeight(nowMs));
@@ -92,39 +92,39 @@
         return most;
     }
 
-    private static double groupUnitMs(Candidates candidates) {
+    private static double meanMsPerRequest(Candidates candidates) {
         double sum = 0;
         int known = 0;
         for (int i = 0; i < candidates.size(); i++) {
-            double unitMs = candidates.state(i).load().unitMs();
+            double unitMs = candidates.state(i).load().msPerRequest();
             sum += unitMs;
             known += unitMs > 0 ? 1 : 0;
         }
-        return known == 0 ? DEFAULT_UNIT_MS : sum / known;
+        return known == 0 ? DEFAULT_MS_PER_REQUEST : sum / known;
     }
 
-    private static double saving(Candidates candidates, int index, boolean home) {
+    private static double cacheSaving(Candidates candidates, int index, boolean preferred) {
         PrefixDigests prefix = candidates.prefix();
         if (prefix.size() == 0) {
             return 0;
         }
         int matching = candidates.state(index).matchingBlocks(prefix);
         double share = (double) matching / prefix.size();
-        return CACHED_SAVING * share + (home ? HOME_SAVING * (1 - share) : 0);
+        return CACHED_SAVING * share + (preferred ? PREFERRED_SAVING * (1 - share) : 0);
     }
 
     /** Returns the digest by which a prompt finds its home; the prompt has a block at least. */
-    static long head(PrefixDigests prefix) {
-        return prefix.at(Math.min(HOME_BLOCKS, prefix.size()) - 1);
+    static long affinityKey(PrefixDigests prefix) {
+        return prefix.at(Math.min(AFFINITY_BLOCKS, prefix.size()) - 1);
     }
 
     /** Returns the candidate to which all VMs send a prompt that no one is known to hold. */
-    private static int home(Candidates candidates) {
+    private static int preferred(Candidates candidates) {
         PrefixDigests prefix = candidates.prefix();
         if (prefix.size() == 0) {
             return -1;
         }
-        long head = head(prefix);
+        long head = affinityKey(prefix);
         int home = 0;
         long best = Long.MIN_VALUE;
         for (int i = 0; i < candidates.size(); i++) {
--- a/coordination/src/main/java/org/hornbeampass/coordination/routing/RoutingQuery.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/routing/RoutingQuery.java
@@ -39,7 +39,7 @@
     }
 
     /** Returns the query for the next attempt after one at {@code upstream} has failed. */
-    public RoutingQuery without(UpstreamId upstream) {
+    public RoutingQuery excluding(UpstreamId upstream) {
         Set<UpstreamId> more = new HashSet<>(excluded);
         more.add(upstream);
         return new RoutingQuery(target, organisation, priority, prefix, more, deadline);
--- a/coordination/src/main/java/org/hornbeampass/coordination/routing/UpstreamChooser.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/routing/UpstreamChooser.java
@@ -30,7 +30,7 @@
  * table's lock.
  */
 public final class UpstreamChooser {
-    private static final Candidates.Sieve[] SIEVES = Candidates.Sieve.values();
+    private static final Candidates.Filter[] FILTERS = Candidates.Filter.values();
     private static final long OVERLOADED_RETRY_MS = 1_000;
     private static final long NO_UPSTREAM_RETRY_MS = 2_000;
 
@@ -56,7 +56,7 @@
             mGroup = group;
             mQuery = query;
             LoadEstimate load = state.load();
-            mLoadAtStart = load.inFlight() + load.reportWeight(nowMs) * load.others();
+            mLoadAtStart = load.inFlight() + load.reportWeight(nowMs) * load.othersLoad();
             mSentAtMs = nowMs;
         }
     }
@@ -93,9 +93,10 @@
             if (group.isEmpty()) {
                 return Either.left(noUpstream(query));
             }
-            gather(nowMs, group.get(), query);
+            gatherCandidates(nowMs, group.get(), query);
             if (mCandidates.size() == 0) {
-                return Either.left(mCandidates.busy() > 0 ? overloaded(query) : noUpstream(query));
+                return Either.left(
+                        mCandidates.atLimit() > 0 ? overloaded(query) : noUpstream(query));
             }
             int index = mPolicy.pick(nowMs, mCandidates, mRandom);
             return Either.right(start(nowMs, mCandidates.state(index), group.get(), query));
@@ -113,7 +114,7 @@
             for (int i = 0; group.isPresent() && i < group.get().size(); i++) {
                 UpstreamState state = group.get().member(i);
                 boolean open =
-                        state.live()
+                        state.isLive()
                                 && state.serves(target)
                                 && state.health().state(nowMs) == UpstreamHealth.State.HEALTHY;
                 places += open ? state.limit().limit() : 0;
@@ -141,7 +142,7 @@
             }
             attempt.mAwaitsFirst = false;
             PrefixDigests prefix = attempt.mQuery.prefix();
-            attempt.mState.firstToken(nowMs, attempt.mSentAtMs, attempt.mLoadAtStart, prefix);
+            attempt.mState.onFirstToken(nowMs, attempt.mSentAtMs, attempt.mLoadAtStart, prefix);
             mDetector.onFirstToken(nowMs, attempt.mGroup, attempt.mState);
         }
     }
@@ -154,7 +155,7 @@
                 throw new IllegalArgumentException("attempt " + choice.attempt() + " has ended");
             }
             LoadEstimate load = attempt.mState.load();
-            double predictedMs = load.unitMs() * (attempt.mLoadAtStart + 1);
+            double predictedMs = load.msPerRequest() * (attempt.mLoadAtStart + 1);
             AttemptTimeouts.Known known =
                     new AttemptTimeouts.Known(
                             Math.max(predictedMs, attempt.mGroup.meanFirstTokenMs(nowMs)),
@@ -174,7 +175,7 @@
         synchronized (mTable.lock()) {
             Attempt attempt = mAttempts.get(choice.attempt());
             if (attempt != null) {
-                attempt.mState.progress(nowMs, gapMs);
+                attempt.mState.onProgress(nowMs, gapMs);
             }
         }
     }
@@ -197,7 +198,7 @@
             if (attempt == null) {
                 return;
             }
-            attempt.mState.ended(nowMs, attempt.mAwaitsFirst, outcome.showsHealth());
+            attempt.mState.onEnded(nowMs, attempt.mAwaitsFirst, outcome.showsHealth());
             if (outcome.blame() == AttemptOutcome.Blame.OVERLOAD) {
                 attempt.mState.limit().refused();
             }
@@ -205,10 +206,12 @@
         }
     }
 
-    private void gather(long nowMs, UpstreamGroup group, RoutingQuery query) {
-        for (Candidates.Sieve sieve : SIEVES) {
+    private void gatherCandidates(long nowMs, UpstreamGroup group, RoutingQuery query) {
+        for (Candidates.Filter sieve : FILTERS) {
             mCandidates.gather(nowMs, group, query, sieve, mRandom);
-            if (mCandidates.size() > 0 || mCandidates.busy() > 0 || mCandidates.unhealthy() == 0) {
+            if (mCandidates.size() > 0
+                    || mCandidates.atLimit() > 0
+                    || mCandidates.unhealthy() == 0) {
                 return;
             }
         }
@@ -219,7 +222,7 @@
         long number = ++mLastAttempt;
         int believed = state.matchingBlocks(query.prefix());
         mAttempts.put(number, new Attempt(nowMs, state, group, query));
-        state.started(nowMs);
+        state.onStarted(nowMs);
         return new UpstreamChoice(
                 number,
                 state.id(),
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/BroadcastPaths.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/BroadcastPaths.java
@@ -41,7 +41,7 @@
     public static BroadcastPaths choose(Member self, List<Member> live) {
         List<String> others =
                 live.stream().map(Member::name).filter(n -> !n.equals(self.name())).toList();
-        if (others.size() <= LoadExchange.DIRECT_VMS) {
+        if (others.size() <= LoadExchange.MAX_DIRECT_PEERS) {
             return new BroadcastPaths(self.name(), Optional.empty(), others, List.of());
         }
         Map<FailureDomain, List<String>> byDomain =
@@ -59,8 +59,8 @@
                 self.name(), Optional.ofNullable(own), near, List.copyOf(relays.values()));
     }
 
-    private static String relay(FailureDomain domain, List<String> names) {
-        return RendezvousHash.choose("load-" + domain.value(), names).orElseThrow();
+    private static String relay(FailureDomain domain, List<String> candidates) {
+        return RendezvousHash.choose("load-" + domain.value(), candidates).orElseThrow();
     }
 
     /** Returns whether this VM passes on what others tell. */
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/BroadcastQueue.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/BroadcastQueue.java
@@ -12,8 +12,8 @@
  * Spreads news over the fleet along the paths of the load reports.
  *
  * <p>Each VM tells what it found out; relays pass on what is new to them, so that no item goes in a
- * circle. All is told {@link #TIMES} times, since a message may be lost. Nothing is sent where
- * there is no news. Confined to one thread.
+ * circle. All is told {@link #SENDS_PER_ITEM} times, since a message may be lost. Nothing is sent
+ * where there is no news. Confined to one thread.
  *
  * @param <T> an item of news, which names what is told
  */
@@ -32,22 +32,22 @@
     }
 
     /** After what time news are told again, in milliseconds. */
-    private static final long REPEAT_MS = 500;
+    private static final long REPEAT_INTERVAL_MS = 500;
 
     /** How often each item is told. */
-    private static final int TIMES = 6;
+    private static final int SENDS_PER_ITEM = 6;
 
     private final Supplier<BroadcastPaths> mPaths;
-    private final Sender<T> mTeller;
+    private final Sender<T> mSender;
 
     /** News of this VM or its failure domain, for all others. */
-    private final Set<T> mNews = new LinkedHashSet<>();
+    private final Set<T> mNewForAll = new LinkedHashSet<>();
 
     /** News of other failure domains, for this VM's own. */
-    private final Set<T> mFarNews = new LinkedHashSet<>();
+    private final Set<T> mNewForOwnDomain = new LinkedHashSet<>();
 
     /** How often each item is to be told still. */
-    private final Map<T, Integer> mToRepeat = new LinkedHashMap<>();
+    private final Map<T, Integer> mRemainingSends = new LinkedHashMap<>();
 
     private long mNextRepeatMs;
 
@@ -55,16 +55,16 @@
      * Makes an empty list of news.
      *
      * @param paths gives whom to tell now
-     * @param teller sends the messages
+     * @param sender sends the messages
      */
-    public BroadcastQueue(Supplier<BroadcastPaths> paths, Sender<T> teller) {
+    public BroadcastQueue(Supplier<BroadcastPaths> paths, Sender<T> sender) {
         mPaths = paths;
-        mTeller = teller;
+        mSender = sender;
     }
 
     /** Adds what this VM found out. */
     public void add(T item) {
-        mNews.add(item);
+        mNewForAll.add(item);
     }
 
     /**
@@ -76,7 +76,7 @@
     public void onReceived(String from, Collection<T> items) {
         BroadcastPaths paths = mPaths.get();
         if (paths.isRelay()) {
-            (paths.otherRelays().contains(from) ? mFarNews : mNews).addAll(items);
+            (paths.otherRelays().contains(from) ? mNewForOwnDomain : mNewForAll).addAll(items);
         }
     }
 
@@ -90,22 +90,22 @@
 
     /** Tells what is new. */
     public void tick(long nowMs) {
-        Set<T> toAll = new LinkedHashSet<>(mNews);
+        Set<T> toAll = new LinkedHashSet<>(mNewForAll);
         if (isRepeatDue(nowMs)) {
-            mNextRepeatMs = nowMs + REPEAT_MS;
-            toAll.addAll(mToRepeat.keySet());
-            mToRepeat.replaceAll((item, left) -> left - 1);
-            mToRepeat.values().removeIf(left -> left <= 0);
+            mNextRepeatMs = nowMs + REPEAT_INTERVAL_MS;
+            toAll.addAll(mRemainingSends.keySet());
+            mRemainingSends.replaceAll((item, left) -> left - 1);
+            mRemainingSends.values().removeIf(left -> left <= 0);
         }
-        mNews.forEach(item -> mToRepeat.put(item, TIMES - 1));
-        mFarNews.forEach(item -> mToRepeat.put(item, TIMES - 1));
+        mNewForAll.forEach(item -> mRemainingSends.put(item, SENDS_PER_ITEM - 1));
+        mNewForOwnDomain.forEach(item -> mRemainingSends.put(item, SENDS_PER_ITEM - 1));
         if (!toAll.isEmpty()) {
-            mTeller.send(nowMs, mPaths.get().broadcastTargets(), List.copyOf(toAll));
+            mSender.send(nowMs, mPaths.get().broadcastTargets(), List.copyOf(toAll));
         }
-        if (!mFarNews.isEmpty()) {
-            mTeller.send(nowMs, mPaths.get().directPeers(), List.copyOf(mFarNews));
+        if (!mNewForOwnDomain.isEmpty()) {
+            mSender.send(nowMs, mPaths.get().directPeers(), List.copyOf(mNewForOwnDomain));
         }
-        mNews.clear();
-        mFarNews.clear();
+        mNewForAll.clear();
+        mNewForOwnDomain.clear();
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/FleetLoad.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/FleetLoad.java
@@ -9,18 +9,19 @@
 /**
  * What the other VMs have in progress at each upstream, as they last told.
  *
- * <p>Invariant: a report counts until the next one of the same VM, or until it is {@link #FRESH_MS}
- * old; the sums are those of all reports that count, kept by difference. Confined to one thread.
+ * <p>Invariant: a report counts until the next one of the same VM, or until it is {@link
+ * #REPORT_TTL_MS} old; the sums are those of all reports that count, kept by difference. Confined
+ * to one thread.
  */
 public final class FleetLoad {
     /**
      * How long a report counts, in milliseconds. Prompts are read within some hundred; a VM that is
      * not heard for longer is cut off or gone, and its share is unknown.
      */
-    static final long FRESH_MS = 1_000;
+    static final long REPORT_TTL_MS = 1_000;
 
     /** No work of other VMs. */
-    private static final Work NONE = new Work(0, 0);
+    private static final Work NO_WORK = new Work(0, 0);
 
     /**
      * Work in progress at one upstream.
@@ -38,58 +39,59 @@
     /**
      * The last report of one VM.
      *
-     * @param atMs when it came, in milliseconds
+     * @param receivedAtMs when it came, in milliseconds
      * @param report what it said
      */
-    private record Told(long atMs, InFlightReport report) {}
+    private record LastReport(long receivedAtMs, InFlightReport report) {}
 
-    private final Map<String, Told> mByVm = new HashMap<>();
-    private final Map<String, Work> mByUpstream = new HashMap<>();
+    private final Map<String, LastReport> mReportsByVm = new HashMap<>();
+    private final Map<String, Work> mWorkByUpstream = new HashMap<>();
 
     /** Takes a VM's report. */
     public void onReport(long nowMs, String vm, InFlightReport report) {
-        Told before = mByVm.put(vm, new Told(nowMs, report));
-        if (before != null) {
-            count(mByUpstream, before.report(), -1);
+        LastReport previous = mReportsByVm.put(vm, new LastReport(nowMs, report));
+        if (previous != null) {
+            accumulate(mWorkByUpstream, previous.report(), -1);
         }
-        count(mByUpstream, report, 1);
+        accumulate(mWorkByUpstream, report, 1);
     }
 
     /** Forgets reports that no longer count. */
     void tick(long nowMs) {
-        Iterator<Told> told = mByVm.values().iterator();
-        while (told.hasNext()) {
-            Told each = told.next();
-            if (nowMs - each.atMs() >= FRESH_MS) {
-                told.remove();
-                count(mByUpstream, each.report(), -1);
+        Iterator<LastReport> reports = mReportsByVm.values().iterator();
+        while (reports.hasNext()) {
+            LastReport report = reports.next();
+            if (nowMs - report.receivedAtMs() >= REPORT_TTL_MS) {
+                reports.remove();
+                accumulate(mWorkByUpstream, report.report(), -1);
             }
         }
     }
 
     /** Returns how many VMs' work is counted. */
-    int vmsHeard() {
-        return mByVm.values().stream().mapToInt(t -> t.report().vms()).sum();
+    int reportingVms() {
+        return mReportsByVm.values().stream().mapToInt(t -> t.report().vms()).sum();
     }
 
     /** Returns whether anything is in progress elsewhere. */
-    boolean any() {
-        return !mByUpstream.isEmpty();
+    boolean hasWork() {
+        return !mWorkByUpstream.isEmpty();
     }
 
     /** Returns the other VMs' work at an upstream. */
     Work at(String upstream) {
-        return mByUpstream.getOrDefault(upstream, NONE);
+        return mWorkByUpstream.getOrDefault(upstream, NO_WORK);
     }
 
     /** Returns all work but one VM's, and this VM's own. */
     InFlightReport sumWithout(String vm, InFlightReport own) {
-        Map<String, Work> sum = new HashMap<>(mByUpstream);
-        Optional<InFlightReport> without = Optional.ofNullable(mByVm.get(vm)).map(Told::report);
-        without.ifPresent(r -> count(sum, r, -1));
-        count(sum, own, 1);
-        int vms = vmsHeard() - without.map(InFlightReport::vms).orElse(0) + own.vms();
-        return report(sum, vms);
+        Map<String, Work> sum = new HashMap<>(mWorkByUpstream);
+        Optional<InFlightReport> excluded =
+                Optional.ofNullable(mReportsByVm.get(vm)).map(LastReport::report);
+        excluded.ifPresent(r -> accumulate(sum, r, -1));
+        accumulate(sum, own, 1);
+        int vms = reportingVms() - excluded.map(InFlightReport::vms).orElse(0) + own.vms();
+        return toReport(sum, vms);
     }
 
     /**
@@ -98,19 +100,19 @@
      */
     InFlightReport sumOf(List<String> vms, InFlightReport own) {
         Map<String, Work> sum = new HashMap<>();
-        count(sum, own, 1);
-        int heard = own.vms();
+        accumulate(sum, own, 1);
+        int reportingVms = own.vms();
         for (String vm : vms) {
-            Told told = mByVm.get(vm);
-            if (told != null && told.report().vms() == 1) {
-                count(sum, told.report(), 1);
-                heard++;
+            LastReport last = mReportsByVm.get(vm);
+            if (last != null && last.report().vms() == 1) {
+                accumulate(sum, last.report(), 1);
+                reportingVms++;
             }
         }
-        return report(sum, heard);
+        return toReport(sum, reportingVms);
     }
 
-    private static InFlightReport report(Map<String, Work> sum, int vms) {
+    private static InFlightReport toReport(Map<String, Work> sum, int vms) {
         return new InFlightReport(
                 sum.entrySet().stream()
                         .map(
@@ -124,10 +126,10 @@
     }
 
     /** Adds a report to sums, or takes it out of them; a sum of nothing is left out. */
-    private static void count(Map<String, Work> sums, InFlightReport report, int sign) {
+    private static void accumulate(Map<String, Work> sums, InFlightReport report, int sign) {
         for (InFlightReport.Item item : report.items()) {
-            Work sum = sums.getOrDefault(item.upstream(), NONE).plus(item, sign);
-            if (sum.equals(NONE)) {
+            Work sum = sums.getOrDefault(item.upstream(), NO_WORK).plus(item, sign);
+            if (sum.equals(NO_WORK)) {
                 sums.remove(item.upstream());
             } else {
                 sums.put(item.upstream(), sum);
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/FormerUpstreams.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/FormerUpstreams.java
@@ -16,16 +16,16 @@
      * How long an entry is remembered, in milliseconds: writes that the platform carries out late
      * come within seconds, and ten minutes of restarts are a few thousand entries at the most.
      */
-    static final long KEPT_MS = 600_000;
+    static final long RETENTION_MS = 600_000;
 
     /**
      * The last word on one upstream.
      *
      * @param entry its last entry
-     * @param leaving whether it was ever seen leaving in this incarnation
-     * @param atMs when it was forgotten, in milliseconds
+     * @param wasLeaving whether it was ever seen leaving in this incarnation
+     * @param forgottenAtMs when it was forgotten, in milliseconds
      */
-    private record Former(UpstreamEntry entry, boolean leaving, long atMs) {}
+    private record Former(UpstreamEntry entry, boolean wasLeaving, long forgottenAtMs) {}
 
     private final Map<String, Former> mById = new HashMap<>();
 
@@ -35,16 +35,16 @@
     }
 
     /** Returns whether an entry is of an incarnation that has ended for good. */
-    boolean ended(UpstreamEntry entry) {
+    boolean hasEnded(UpstreamEntry entry) {
         Former former = mById.get(entry.id());
         if (former == null || entry.startedAfter(former.entry())) {
             return false;
         }
-        return former.leaving() || former.entry().startedAfter(entry);
+        return former.wasLeaving() || former.entry().startedAfter(entry);
     }
 
-    /** Forgets what is older than {@link #KEPT_MS}. */
+    /** Forgets what is older than {@link #RETENTION_MS}. */
     void tick(long nowMs) {
-        mById.values().removeIf(f -> nowMs - f.atMs() >= KEPT_MS);
+        mById.values().removeIf(f -> nowMs - f.forgottenAtMs() >= RETENTION_MS);
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/LoadExchange.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/LoadExchange.java
@@ -11,7 +11,7 @@
 /**
  * Tells the other VMs, again and again, what this one has in progress at the upstreams.
  *
- * <p>Invariants: a VM that is no relay sends at most {@link #MESSAGES_PER_S} messages a second,
+ * <p>Invariants: a VM that is no relay sends at most {@link #MAX_MESSAGES_PER_S} messages a second,
  * however many VMs there are; a relay sends to its own failure domain and to one VM of each other
  * domain; what a VM told is in no sum that comes back to it. Confined to one thread.
  */
@@ -19,10 +19,10 @@
     /**
      * How often others are told directly, in milliseconds: an engine reads 5,000 tokens meanwhile.
      */
-    private static final long PERIOD_MS = 100;
+    private static final long DIRECT_PERIOD_MS = 100;
 
     /** How many messages a VM sends in a second at most: a bound that eight VMs don't reach. */
-    private static final long MESSAGES_PER_S = 80;
+    private static final long MAX_MESSAGES_PER_S = 80;
 
     private static final long SECOND_MS = 1_000;
 
@@ -31,7 +31,7 @@
      * less often: 95 VMs would send 7,600 messages in a second, and hear each other every 1.2 s,
      * where a report counts for one.
      */
-    static final int DIRECT_VMS = (int) (MESSAGES_PER_S * PERIOD_MS / SECOND_MS);
+    static final int MAX_DIRECT_PEERS = (int) (MAX_MESSAGES_PER_S * DIRECT_PERIOD_MS / SECOND_MS);
 
     /**
      * How often relays are told, and tell, in milliseconds. 95 VMs in five domains send 1,000
@@ -39,52 +39,54 @@
      */
     private static final long RELAY_PERIOD_MS = 200;
 
-    private final UpstreamRegistry mBoard;
+    private final UpstreamRegistry mRegistry;
     private final PeerNetwork mPeers;
     private final Supplier<BroadcastPaths> mPaths;
-    private long mNextMs;
-    private boolean mToldNothing = true;
+    private long mNextSendMs;
+    private boolean mLastReportEmpty = true;
 
     /**
      * Makes an exchange.
      *
-     * @param board what is in progress here, and takes in what is elsewhere
+     * @param registry what is in progress here, and takes in what is elsewhere
      * @param peers sends messages to other VMs
      * @param paths gives whom to tell now
      */
-    public LoadExchange(UpstreamRegistry board, PeerNetwork peers, Supplier<BroadcastPaths> paths) {
-        mBoard = board;
+    public LoadExchange(
+            UpstreamRegistry registry, PeerNetwork peers, Supplier<BroadcastPaths> paths) {
+        mRegistry = registry;
         mPeers = peers;
         mPaths = paths;
     }
 
     /** Tells the others where it is time; where nothing is in progress, they are told so once. */
     public void tick(long nowMs) {
-        if (nowMs < mNextMs) {
+        if (nowMs < mNextSendMs) {
             return;
         }
         BroadcastPaths paths = mPaths.get();
-        mNextMs = nowMs + (paths.relay().isPresent() ? RELAY_PERIOD_MS : PERIOD_MS);
-        InFlightReport own = mBoard.inFlight();
-        boolean nothing = own.items().isEmpty() && !(paths.isRelay() && mBoard.fleetLoad().any());
-        if (!nothing || !mToldNothing) {
-            tell(paths, own);
+        mNextSendMs = nowMs + (paths.relay().isPresent() ? RELAY_PERIOD_MS : DIRECT_PERIOD_MS);
+        InFlightReport own = mRegistry.inFlight();
+        boolean empty =
+                own.items().isEmpty() && !(paths.isRelay() && mRegistry.fleetLoad().hasWork());
+        if (!empty || !mLastReportEmpty) {
+            send(paths, own);
         }
-        mToldNothing = nothing;
+        mLastReportEmpty = empty;
     }
 
-    private void tell(BroadcastPaths paths, InFlightReport own) {
+    private void send(BroadcastPaths paths, InFlightReport own) {
         if (paths.isRelay()) {
-            passOn(paths, own);
+            sendAsRelay(paths, own);
             return;
         }
-        List<String> told = paths.relay().map(List::of).orElse(paths.directPeers());
-        told.forEach(n -> mPeers.send(n, own));
+        List<String> recipients = paths.relay().map(List::of).orElse(paths.directPeers());
+        recipients.forEach(n -> mPeers.send(n, own));
     }
 
     /** Tells the own domain of all VMs, and the other relays of the own domain. */
-    private void passOn(BroadcastPaths paths, InFlightReport own) {
-        FleetLoad load = mBoard.fleetLoad();
+    private void sendAsRelay(BroadcastPaths paths, InFlightReport own) {
+        FleetLoad load = mRegistry.fleetLoad();
         for (String vm : paths.directPeers()) {
             mPeers.send(vm, load.sumWithout(vm, own));
         }
@@ -95,6 +97,6 @@
     /** Takes another VM's report. */
     public void onReport(
             long nowMs, VmId from, InFlightReport report, Consumer<PeerMessage> reply) {
-        mBoard.fleetLoad().onReport(nowMs, from.name(), report);
+        mRegistry.fleetLoad().onReport(nowMs, from.name(), report);
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/PrefillUrgency.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/PrefillUrgency.java
@@ -21,11 +21,11 @@
     /** Takes most of an objective by itself; anything before it that is short costs it little. */
     HUGE(Long.MAX_VALUE, 8);
 
-    private final long mMostTokens;
+    private final long mMaxTokens;
     private final int mRank;
 
-    PrefillUrgency(long mostTokens, int rank) {
-        mMostTokens = mostTokens;
+    PrefillUrgency(long maxTokens, int rank) {
+        mMaxTokens = maxTokens;
         mRank = rank;
     }
 
@@ -36,7 +36,7 @@
      */
     public static PrefillUrgency of(long tokensToRead) {
         for (PrefillUrgency each : values()) {
-            if (tokensToRead <= each.mMostTokens) {
+            if (tokensToRead <= each.mMaxTokens) {
                 return each;
             }
         }
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/RateLimit.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/RateLimit.java
@@ -33,7 +33,7 @@
         if (!known() || !other.known()) {
             return known() ? this : other;
         }
-        int compared = Double.compare(rate(), other.rate());
+        int compared = Double.compare(rateOrInfinity(), other.rateOrInfinity());
         if (compared == 0) {
             return new RateLimit(
                     perSecond,
@@ -45,7 +45,7 @@
         return looser.requestSentMs >= stricter.answeredMs ? looser : stricter;
     }
 
-    private double rate() {
+    private double rateOrInfinity() {
         return perSecond.orElse(Double.POSITIVE_INFINITY);
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/RetryWindow.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/RetryWindow.java
@@ -11,11 +11,11 @@
  */
 public final class RetryWindow {
     /** What is kept back for VMs whose count of the fleet differs, as a share. */
-    private static final double SAFETY = 0.85;
+    private static final double SAFETY_FACTOR = 0.85;
 
     private final long mWindowMs;
-    private final LongArrayList mFirst = new LongArrayList();
-    private final LongArrayList mFurther = new LongArrayList();
+    private final LongArrayList mFirstSends = new LongArrayList();
+    private final LongArrayList mRetries = new LongArrayList();
 
     /** Makes an empty window of a length in milliseconds. */
     public RetryWindow(long windowMs) {
@@ -24,8 +24,8 @@
 
     /** Counts a request that is sent for the first time. */
     public void onFirstSend(long nowMs) {
-        drop(mFirst, nowMs);
-        mFirst.addLong(nowMs);
+        dropExpired(mFirstSends, nowMs);
+        mFirstSends.addLong(nowMs);
     }
 
     /**
@@ -38,17 +38,17 @@
      * @return whether it may be sent
      */
     public boolean tryTake(long nowMs, double ratio, double extra, int vms) {
-        drop(mFirst, nowMs);
-        drop(mFurther, nowMs);
-        double allowed = SAFETY * (ratio * mFirst.size() + extra / Math.max(1, vms));
-        if (mFurther.size() + 1 > allowed) {
+        dropExpired(mFirstSends, nowMs);
+        dropExpired(mRetries, nowMs);
+        double allowed = SAFETY_FACTOR * (ratio * mFirstSends.size() + extra / Math.max(1, vms));
+        if (mRetries.size() + 1 > allowed) {
             return false;
         }
-        mFurther.addLong(nowMs);
+        mRetries.addLong(nowMs);
         return true;
     }
 
-    private void drop(LongArrayList times, long nowMs) {
+    private void dropExpired(LongArrayList times, long nowMs) {
         int old = 0;
         while (old < times.size() && times.getLong(old) <= nowMs - mWindowMs) {
             old++;
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/SignalExchange.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/SignalExchange.java
@@ -19,35 +19,35 @@
  * Confined to one thread.
  */
 public final class SignalExchange {
-    private static final String ANSWER = "";
+    private static final String OWN_ANSWER = "";
 
-    private final UpstreamRegistry mBoard;
+    private final UpstreamRegistry mRegistry;
     private final SignalTable mTable;
     private final SignalListener mListener;
-    private final BroadcastQueue<UpstreamIncarnation> mNews;
+    private final BroadcastQueue<UpstreamIncarnation> mBroadcasts;
 
     /** The incarnations whose limit was named to this VM since news were last repeated. */
-    private final Set<UpstreamIncarnation> mLimitsNamed = new LinkedHashSet<>();
+    private final Set<UpstreamIncarnation> mReportedLimits = new LinkedHashSet<>();
 
     /**
      * Makes an exchange.
      *
-     * @param board takes upstreams that leave out of use
+     * @param registry takes upstreams that leave out of use
      * @param table keeps the signals
      * @param peers sends messages to other VMs
      * @param paths gives whom to tell now
      * @param listener hears what is new
      */
     public SignalExchange(
-            UpstreamRegistry board,
+            UpstreamRegistry registry,
             SignalTable table,
             PeerNetwork peers,
             Supplier<BroadcastPaths> paths,
             SignalListener listener) {
-        mBoard = board;
+        mRegistry = registry;
         mTable = table;
         mListener = listener;
-        mNews =
+        mBroadcasts =
                 new BroadcastQueue<>(
                         paths,
                         (nowMs, vms, upstreams) -> {
@@ -72,55 +72,55 @@
         if (!signals.restricts() && !mTable.contains(incarnation)) {
             return;
         }
-        if (learn(nowMs, incarnation, signals, ANSWER)) {
-            mNews.add(incarnation);
+        if (merge(nowMs, incarnation, signals, OWN_ANSWER)) {
+            mBroadcasts.add(incarnation);
         }
         if (signals.rateLimit().hasLimit()) {
-            mLimitsNamed.add(incarnation);
+            mReportedLimits.add(incarnation);
         }
     }
 
     /** Takes what another VM was told. */
     public void onReport(long nowMs, VmId from, SignalReport report, Consumer<PeerMessage> reply) {
-        List<UpstreamIncarnation> learnt = new ArrayList<>();
+        List<UpstreamIncarnation> changed = new ArrayList<>();
         for (SignalReport.Item item : report.items()) {
             if (onItem(nowMs, from, item)) {
-                learnt.add(item.upstream());
+                changed.add(item.upstream());
             }
         }
-        mNews.onReceived(from.name(), learnt);
+        mBroadcasts.onReceived(from.name(), changed);
     }
 
     /** Takes what another VM knows of one upstream; returns whether any of it is new. */
     public boolean onItem(long nowMs, VmId from, SignalReport.Item item) {
-        return learn(nowMs, item.upstream(), item.signals(nowMs), from.name());
+        return merge(nowMs, item.upstream(), item.signals(nowMs), from.name());
     }
 
-    private boolean learn(
-            long nowMs, UpstreamIncarnation upstream, UpstreamSignals signals, String toldBy) {
+    private boolean merge(
+            long nowMs, UpstreamIncarnation upstream, UpstreamSignals signals, String source) {
         UpstreamSignals before = mTable.merge(nowMs, upstream, signals);
         UpstreamSignals after = mTable.get(upstream);
-        boolean leaves = after.leaving() && !before.leaving();
-        if (leaves) {
-            mBoard.markLeaving(upstream);
-            mListener.onLeaving(nowMs, upstream, toldBy);
+        boolean startsLeaving = after.leaving() && !before.leaving();
+        if (startsLeaving) {
+            mRegistry.markLeaving(upstream);
+            mListener.onLeaving(nowMs, upstream, source);
         }
         boolean limitChanged =
                 !after.rateLimit().perSecond().equals(before.rateLimit().perSecond());
         if (limitChanged) {
-            mListener.onRateLimit(nowMs, upstream, after.rateLimit().perSecond(), toldBy);
+            mListener.onRateLimit(nowMs, upstream, after.rateLimit().perSecond(), source);
         }
-        return leaves || limitChanged;
+        return startsLeaving || limitChanged;
     }
 
     /** Tells the other VMs. */
     public void tick(long nowMs) {
         mTable.tick(nowMs);
-        if (mNews.isRepeatDue(nowMs)) {
-            mBoard.leavingByAnswerAlone(nowMs).forEach(mNews::add);
-            mLimitsNamed.forEach(mNews::add);
-            mLimitsNamed.clear();
+        if (mBroadcasts.isRepeatDue(nowMs)) {
+            mRegistry.leavingByAnswerOnly(nowMs).forEach(mBroadcasts::add);
+            mReportedLimits.forEach(mBroadcasts::add);
+            mReportedLimits.clear();
         }
-        mNews.tick(nowMs);
+        mBroadcasts.tick(nowMs);
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/SignalListener.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/SignalListener.java
@@ -13,9 +13,9 @@
      *
      * @param nowMs the present time in milliseconds
      * @param upstream the incarnation that leaves
-     * @param toldBy the VM that told it; empty where an answer to this VM did
+     * @param source the VM that told it; empty where an answer to this VM did
      */
-    void onLeaving(long nowMs, UpstreamIncarnation upstream, String toldBy);
+    void onLeaving(long nowMs, UpstreamIncarnation upstream, String source);
 
     /**
      * An upstream's rate limit has changed.
@@ -23,8 +23,8 @@
      * @param nowMs the present time in milliseconds
      * @param upstream the incarnation
      * @param perSecond requests a second from the whole fleet; empty where it names none any more
-     * @param toldBy the VM that told it; empty where an answer to this VM did
+     * @param source the VM that told it; empty where an answer to this VM did
      */
     void onRateLimit(
-            long nowMs, UpstreamIncarnation upstream, OptionalDouble perSecond, String toldBy);
+            long nowMs, UpstreamIncarnation upstream, OptionalDouble perSecond, String source);
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/SignalReport.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/SignalReport.java
@@ -20,7 +20,7 @@
      * By how much a message may be late, in milliseconds. The receiver takes requests to have been
      * sent that much earlier, so that a message that was late makes no limit obsolete.
      */
-    static final long LATENESS_MS = 200;
+    static final long MAX_MESSAGE_DELAY_MS = 200;
 
     private static final double NO_LIMIT = -1;
     private static final long UNKNOWN = -1;
@@ -65,7 +65,8 @@
             }
             OptionalDouble limit =
                     perSecond < 0 ? OptionalDouble.empty() : OptionalDouble.of(perSecond);
-            return new RateLimit(limit, nowMs - askedAgoMs - LATENESS_MS, nowMs - heardAgoMs);
+            return new RateLimit(
+                    limit, nowMs - askedAgoMs - MAX_MESSAGE_DELAY_MS, nowMs - heardAgoMs);
         }
     }
 
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/SignalTable.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/SignalTable.java
@@ -13,11 +13,11 @@
      * Signals of one incarnation.
      *
      * @param signals what is known
-     * @param limitedFromMs from when on a rate limit has been known without a break, in
+     * @param limitedSinceMs from when on a rate limit has been known without a break, in
      *     milliseconds
-     * @param atMs when they were heard last, in milliseconds
+     * @param updatedAtMs when they were heard last, in milliseconds
      */
-    private record Entry(UpstreamSignals signals, long limitedFromMs, long atMs) {}
+    private record Entry(UpstreamSignals signals, long limitedSinceMs, long updatedAtMs) {}
 
     private final Map<UpstreamIncarnation, Entry> mEntries = new HashMap<>();
 
@@ -40,7 +40,7 @@
     /** Returns for how long this VM has known a rate limit of an upstream, in milliseconds. */
     public long limitKnownForMs(long nowMs, UpstreamIncarnation upstream) {
         Entry entry = mEntries.get(upstream);
-        return entry == null ? 0 : nowMs - entry.limitedFromMs();
+        return entry == null ? 0 : nowMs - entry.limitedSinceMs();
     }
 
     /** Merges signals into what is known, and returns what was known before. */
@@ -48,13 +48,13 @@
         UpstreamSignals before = get(upstream);
         UpstreamSignals after = before.merge(signals);
         boolean limitedBefore = before.rateLimit().hasLimit();
-        long fromMs = limitedBefore ? mEntries.get(upstream).limitedFromMs() : nowMs;
-        mEntries.put(upstream, new Entry(after, fromMs, nowMs));
+        long limitedSinceMs = limitedBefore ? mEntries.get(upstream).limitedSinceMs() : nowMs;
+        mEntries.put(upstream, new Entry(after, limitedSinceMs, nowMs));
         return before;
     }
 
     /** Forgets what is as old as the longest memory of an upstream. */
     void tick(long nowMs) {
-        mEntries.values().removeIf(e -> nowMs - e.atMs() >= FormerUpstreams.KEPT_MS);
+        mEntries.values().removeIf(e -> nowMs - e.updatedAtMs() >= FormerUpstreams.RETENTION_MS);
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/UpstreamIncarnation.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/UpstreamIncarnation.java
@@ -15,10 +15,10 @@
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record UpstreamIncarnation(String upstream, long bornMs) {
     /** The start of an upstream that does not tell it. */
-    private static final long NOT_TOLD_MS = -1;
+    private static final long UNKNOWN_START_MS = -1;
 
     /** Returns the incarnation that an entry is of. */
     static UpstreamIncarnation of(UpstreamEntry entry) {
-        return new UpstreamIncarnation(entry.id(), entry.bornMs().orElse(NOT_TOLD_MS));
+        return new UpstreamIncarnation(entry.id(), entry.bornMs().orElse(UNKNOWN_START_MS));
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/UpstreamInstance.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/UpstreamInstance.java
@@ -15,7 +15,7 @@
  */
 public final class UpstreamInstance {
     /** How fast evidence fades: the weight of one answer after this many milliseconds is 1/e. */
-    private static final double EVIDENCE_MS = 4_000;
+    private static final double DECAY_TIME_CONSTANT_MS = 4_000;
 
     /** The first pause after failures without an answer; doubled for each further one. */
     private static final long FIRST_PAUSE_MS = 500;
@@ -29,14 +29,14 @@
     /**
      * The longest pause that an upstream may ask for: a mistaken one must not take it out for good.
      */
-    private static final long MAX_ASKED_PAUSE_MS = 600_000;
+    private static final long MAX_REQUESTED_PAUSE_MS = 600_000;
 
-    private static final double LATENCY_WEIGHT = 0.2;
+    private static final double LATENCY_SMOOTHING = 0.2;
 
     /** Prompt tokens that an engine reads in a millisecond, about, on the installations at hand. */
-    static final double TOKENS_PER_MS = 50;
+    static final double PREFILL_TOKENS_PER_MS = 50;
 
-    private final Set<IncarnationListener> mInProgress = new LinkedHashSet<>();
+    private final Set<IncarnationListener> mListeners = new LinkedHashSet<>();
     private UpstreamEntry mEntry;
     private UpstreamIncarnation mIncarnation;
     private boolean mLeaving;
@@ -44,10 +44,10 @@
     private long mUnreadTokens;
     private int mFailuresInRow;
     private long mPausedUntilMs = Long.MIN_VALUE;
-    private long mAskedPauseUntilMs;
-    private double mGood;
-    private double mBad;
-    private long mEvidenceAtMs;
+    private long mRequestedPauseUntilMs;
+    private double mSuccesses;
+    private double mFailures;
+    private long mDecayedAtMs;
     private double mLatencyMs;
     private double mDelayMs;
 
@@ -85,7 +85,7 @@
     }
 
     /** Returns whether its entry tells when it started. */
-    boolean tellsIncarnation() {
+    boolean hasIncarnation() {
         return mEntry.bornMs().isPresent();
     }
 
@@ -117,13 +117,13 @@
      * @param pauseMs for how long, in milliseconds
      */
     public void onPauseRequested(long nowMs, long pauseMs) {
-        long untilMs = nowMs + Math.min(pauseMs, MAX_ASKED_PAUSE_MS);
-        mAskedPauseUntilMs = Math.max(mAskedPauseUntilMs, untilMs);
+        long untilMs = nowMs + Math.min(pauseMs, MAX_REQUESTED_PAUSE_MS);
+        mRequestedPauseUntilMs = Math.max(mRequestedPauseUntilMs, untilMs);
     }
 
     /** Returns for how long it still wants nothing from this VM, in milliseconds. */
     long requestedPauseLeftMs(long nowMs) {
-        return Math.max(0, mAskedPauseUntilMs - nowMs);
+        return Math.max(0, mRequestedPauseUntilMs - nowMs);
     }
 
     /** Returns whether it is left alone for a while after failures. */
@@ -133,7 +133,7 @@
 
     /** Returns how many of this VM's requests are in progress there. */
     public int inFlight() {
-        return mInProgress.size();
+        return mListeners.size();
     }
 
     /** Returns the prompt tokens of this VM's requests there that have not begun to answer. */
@@ -148,7 +148,7 @@
      * @param listener hears of the incarnation's end; the same one is given to {@link #onEnded}
      */
     public void onSent(long tokens, IncarnationListener listener) {
-        mInProgress.add(listener);
+        mListeners.add(listener);
         mUnreadTokens += tokens;
     }
 
@@ -159,13 +159,13 @@
 
     /** Counts the end of a request, whatever it was. */
     public void onEnded(IncarnationListener listener) {
-        mInProgress.remove(listener);
+        mListeners.remove(listener);
     }
 
     /** Ends this incarnation: it takes no request any more, and those in progress are lost. */
     void end(long nowMs) {
         mGoneAtMs = nowMs;
-        List.copyOf(mInProgress).forEach(l -> l.onEnded(nowMs));
+        List.copyOf(mListeners).forEach(l -> l.onEnded(nowMs));
     }
 
     /**
@@ -175,11 +175,11 @@
      * @param latencyMs how long it took to its first byte, in milliseconds
      */
     public void onSuccess(long nowMs, double latencyMs) {
-        fade(nowMs);
-        mGood++;
+        decay(nowMs);
+        mSuccesses++;
         mFailuresInRow = 0;
         mPausedUntilMs = Long.MIN_VALUE;
-        mLatencyMs += mLatencyMs == 0 ? latencyMs : LATENCY_WEIGHT * (latencyMs - mLatencyMs);
+        mLatencyMs += mLatencyMs == 0 ? latencyMs : LATENCY_SMOOTHING * (latencyMs - mLatencyMs);
     }
 
     /**
@@ -192,27 +192,27 @@
      */
     public void onFirstPart(long nowMs, double latencyMs, long promptTokens) {
         onSuccess(nowMs, latencyMs);
-        double delayMs = Math.max(0, latencyMs - promptTokens / TOKENS_PER_MS);
-        mDelayMs += LATENCY_WEIGHT * (delayMs - mDelayMs);
+        double delayMs = Math.max(0, latencyMs - promptTokens / PREFILL_TOKENS_PER_MS);
+        mDelayMs += LATENCY_SMOOTHING * (delayMs - mDelayMs);
     }
 
     /** Returns how long requests waited there of late, in milliseconds; fades like all evidence. */
     public double delayMs(long nowMs) {
-        fade(nowMs);
+        decay(nowMs);
         return mDelayMs;
     }
 
     /** Takes an answer that reports a failure as evidence. */
     public void onErrorAnswer(long nowMs) {
-        fade(nowMs);
-        mBad++;
+        decay(nowMs);
+        mFailures++;
         mFailuresInRow = 0;
     }
 
     /** Takes a connection or an answer that did not come about as evidence. */
     public void onNoAnswer(long nowMs) {
-        fade(nowMs);
-        mBad++;
+        decay(nowMs);
+        mFailures++;
         mFailuresInRow++;
         if (mFailuresInRow < FAILURES_BEFORE_PAUSE) {
             return;
@@ -228,8 +228,8 @@
 
     /** Returns the share of recent answers that failed, drawn towards 0 while there are few. */
     public double failureShare(long nowMs) {
-        fade(nowMs);
-        return mBad / (mGood + mBad + 2);
+        decay(nowMs);
+        return mFailures / (mSuccesses + mFailures + 2);
     }
 
     /** Returns the usual time to the first byte in milliseconds; 0 where none was seen. */
@@ -237,11 +237,11 @@
         return mLatencyMs;
     }
 
-    private void fade(long nowMs) {
-        double kept = Math.exp(-(nowMs - mEvidenceAtMs) / EVIDENCE_MS);
-        mGood *= kept;
-        mBad *= kept;
+    private void decay(long nowMs) {
+        double kept = Math.exp(-(nowMs - mDecayedAtMs) / DECAY_TIME_CONSTANT_MS);
+        mSuccesses *= kept;
+        mFailures *= kept;
         mDelayMs *= kept;
-        mEvidenceAtMs = nowMs;
+        mDecayedAtMs = nowMs;
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/UpstreamRegistry.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/UpstreamRegistry.java
@@ -35,22 +35,22 @@
      * By how much this VM's own load stands for that of the other VMs where none of them is heard:
      * callers choose VMs at random, so that loads are alike.
      */
-    private static final double UNSEEN_LOAD = 2.0;
+    private static final double UNREPORTED_LOAD_FACTOR = 2.0;
 
     /** What one running request adds to another's wait at an engine, in milliseconds. */
-    private static final double RUNNING_COST_MS = 0.5;
+    private static final double COST_PER_RUNNING_REQUEST_MS = 0.5;
 
     /**
      * How much more a token counts that is read a second time in the fleet than one that must be
      * read: it delays the requests of all others at its upstream, and is charged for.
      */
-    private static final double READ_AGAIN_WEIGHT = 3.0;
+    private static final double REPEATED_PREFILL_WEIGHT = 3.0;
 
     /** What a certain failure costs in the comparison, in milliseconds: about a repeated wait. */
     private static final double FAILURE_COST_MS = 3_000;
 
     /** Breaks ties between upstreams at random, in milliseconds. */
-    private static final double TIE_MS = 4.0;
+    private static final double MAX_TIE_BREAK_MS = 4.0;
 
     private final Map<String, UpstreamInstance> mById = new HashMap<>();
     private final Map<String, List<UpstreamInstance>> mByService = new HashMap<>();
@@ -105,34 +105,34 @@
      * @return what became of it
      */
     public EntryResult onEntry(long nowMs, UpstreamEntry entry) {
-        UpstreamInstance known = mById.get(entry.id());
-        if (known == null) {
-            if (mFormer.ended(entry)) {
+        UpstreamInstance current = mById.get(entry.id());
+        if (current == null) {
+            if (mFormer.hasEnded(entry)) {
                 return EntryResult.FORMER_INCARNATION;
             }
             add(entry);
             return EntryResult.ADDED;
         }
-        if (known.entry().startedAfter(entry)) {
+        if (current.entry().startedAfter(entry)) {
             return EntryResult.FORMER_INCARNATION;
         }
-        if (!entry.startedAfter(known.entry())) {
-            update(known, entry);
+        if (!entry.startedAfter(current.entry())) {
+            update(current, entry);
             return EntryResult.UPDATED;
         }
-        mByService.get(known.entry().service()).remove(known);
+        mByService.get(current.entry().service()).remove(current);
         add(entry);
-        known.end(nowMs);
+        current.end(nowMs);
         return EntryResult.STARTED_AGAIN;
     }
 
-    private void update(UpstreamInstance known, UpstreamEntry entry) {
-        boolean moves = !known.entry().service().equals(entry.service());
-        if (moves) {
-            mByService.get(known.entry().service()).remove(known);
-            mByService.computeIfAbsent(entry.service(), s -> new ArrayList<>()).add(known);
+    private void update(UpstreamInstance current, UpstreamEntry entry) {
+        boolean serviceChanged = !current.entry().service().equals(entry.service());
+        if (serviceChanged) {
+            mByService.get(current.entry().service()).remove(current);
+            mByService.computeIfAbsent(entry.service(), s -> new ArrayList<>()).add(current);
         }
-        known.update(entry);
+        current.update(entry);
     }
 
     private void add(UpstreamEntry entry) {
@@ -158,22 +158,22 @@
      *     have lapsed which will be back
      */
     public void onRemoved(long nowMs, String id, boolean afterOutage) {
-        UpstreamInstance known = mById.get(id);
-        if (known != null) {
-            known.markGoneAt(afterOutage ? nowMs + MISSING_GRACE_MS : nowMs);
+        UpstreamInstance current = mById.get(id);
+        if (current != null) {
+            current.markGoneAt(afterOutage ? nowMs + MISSING_GRACE_MS : nowMs);
         }
     }
 
     /** Takes an incarnation out of use for new requests, for good, if it is listed. */
     void markLeaving(UpstreamIncarnation upstream) {
-        UpstreamInstance known = mById.get(upstream.upstream());
-        if (known != null && known.incarnation().equals(upstream)) {
-            known.markLeaving();
+        UpstreamInstance current = mById.get(upstream.upstream());
+        if (current != null && current.incarnation().equals(upstream)) {
+            current.markLeaving();
         }
     }
 
     /** Returns the upstreams that leave, and whose entries don't say so. */
-    List<UpstreamIncarnation> leavingByAnswerAlone(long nowMs) {
+    List<UpstreamIncarnation> leavingByAnswerOnly(long nowMs) {
         return mById.values().stream()
                 .filter(i -> i.isLeaving() && !i.entry().leaving() && !i.isGone(nowMs))
                 .map(UpstreamInstance::incarnation)
@@ -197,18 +197,18 @@
     public void tick(long nowMs) {
         mFormer.tick(nowMs);
         mFleetLoad.tick(nowMs);
-        mById.values().removeIf(i -> forget(nowMs, i));
+        mById.values().removeIf(i -> forgetIfGone(nowMs, i));
         for (List<UpstreamInstance> instances : mByService.values()) {
             instances.removeIf(i -> i.isGone(nowMs) && i.inFlight() == 0);
         }
     }
 
-    private boolean forget(long nowMs, UpstreamInstance instance) {
-        boolean over = instance.isGone(nowMs) && instance.inFlight() == 0;
-        if (over) {
+    private boolean forgetIfGone(long nowMs, UpstreamInstance instance) {
+        boolean removable = instance.isGone(nowMs) && instance.inFlight() == 0;
+        if (removable) {
             mFormer.add(nowMs, instance.entry(), instance.isLeaving());
         }
-        return over;
+        return removable;
     }
 
     /**
@@ -216,21 +216,22 @@
      * incarnation, an entry that does not is not an upstream's own; where few do, those few may be
      * another writer's, and take nobody else out of use.
      */
-    private List<UpstreamInstance> usable(long nowMs, String service) {
+    private List<UpstreamInstance> selectable(long nowMs, String service) {
         List<UpstreamInstance> all = mByService.getOrDefault(service, List.of());
-        int telling = 0;
+        int identified = 0;
         for (UpstreamInstance each : all) {
-            telling += each.tellsIncarnation() ? 1 : 0;
+            identified += each.hasIncarnation() ? 1 : 0;
         }
-        boolean mustTell = telling > 0 && 2 * telling >= all.size();
-        List<UpstreamInstance> usable = new ArrayList<>(all.size());
+        boolean requireIncarnation = identified > 0 && 2 * identified >= all.size();
+        List<UpstreamInstance> selectable = new ArrayList<>(all.size());
         for (UpstreamInstance each : all) {
-            boolean may = each.isUsable(nowMs) && (!mustTell || each.tellsIncarnation());
-            if (may && mGate.waitMs(nowMs, each.incarnation()) == 0) {
-                usable.add(each);
+            boolean eligible =
+                    each.isUsable(nowMs) && (!requireIncarnation || each.hasIncarnation());
+            if (eligible && mGate.waitMs(nowMs, each.incarnation()) == 0) {
+                selectable.add(each);
             }
         }
-        return usable;
+        return selectable;
     }
 
     /**
@@ -243,10 +244,11 @@
      */
     public Optional<UpstreamChoice> choose(
             long nowMs, ServiceSpec service, Prompt prompt, Set<String> tried) {
-        List<UpstreamInstance> instances = usable(nowMs, service.name());
-        Optional<UpstreamInstance> home = home(prompt, instances);
-        Optional<UpstreamInstance> best = best(nowMs, service, prompt, tried, home, instances);
-        return best.map(b -> new UpstreamChoice(b, tokensToRead(b, prompt, home)));
+        List<UpstreamInstance> instances = selectable(nowMs, service.name());
+        Optional<UpstreamInstance> cacheHolder = cacheHolder(prompt, instances);
+        Optional<UpstreamInstance> cheapest =
+                cheapest(nowMs, service, prompt, tried, cacheHolder, instances);
+        return cheapest.map(b -> new UpstreamChoice(b, tokensToRead(b, prompt, cacheHolder)));
     }
 
     /**
@@ -258,7 +260,7 @@
      * @return the time in milliseconds from now on; empty where no pause keeps requests from it
      */
     public OptionalLong requestedPauseLeftMs(long nowMs, String service) {
-        return shortest(nowMs, service, i -> i.requestedPauseLeftMs(nowMs));
+        return shortestWait(nowMs, service, i -> i.requestedPauseLeftMs(nowMs));
     }
 
     /**
@@ -270,13 +272,13 @@
      * @return the time in milliseconds from now on; empty where one takes requests now
      */
     public OptionalLong unavailableForMs(long nowMs, String service) {
-        return shortest(
+        return shortestWait(
                 nowMs,
                 service,
                 i -> Math.max(i.requestedPauseLeftMs(nowMs), mGate.waitMs(nowMs, i.incarnation())));
     }
 
-    private OptionalLong shortest(
+    private OptionalLong shortestWait(
             long nowMs, String service, ToLongFunction<UpstreamInstance> waitMs) {
         return mByService.getOrDefault(service, List.of()).stream()
                 .filter(i -> !i.isLeaving() && !i.isGone(nowMs))
@@ -288,16 +290,16 @@
     }
 
     /** Returns the cheapest that is not paused; where all are, the cheapest of them. */
-    private Optional<UpstreamInstance> best(
+    private Optional<UpstreamInstance> cheapest(
             long nowMs,
             ServiceSpec service,
             Prompt prompt,
             Set<String> tried,
-            Optional<UpstreamInstance> home,
+            Optional<UpstreamInstance> cacheHolder,
             List<UpstreamInstance> instances) {
         double lowest = Double.MAX_VALUE;
         boolean lowestPaused = true;
-        UpstreamInstance best = null;
+        UpstreamInstance cheapest = null;
         for (UpstreamInstance each : instances) {
             boolean paused = each.isPaused(nowMs);
             if (tried.contains(each.id()) || (paused && !lowestPaused)) {
@@ -305,35 +307,35 @@
             }
             double cost =
                     service.engine().isPresent()
-                            ? engineCost(nowMs, each, prompt, home)
-                            : plainCost(nowMs, each);
-            boolean firstOpen = lowestPaused && !paused;
-            if (firstOpen || cost < lowest) {
+                            ? engineCost(nowMs, each, prompt, cacheHolder)
+                            : serviceCost(nowMs, each);
+            boolean firstUnpaused = lowestPaused && !paused;
+            if (firstUnpaused || cost < lowest) {
                 lowest = cost;
                 lowestPaused = paused;
-                best = each;
+                cheapest = each;
             }
         }
-        return Optional.ofNullable(best);
+        return Optional.ofNullable(cheapest);
     }
 
     /** Returns where the shared parts of a prompt most likely lie: the same upstream on all VMs. */
-    private static Optional<UpstreamInstance> home(
+    private static Optional<UpstreamInstance> cacheHolder(
             Prompt prompt, List<UpstreamInstance> instances) {
         long key = prompt.sharedHash();
         if (key == 0) {
             return Optional.empty();
         }
         long highest = Long.MIN_VALUE;
-        UpstreamInstance home = null;
+        UpstreamInstance holder = null;
         for (UpstreamInstance each : instances) {
             long rank = mix(key ^ (each.id().hashCode() * 0x9E3779B97F4A7C15L));
             if (rank > highest) {
                 highest = rank;
-                home = each;
+                holder = each;
             }
         }
-        return Optional.ofNullable(home);
+        return Optional.ofNullable(holder);
     }
 
     private static long mix(long value) {
@@ -343,38 +345,41 @@
     }
 
     private double engineCost(
-            long nowMs, UpstreamInstance each, Prompt prompt, Optional<UpstreamInstance> home) {
-        boolean cached = home.isPresent() && home.get() == each;
+            long nowMs,
+            UpstreamInstance each,
+            Prompt prompt,
+            Optional<UpstreamInstance> cacheHolder) {
+        boolean cached = cacheHolder.isPresent() && cacheHolder.get() == each;
         long own = prompt.promptTokens() - prompt.sharedTokens();
-        double toRead = own + (cached ? 0 : READ_AGAIN_WEIGHT * prompt.sharedTokens());
+        double toRead = own + (cached ? 0 : REPEATED_PREFILL_WEIGHT * prompt.sharedTokens());
         FleetLoad.Work others = mFleetLoad.at(each.id());
         double ownWeight = ownWeight();
         double unread = ownWeight * each.unreadTokens() + others.unreadTokens();
         double requests = ownWeight * each.inFlight() + others.requests();
-        return (toRead + unread) / UpstreamInstance.TOKENS_PER_MS
-                + RUNNING_COST_MS * requests
+        return (toRead + unread) / UpstreamInstance.PREFILL_TOKENS_PER_MS
+                + COST_PER_RUNNING_REQUEST_MS * requests
                 + each.delayMs(nowMs)
-                + common(nowMs, each);
+                + commonCost(nowMs, each);
     }
 
     /** Returns by how much the own load is multiplied, for the VMs that are not heard. */
     private double ownWeight() {
         int others = Math.max(1, mVms.getAsInt() - 1);
-        double unheard = Math.max(0, 1 - (double) mFleetLoad.vmsHeard() / others);
-        return 1 + unheard * (UNSEEN_LOAD - 1);
+        double unreportedShare = Math.max(0, 1 - (double) mFleetLoad.reportingVms() / others);
+        return 1 + unreportedShare * (UNREPORTED_LOAD_FACTOR - 1);
     }
 
     private static long tokensToRead(
-            UpstreamInstance each, Prompt prompt, Optional<UpstreamInstance> home) {
-        boolean cached = home.isPresent() && home.get() == each;
+            UpstreamInstance each, Prompt prompt, Optional<UpstreamInstance> cacheHolder) {
+        boolean cached = cacheHolder.isPresent() && cacheHolder.get() == each;
         return prompt.promptTokens() - (cached ? prompt.sharedTokens() : 0);
     }
 
-    private double plainCost(long nowMs, UpstreamInstance each) {
-        return (each.inFlight() + 0.5) * Math.max(1, each.latencyMs()) + common(nowMs, each);
+    private double serviceCost(long nowMs, UpstreamInstance each) {
+        return (each.inFlight() + 0.5) * Math.max(1, each.latencyMs()) + commonCost(nowMs, each);
     }
 
-    private double common(long nowMs, UpstreamInstance each) {
-        return each.failureShare(nowMs) * FAILURE_COST_MS + mRandom.nextDouble() * TIE_MS;
+    private double commonCost(long nowMs, UpstreamInstance each) {
+        return each.failureShare(nowMs) * FAILURE_COST_MS + mRandom.nextDouble() * MAX_TIE_BREAK_MS;
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/upstream/IncarnationTracker.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/upstream/IncarnationTracker.java
@@ -15,18 +15,18 @@
     private static final long NONE = -1;
 
     private long mIncarnation;
-    private long mEndedUpTo = NONE;
-    private long mListed = NONE;
+    private long mLastEnded = NONE;
+    private long mLastListed = NONE;
     private long mLiveSinceMs;
-    private Optional<Evidence> mEvidence = Optional.empty();
+    private Optional<Evidence> mEndEvidence = Optional.empty();
 
     IncarnationTracker(long nowMs) {
         mLiveSinceMs = nowMs;
     }
 
     /** Returns whether this life may get new work. */
-    boolean live() {
-        return mIncarnation > mEndedUpTo;
+    boolean isLive() {
+        return mIncarnation > mLastEnded;
     }
 
     /** Returns the greatest incarnation that was heard of. */
@@ -41,7 +41,7 @@
 
     /** Returns what ended the last life that ended; empty where none did. */
     Optional<Evidence> endEvidence() {
-        return mEvidence;
+        return mEndEvidence;
     }
 
     /**
@@ -49,7 +49,7 @@
      *
      * @return whether it is the newest life; news of an earlier one is to be ignored
      */
-    boolean seen(long nowMs, long incarnation) {
+    boolean onSeen(long nowMs, long incarnation) {
         if (incarnation < mIncarnation) {
             return false;
         }
@@ -61,27 +61,27 @@
     }
 
     /** Ends a life and all earlier ones. Returns whether the present life ended just now. */
-    boolean ended(long nowMs, long incarnation, Evidence evidence) {
-        boolean wasLive = live();
-        seen(nowMs, incarnation);
-        if (incarnation > mEndedUpTo) {
-            mEndedUpTo = incarnation;
-            mEvidence = Optional.of(evidence);
+    boolean onEnded(long nowMs, long incarnation, Evidence evidence) {
+        boolean wasLive = isLive();
+        onSeen(nowMs, incarnation);
+        if (incarnation > mLastEnded) {
+            mLastEnded = incarnation;
+            mEndEvidence = Optional.of(evidence);
         }
-        return wasLive && !live();
+        return wasLive && !isLive();
     }
 
     /** Notes that a list newer than all before shows a life. */
-    void listed(long nowMs, long incarnation) {
-        mListed = Math.max(mListed, incarnation);
-        seen(nowMs, incarnation);
+    void onListed(long nowMs, long incarnation) {
+        mLastListed = Math.max(mLastListed, incarnation);
+        onSeen(nowMs, incarnation);
     }
 
     /**
      * Notes that a list newer than all before does not show the upstream: the life that an earlier
      * list showed has ended; one that no list ever showed may be too new for it.
      */
-    boolean notListed(long nowMs) {
-        return mListed != NONE && ended(nowMs, mListed, Evidence.LIST);
+    boolean onNotListed(long nowMs) {
+        return mLastListed != NONE && onEnded(nowMs, mLastListed, Evidence.LIST);
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/upstream/LoadEstimate.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/upstream/LoadEstimate.java
@@ -10,25 +10,25 @@
  * report ages. Guarded by the table's lock.
  */
 public final class LoadEstimate {
-    private static final int HISTORY = 128;
-    private static final double AGE_HALVING_MS = 1_000;
+    private static final int HISTORY_SIZE = 128;
+    private static final double REPORT_HALF_WEIGHT_AGE_MS = 1_000;
     private static final double SMOOTHING = 0.2;
-    private static final double MIN_REPORT_SILENCE_MS = 1_000;
-    private static final double REPORT_SILENCE_RATIO = 3;
+    private static final double MIN_REPORT_GAP_MS = 1_000;
+    private static final double REPORT_GAP_RATIO = 3;
 
-    private final long[] mChangeMs = new long[HISTORY];
-    private final int[] mChangeInFlight = new int[HISTORY];
+    private final long[] mChangeMs = new long[HISTORY_SIZE];
+    private final int[] mChangeInFlight = new int[HISTORY_SIZE];
     private int mChanges;
     private int mInFlight;
-    private int mAwaitingFirst;
+    private int mAwaitingFirstToken;
     private long mReportedAtMs = Long.MIN_VALUE;
-    private int mReported;
-    private int mOthers;
-    private double mUnitMs;
+    private int mReportedLoad;
+    private int mOthersLoad;
+    private double mMsPerRequest;
     private double mFirstTokenMs;
     private double mGapMs;
-    private double mReportEveryMs;
-    private long mReportCameAtMs = Long.MIN_VALUE;
+    private double mReportIntervalMs;
+    private long mReportReceivedAtMs = Long.MIN_VALUE;
     private long mLastProgressMs = Long.MIN_VALUE;
     private long mAwaitingSinceMs = Long.MAX_VALUE;
 
@@ -38,13 +38,13 @@
     }
 
     /** Returns this VM's own requests there that have not had their first token. */
-    public int awaitingFirst() {
-        return mAwaitingFirst;
+    public int awaitingFirstToken() {
+        return mAwaitingFirstToken;
     }
 
     /** Returns running and waiting requests as last reported, however old; 0 without a report. */
     public int reported() {
-        return mReported;
+        return mReportedLoad;
     }
 
     /** Returns whether any report arrived. */
@@ -53,8 +53,8 @@
     }
 
     /** Returns the load by others when the last report was made. */
-    public int others() {
-        return mOthers;
+    public int othersLoad() {
+        return mOthersLoad;
     }
 
     /** Returns how much the last report counts now, from 1 (fresh) towards 0 (old). */
@@ -62,12 +62,12 @@
         if (!hasReport()) {
             return 0;
         }
-        return 1 / (1 + Math.max(0, nowMs - mReportedAtMs) / AGE_HALVING_MS);
+        return 1 / (1 + Math.max(0, nowMs - mReportedAtMs) / REPORT_HALF_WEIGHT_AGE_MS);
     }
 
     /** Returns the smoothed time to first token per request in progress; 0 before the first. */
-    public double unitMs() {
-        return mUnitMs;
+    public double msPerRequest() {
+        return mMsPerRequest;
     }
 
     /** Returns the smoothed time to first token in milliseconds; 0 before the first. */
@@ -80,7 +80,7 @@
      * milliseconds; 0 where none waits.
      */
     public long silentMs(long nowMs) {
-        if (mAwaitingFirst == 0) {
+        if (mAwaitingFirstToken == 0) {
             return 0;
         }
         return Math.max(0, nowMs - Math.max(mAwaitingSinceMs, mLastProgressMs));
@@ -104,25 +104,25 @@
      * unreachable or frozen.
      */
     public boolean reportsStopped(long nowMs) {
-        return mReportEveryMs > 0
-                && nowMs - mReportCameAtMs
-                        > Math.max(MIN_REPORT_SILENCE_MS, REPORT_SILENCE_RATIO * mReportEveryMs);
+        return mReportIntervalMs > 0
+                && nowMs - mReportReceivedAtMs
+                        > Math.max(MIN_REPORT_GAP_MS, REPORT_GAP_RATIO * mReportIntervalMs);
     }
 
     /** Learns that an answer goes on, and the longest gap between its parts of late. */
-    void progress(long nowMs, long gapMs) {
+    void onProgress(long nowMs, long longestGapMs) {
         mLastProgressMs = Math.max(mLastProgressMs, nowMs);
-        mGapMs = gapMs > 0 ? smooth(mGapMs, (double) gapMs) : mGapMs;
+        mGapMs = longestGapMs > 0 ? smooth(mGapMs, (double) longestGapMs) : mGapMs;
     }
 
     /** Counts a request that was chosen to go there. */
-    void started(long nowMs) {
+    void onStarted(long nowMs) {
         mInFlight++;
-        mAwaitingFirst++;
-        if (mAwaitingFirst == 1) {
+        mAwaitingFirstToken++;
+        if (mAwaitingFirstToken == 1) {
             mAwaitingSinceMs = nowMs;
         }
-        remember(nowMs);
+        recordInFlight(nowMs);
     }
 
     /**
@@ -130,74 +130,74 @@
      *
      * @param loadAtStart the estimated load when the request was sent, itself not counted
      */
-    void firstToken(long nowMs, double waitedMs, double loadAtStart) {
-        mAwaitingFirst--;
+    void onFirstToken(long nowMs, double waitedMs, double loadAtStart) {
+        mAwaitingFirstToken--;
         mLastProgressMs = nowMs;
         mFirstTokenMs = smooth(mFirstTokenMs, waitedMs);
-        mUnitMs = smooth(mUnitMs, waitedMs / (loadAtStart + 1));
+        mMsPerRequest = smooth(mMsPerRequest, waitedMs / (loadAtStart + 1));
     }
 
     /** Counts a request that ended. */
-    void ended(long nowMs, boolean awaitedFirst, boolean progress) {
-        if (awaitedFirst) {
-            mAwaitingFirst--;
+    void onEnded(long nowMs, boolean awaitedFirstToken, boolean progress) {
+        if (awaitedFirstToken) {
+            mAwaitingFirstToken--;
         }
         if (progress) {
             mLastProgressMs = nowMs;
         }
         mInFlight--;
-        remember(nowMs);
+        recordInFlight(nowMs);
     }
 
     /** Takes a report; one older than the last is ignored. */
     void reported(long nowMs, LoadReport report) {
-        if (mReportCameAtMs != Long.MIN_VALUE && nowMs > mReportCameAtMs) {
-            mReportEveryMs = smooth(mReportEveryMs, (double) (nowMs - mReportCameAtMs));
+        if (mReportReceivedAtMs != Long.MIN_VALUE && nowMs > mReportReceivedAtMs) {
+            mReportIntervalMs = smooth(mReportIntervalMs, (double) (nowMs - mReportReceivedAtMs));
         }
-        mReportCameAtMs = nowMs;
+        mReportReceivedAtMs = nowMs;
         if (report.reportedAtMs() < mReportedAtMs) {
             return;
         }
         mReportedAtMs = report.reportedAtMs();
-        mReported = report.running() + report.waiting();
-        mOthers = Math.max(0, mReported - inFlightAt(report.reportedAtMs()));
+        mReportedLoad = report.running() + report.waiting();
+        mOthersLoad = Math.max(0, mReportedLoad - inFlightAt(report.reportedAtMs()));
     }
 
     /** Forgets reports and latencies, since another life began. */
-    void restart() {
+    void reset() {
         mReportedAtMs = Long.MIN_VALUE;
-        mReportCameAtMs = Long.MIN_VALUE;
-        mReportEveryMs = 0;
-        mReported = 0;
-        mOthers = 0;
-        forgetLatency();
+        mReportReceivedAtMs = Long.MIN_VALUE;
+        mReportIntervalMs = 0;
+        mReportedLoad = 0;
+        mOthersLoad = 0;
+        resetLatency();
     }
 
     /** Forgets latencies, so that an upstream that was ejected for them is judged anew. */
-    void forgetLatency() {
-        mUnitMs = 0;
+    void resetLatency() {
+        mMsPerRequest = 0;
         mFirstTokenMs = 0;
         mGapMs = 0;
     }
 
-    private static double smooth(double before, double sample) {
-        return before == 0 ? sample : before + SMOOTHING * (sample - before);
+    private static double smooth(double average, double sample) {
+        return average == 0 ? sample : average + SMOOTHING * (sample - average);
     }
 
-    private void remember(long nowMs) {
-        int slot = mChanges % HISTORY;
+    private void recordInFlight(long nowMs) {
+        int slot = mChanges % HISTORY_SIZE;
         mChangeMs[slot] = nowMs;
         mChangeInFlight[slot] = mInFlight;
         mChanges++;
     }
 
     private int inFlightAt(long timeMs) {
-        int oldest = Math.max(0, mChanges - HISTORY);
+        int oldest = Math.max(0, mChanges - HISTORY_SIZE);
         for (int i = mChanges - 1; i >= oldest; i--) {
-            if (mChangeMs[i % HISTORY] <= timeMs) {
-                return mChangeInFlight[i % HISTORY];
+            if (mChangeMs[i % HISTORY_SIZE] <= timeMs) {
+                return mChangeInFlight[i % HISTORY_SIZE];
             }
         }
-        return oldest == 0 ? 0 : mChangeInFlight[oldest % HISTORY];
+        return oldest == 0 ? 0 : mChangeInFlight[oldest % HISTORY_SIZE];
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/upstream/OutlierDetector.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/upstream/OutlierDetector.java
@@ -15,10 +15,10 @@
     /** The largest share of a group's live members that is ejected at once. */
     public static final double MAX_EJECTED_SHARE = 0.5;
 
-    private static final int MAX_UNREACHABLE = 2;
+    private static final int MAX_CONSECUTIVE_UNREACHABLE = 2;
     private static final int MAX_CONSECUTIVE_FAILURES = 4;
-    private static final int MIN_SEEN = 10;
-    private static final double MAX_FAILED_SHARE = 0.4;
+    private static final int MIN_OUTCOMES = 10;
+    private static final double MAX_FAILURE_SHARE = 0.4;
     private static final double MAX_LATENCY_RATIO = 6;
     private static final double MIN_LATENCY_EXCESS_MS = 500;
 
@@ -53,17 +53,18 @@
                         && ownMs > othersMs + MIN_LATENCY_EXCESS_MS;
         if (outlier && mayEject(nowMs, group)) {
             upstream.health().eject(nowMs);
-            upstream.load().forgetLatency();
+            upstream.load().resetLatency();
         }
     }
 
     private static boolean failsTooOften(long nowMs, UpstreamHealth health) {
-        if (health.consecutiveUnreachable() >= MAX_UNREACHABLE
+        if (health.consecutiveUnreachable() >= MAX_CONSECUTIVE_UNREACHABLE
                 || health.consecutiveFailures() >= MAX_CONSECUTIVE_FAILURES) {
             return true;
         }
-        int seen = health.seen(nowMs);
-        return seen >= MIN_SEEN && health.failed(nowMs) >= MAX_FAILED_SHARE * seen;
+        int outcomes = health.recentOutcomes(nowMs);
+        return outcomes >= MIN_OUTCOMES
+                && health.recentFailures(nowMs) >= MAX_FAILURE_SHARE * outcomes;
     }
 
     private static boolean mayEject(long nowMs, UpstreamGroup group) {
@@ -71,7 +72,7 @@
         int ejected = 0;
         for (int i = 0; i < group.size(); i++) {
             UpstreamState member = group.member(i);
-            if (member.live()) {
+            if (member.isLive()) {
                 live++;
                 ejected += member.health().state(nowMs) == State.HEALTHY ? 0 : 1;
             }
--- a/coordination/src/main/java/org/hornbeampass/coordination/upstream/PrefixCacheEstimate.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/upstream/PrefixCacheEstimate.java
@@ -14,16 +14,16 @@
  * by the table's lock.
  */
 final class PrefixCacheEstimate {
-    private static final long UNKNOWN = -1;
+    private static final long UNKNOWN_SEQUENCE = -1;
 
     private final LongHashSet mDigests = new LongHashSet();
-    private final long[] mOrder;
-    private int mNext;
-    private long mNextSequence = UNKNOWN;
+    private final long[] mInsertionOrder;
+    private int mNextSlot;
+    private long mNextSequence = UNKNOWN_SEQUENCE;
     private long mGaps;
 
     PrefixCacheEstimate(int maxBlocks) {
-        mOrder = new long[maxBlocks];
+        mInsertionOrder = new long[maxBlocks];
     }
 
     /** Returns how many leading blocks of a prompt are believed to be cached. */
@@ -45,7 +45,7 @@
     }
 
     /** Believes the whole of a prompt to be cached, since a request of this VM just ran there. */
-    void ran(PrefixDigests prefix) {
+    void onServed(PrefixDigests prefix) {
         for (int i = prefix.size() - 1; i >= 0; i--) {
             add(prefix.at(i));
         }
@@ -54,12 +54,12 @@
     /** Applies events; those before the next expected number are repeats and are skipped. */
     void apply(CacheEvents batch) {
         long sequence = batch.firstSequence();
-        if (mNextSequence != UNKNOWN && sequence > mNextSequence) {
+        if (mNextSequence != UNKNOWN_SEQUENCE && sequence > mNextSequence) {
             mGaps++;
             clear();
         }
         for (CacheEvent event : batch.events()) {
-            if (mNextSequence == UNKNOWN || sequence >= mNextSequence) {
+            if (mNextSequence == UNKNOWN_SEQUENCE || sequence >= mNextSequence) {
                 apply(event);
             }
             sequence++;
@@ -68,9 +68,9 @@
     }
 
     /** Drops all belief and the place in the events, since another life began. */
-    void restart() {
+    void reset() {
         clear();
-        mNextSequence = UNKNOWN;
+        mNextSequence = UNKNOWN_SEQUENCE;
     }
 
     /** Returns how many gaps were met. */
@@ -92,10 +92,10 @@
         if (!mDigests.add(digest)) {
             return;
         }
-        mDigests.remove(mOrder[mNext]);
+        mDigests.remove(mInsertionOrder[mNextSlot]);
         mDigests.add(digest);
-        mOrder[mNext] = digest;
-        mNext = (mNext + 1) % mOrder.length;
+        mInsertionOrder[mNextSlot] = digest;
+        mNextSlot = (mNextSlot + 1) % mInsertionOrder.length;
     }
 
     private void clear() {
--- a/coordination/src/main/java/org/hornbeampass/coordination/upstream/Rendezvous.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/upstream/Rendezvous.java
@@ -21,8 +21,8 @@
     }
 
     /** Returns the score of a pair of hashes; the greatest score wins. */
-    public static long score(long chooser, long thing) {
-        long mixed = chooser * 0x9E3779B97F4A7C15L ^ thing;
+    public static long score(long chooser, long candidate) {
+        long mixed = chooser * 0x9E3779B97F4A7C15L ^ candidate;
         mixed = (mixed ^ (mixed >>> 32)) * 0xD6E8FEB86659FD93L;
         mixed = (mixed ^ (mixed >>> 32)) * 0xD6E8FEB86659FD93L;
         return mixed ^ (mixed >>> 32);
--- a/coordination/src/main/java/org/hornbeampass/coordination/upstream/RoutingSettings.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/upstream/RoutingSettings.java
@@ -11,7 +11,7 @@
  */
 public record RoutingSettings(int subsetSize, int maxCachedBlocks, boolean adaptiveLimits) {
     private static final int DEFAULT_SUBSET_SIZE = 64;
-    private static final int DEFAULT_BELIEVED_BLOCKS = 2_048;
+    private static final int DEFAULT_MAX_CACHED_BLOCKS = 2_048;
 
     /** Checks the bounds. */
     public RoutingSettings {
@@ -22,6 +22,6 @@
 
     /** Returns the settings that hold where none are given. */
     public static RoutingSettings defaults() {
-        return new RoutingSettings(DEFAULT_SUBSET_SIZE, DEFAULT_BELIEVED_BLOCKS, true);
+        return new RoutingSettings(DEFAULT_SUBSET_SIZE, DEFAULT_MAX_CACHED_BLOCKS, true);
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/upstream/UpstreamGroup.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/upstream/UpstreamGroup.java
@@ -14,7 +14,7 @@
  * guarded by the table's lock.
  */
 public final class UpstreamGroup {
-    private static final long MEAN_AGE_MS = 50;
+    private static final long MAX_MEAN_AGE_MS = 50;
 
     private final UpstreamState[] mMembers;
     private final long[] mHashes;
@@ -70,7 +70,7 @@
     /**
      * Returns the member that ranks first for a key by rendezvous hashing; there is one at least.
      */
-    public int best(long key) {
+    public int firstRanked(long key) {
         int best = 0;
         long bestScore = Long.MIN_VALUE;
         for (int i = 0; i < mHashes.length; i++) {
@@ -84,11 +84,11 @@
     }
 
     /**
-     * Returns the members' mean time to first token, at most {@value #MEAN_AGE_MS} ms old; 0 where
-     * none is known.
+     * Returns the members' mean time to first token, at most {@value #MAX_MEAN_AGE_MS} ms old; 0
+     * where none is known.
      */
     public double meanFirstTokenMs(long nowMs) {
-        if (mMeanAtMs == Long.MIN_VALUE || nowMs - mMeanAtMs >= MEAN_AGE_MS) {
+        if (mMeanAtMs == Long.MIN_VALUE || nowMs - mMeanAtMs >= MAX_MEAN_AGE_MS) {
             mMeanFirstTokenMs = meanFirstTokenMs(Optional.empty());
             mMeanAtMs = nowMs;
         }
@@ -104,7 +104,7 @@
      * Returns whether at most half of the members' reports have stopped: where more have, the news
      * is broken rather than the upstreams.
      */
-    public boolean newsHolds(long nowMs) {
+    public boolean areReportsReliable(long nowMs) {
         int stopped = 0;
         for (UpstreamState member : mMembers) {
             stopped += member.load().reportsStopped(nowMs) ? 1 : 0;
@@ -125,12 +125,12 @@
     }
 
     private double meanFirstTokenMs(Optional<UpstreamState> except) {
-        UpstreamState left = except.orElse(null);
+        UpstreamState excluded = except.orElse(null);
         double sum = 0;
         int known = 0;
         for (UpstreamState member : mMembers) {
             double ms = member.load().firstTokenMs();
-            if (member != left && ms > 0) {
+            if (member != excluded && ms > 0) {
                 sum += ms;
                 known++;
             }
--- a/coordination/src/main/java/org/hornbeampass/coordination/upstream/UpstreamHealth.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/upstream/UpstreamHealth.java
@@ -33,11 +33,11 @@
     private int mEjections;
     private long mEjectedUntilMs;
     private long mRecoveredAtMs = Long.MIN_VALUE;
-    private long mWindowFromMs;
-    private int mSeen;
-    private int mFailed;
-    private int mLastSeen;
-    private int mLastFailed;
+    private long mWindowStartMs;
+    private int mOutcomes;
+    private int mFailures;
+    private int mPreviousOutcomes;
+    private int mPreviousFailures;
     private double mErrorShare;
 
     /** Returns the state; an ejection whose time is up turns into probing. */
@@ -76,24 +76,24 @@
     }
 
     /** Returns outcomes seen in the last {@value #WINDOW_MS} to twice as many milliseconds. */
-    int seen(long nowMs) {
-        roll(nowMs);
-        return mSeen + mLastSeen;
+    int recentOutcomes(long nowMs) {
+        rotateWindow(nowMs);
+        return mOutcomes + mPreviousOutcomes;
     }
 
     /** Returns failures in the same time. */
-    int failed(long nowMs) {
-        roll(nowMs);
-        return mFailed + mLastFailed;
+    int recentFailures(long nowMs) {
+        rotateWindow(nowMs);
+        return mFailures + mPreviousFailures;
     }
 
     /** Counts an outcome. */
     void record(long nowMs, AttemptOutcome outcome) {
-        roll(nowMs);
+        rotateWindow(nowMs);
         if (outcome.upstreamFailed()) {
-            failure(outcome);
+            onFailure(outcome);
         } else if (outcome.showsHealth()) {
-            success(nowMs);
+            onSuccess(nowMs);
         }
     }
 
@@ -103,14 +103,14 @@
         mEjections++;
         mState = State.EJECTED;
         mEjectedUntilMs = nowMs + (FIRST_EJECTION_MS << doublings);
-        mSeen = 0;
-        mFailed = 0;
-        mLastSeen = 0;
-        mLastFailed = 0;
+        mOutcomes = 0;
+        mFailures = 0;
+        mPreviousOutcomes = 0;
+        mPreviousFailures = 0;
     }
 
     /** Forgets all failures, since another life began. */
-    void restart(long nowMs) {
+    void reset(long nowMs) {
         mState = State.HEALTHY;
         mEjections = 0;
         mConsecutiveFailures = 0;
@@ -119,17 +119,17 @@
         mRecoveredAtMs = nowMs;
     }
 
-    private void failure(AttemptOutcome outcome) {
-        mSeen++;
-        mFailed++;
+    private void onFailure(AttemptOutcome outcome) {
+        mOutcomes++;
+        mFailures++;
         mConsecutiveFailures++;
         boolean unreachable = outcome.blame() == AttemptOutcome.Blame.UNREACHABLE;
         mConsecutiveUnreachable = unreachable ? mConsecutiveUnreachable + 1 : 0;
         mErrorShare += ERROR_SMOOTHING * (1 - mErrorShare);
     }
 
-    private void success(long nowMs) {
-        mSeen++;
+    private void onSuccess(long nowMs) {
+        mOutcomes++;
         mConsecutiveFailures = 0;
         mConsecutiveUnreachable = 0;
         mErrorShare -= ERROR_SMOOTHING * mErrorShare;
@@ -145,15 +145,15 @@
         }
     }
 
-    private void roll(long nowMs) {
-        if (nowMs - mWindowFromMs < WINDOW_MS) {
+    private void rotateWindow(long nowMs) {
+        if (nowMs - mWindowStartMs < WINDOW_MS) {
             return;
         }
-        boolean adjoining = nowMs - mWindowFromMs < 2 * WINDOW_MS;
-        mLastSeen = adjoining ? mSeen : 0;
-        mLastFailed = adjoining ? mFailed : 0;
-        mSeen = 0;
-        mFailed = 0;
-        mWindowFromMs = nowMs;
+        boolean adjacent = nowMs - mWindowStartMs < 2 * WINDOW_MS;
+        mPreviousOutcomes = adjacent ? mOutcomes : 0;
+        mPreviousFailures = adjacent ? mFailures : 0;
+        mOutcomes = 0;
+        mFailures = 0;
+        mWindowStartMs = nowMs;
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/upstream/UpstreamState.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/upstream/UpstreamState.java
@@ -16,12 +16,12 @@
  */
 public final class UpstreamState {
     private static final double SLOW_START_MS = 10_000;
-    private static final double FIRST_WEIGHT = 0.1;
+    private static final double INITIAL_WEIGHT = 0.1;
 
-    private final IncarnationTracker mLife;
+    private final IncarnationTracker mIncarnations;
     private final LoadEstimate mLoad = new LoadEstimate();
     private final UpstreamHealth mHealth = new UpstreamHealth();
-    private final PrefixCacheEstimate mPrefixes;
+    private final PrefixCacheEstimate mCachedPrefixes;
     private final ConcurrencyLimit mLimit;
     private UpstreamSpec mSpec;
     private Distance mDistance;
@@ -30,8 +30,8 @@
     UpstreamState(long nowMs, UpstreamSpec spec, Distance distance, RoutingSettings settings) {
         mSpec = spec;
         mDistance = distance;
-        mLife = new IncarnationTracker(nowMs);
-        mPrefixes = new PrefixCacheEstimate(settings.maxCachedBlocks());
+        mIncarnations = new IncarnationTracker(nowMs);
+        mCachedPrefixes = new PrefixCacheEstimate(settings.maxCachedBlocks());
         mLimit = new ConcurrencyLimit(spec.maxConcurrent(), settings.adaptiveLimits());
     }
 
@@ -51,13 +51,13 @@
     }
 
     /** Returns whether it may get new work as far as its life goes. */
-    public boolean live() {
-        return mLife.live();
+    public boolean isLive() {
+        return mIncarnations.isLive();
     }
 
     /** Returns the newest incarnation that was heard of. */
     public long incarnation() {
-        return mLife.incarnation();
+        return mIncarnations.incarnation();
     }
 
     /** Returns its load. */
@@ -82,7 +82,7 @@
 
     /** Returns how many leading blocks of a prompt are believed to be cached there. */
     public int matchingBlocks(PrefixDigests prefix) {
-        return mPrefixes.matchingBlocks(prefix);
+        return mCachedPrefixes.matchingBlocks(prefix);
     }
 
     /**
@@ -104,39 +104,40 @@
 
     /** Returns the share of full work that a new or recovered upstream may get, from 0.1 to 1. */
     public double slowStartWeight(long nowMs) {
-        long sinceMs = Math.max(mLife.liveSinceMs(), mHealth.recoveredAtMs());
-        return Math.min(1, FIRST_WEIGHT + Math.max(0, nowMs - sinceMs) / SLOW_START_MS);
+        long sinceMs = Math.max(mIncarnations.liveSinceMs(), mHealth.recoveredAtMs());
+        return Math.min(1, INITIAL_WEIGHT + Math.max(0, nowMs - sinceMs) / SLOW_START_MS);
     }
 
     /** Counts a request that was chosen to go there. */
-    public void started(long nowMs) {
-        mLoad.started(nowMs);
+    public void onStarted(long nowMs) {
+        mLoad.onStarted(nowMs);
     }
 
     /** Learns from a first token, after which the prompt is believed to be cached. */
-    public void firstToken(long nowMs, long startedAtMs, double loadAtStart, PrefixDigests prefix) {
+    public void onFirstToken(
+            long nowMs, long startedAtMs, double loadAtStart, PrefixDigests prefix) {
         double waitedMs = (double) (nowMs - startedAtMs);
         mLimit.firstToken(waitedMs, mLoad.inFlight());
-        mLoad.firstToken(nowMs, waitedMs, loadAtStart);
-        mPrefixes.ran(prefix);
+        mLoad.onFirstToken(nowMs, waitedMs, loadAtStart);
+        mCachedPrefixes.onServed(prefix);
     }
 
     /** Learns that an answer goes on, and the longest gap between its parts of late. */
-    public void progress(long nowMs, long gapMs) {
-        mLoad.progress(nowMs, gapMs);
+    public void onProgress(long nowMs, long gapMs) {
+        mLoad.onProgress(nowMs, gapMs);
     }
 
     /** Counts a request that ended. */
-    public void ended(long nowMs, boolean awaitedFirst, boolean progress) {
-        mLoad.ended(nowMs, awaitedFirst, progress);
+    public void onEnded(long nowMs, boolean awaitedFirstToken, boolean progress) {
+        mLoad.onEnded(nowMs, awaitedFirstToken, progress);
     }
 
-    IncarnationTracker life() {
-        return mLife;
+    IncarnationTracker incarnations() {
+        return mIncarnations;
     }
 
-    PrefixCacheEstimate prefixes() {
-        return mPrefixes;
+    PrefixCacheEstimate cachedPrefixes() {
+        return mCachedPrefixes;
     }
 
     void configure(UpstreamSpec spec, Distance distance) {
@@ -145,7 +146,7 @@
         mLimit.setMax(spec.maxConcurrent());
     }
 
-    void reported(long nowMs, LoadReport report) {
+    void onReport(long nowMs, LoadReport report) {
         boolean newer = mReport.map(r -> r.reportedAtMs() <= report.reportedAtMs()).orElse(true);
         if (newer) {
             mReport = Optional.of(report);
@@ -153,10 +154,10 @@
         }
     }
 
-    void restart(long nowMs) {
+    void reset(long nowMs) {
         mReport = Optional.empty();
-        mLoad.restart();
-        mPrefixes.restart();
-        mHealth.restart(nowMs);
+        mLoad.reset();
+        mCachedPrefixes.reset();
+        mHealth.reset(nowMs);
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/upstream/UpstreamStatus.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/upstream/UpstreamStatus.java
@@ -32,8 +32,8 @@
     static UpstreamStatus of(long nowMs, UpstreamState state) {
         return new UpstreamStatus(
                 state.id(),
-                state.live(),
-                state.live() ? Optional.empty() : state.life().endEvidence(),
+                state.isLive(),
+                state.isLive() ? Optional.empty() : state.incarnations().endEvidence(),
                 state.incarnation(),
                 state.health().state(nowMs),
                 state.load().inFlight(),
--- a/coordination/src/main/java/org/hornbeampass/coordination/upstream/UpstreamTable.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/upstream/UpstreamTable.java
@@ -65,7 +65,7 @@
             for (UpstreamSpec spec : config.upstreams().values()) {
                 configure(nowMs, spec);
             }
-            regroup();
+            rebuildGroups();
         }
     }
 
@@ -77,15 +77,15 @@
                 return;
             }
             Set<ModelId> before = modelsOf(state);
-            boolean wasLive = state.live();
-            if (seen(nowMs, state, report.incarnation())) {
-                state.reported(nowMs, report);
+            boolean wasLive = state.isLive();
+            if (onIncarnation(nowMs, state, report.incarnation())) {
+                state.onReport(nowMs, report);
             }
             if (report.leaving()) {
-                state.life().ended(nowMs, report.incarnation(), Evidence.UPSTREAM_WORD);
+                state.incarnations().onEnded(nowMs, report.incarnation(), Evidence.UPSTREAM_WORD);
             }
-            if (wasLive != state.live() || !before.equals(modelsOf(state))) {
-                regroup();
+            if (wasLive != state.isLive() || !before.equals(modelsOf(state))) {
+                rebuildGroups();
             }
         }
     }
@@ -97,12 +97,12 @@
             if (state == null) {
                 return;
             }
-            boolean wasLive = state.live();
-            if (seen(nowMs, state, events.incarnation())) {
-                state.prefixes().apply(events);
+            boolean wasLive = state.isLive();
+            if (onIncarnation(nowMs, state, events.incarnation())) {
+                state.cachedPrefixes().apply(events);
             }
-            if (wasLive != state.live()) {
-                regroup();
+            if (wasLive != state.isLive()) {
+                rebuildGroups();
             }
         }
     }
@@ -115,8 +115,8 @@
     public void onLeaving(long nowMs, UpstreamId id, Evidence evidence, long incarnation) {
         synchronized (mLock) {
             UpstreamState state = mStates.get(id);
-            if (state != null && state.life().ended(nowMs, incarnation, evidence)) {
-                regroup();
+            if (state != null && state.incarnations().onEnded(nowMs, incarnation, evidence)) {
+                rebuildGroups();
             }
         }
     }
@@ -131,14 +131,14 @@
             Set<UpstreamId> shown = new HashSet<>();
             for (ListedUpstream each : list.upstreams()) {
                 shown.add(each.id());
-                listed(nowMs, each);
+                applyListed(nowMs, each);
             }
             for (UpstreamState state : mStates.values()) {
                 if (!shown.contains(state.id())) {
-                    state.life().notListed(nowMs);
+                    state.incarnations().onNotListed(nowMs);
                 }
             }
-            regroup();
+            rebuildGroups();
         }
     }
 
@@ -188,35 +188,35 @@
         }
     }
 
-    private void listed(long nowMs, ListedUpstream each) {
+    private void applyListed(long nowMs, ListedUpstream each) {
         UpstreamState state = mStates.get(each.id());
         if (state == null) {
             return;
         }
-        if (seen(nowMs, state, each.incarnation())) {
-            state.life().listed(nowMs, each.incarnation());
+        if (onIncarnation(nowMs, state, each.incarnation())) {
+            state.incarnations().onListed(nowMs, each.incarnation());
         }
         if (each.leaving()) {
-            state.life().ended(nowMs, each.incarnation(), Evidence.LIST);
+            state.incarnations().onEnded(nowMs, each.incarnation(), Evidence.LIST);
         }
     }
 
-    private static boolean seen(long nowMs, UpstreamState state, long incarnation) {
+    private static boolean onIncarnation(long nowMs, UpstreamState state, long incarnation) {
         long before = state.incarnation();
-        if (!state.life().seen(nowMs, incarnation)) {
+        if (!state.incarnations().onSeen(nowMs, incarnation)) {
             return false;
         }
         if (incarnation > before) {
-            state.restart(nowMs);
+            state.reset(nowMs);
         }
         return true;
     }
 
-    private void regroup() {
+    private void rebuildGroups() {
         Map<ModelId, List<UpstreamState>> models = new HashMap<>();
         Map<String, List<UpstreamState>> services = new HashMap<>();
         for (UpstreamState state : mStates.values()) {
-            if (state.live() && !state.spec().draining()) {
+            if (state.isLive() && !state.spec().draining()) {
                 state.spec().service().ifPresent(s -> add(services, s, state));
                 modelsOf(state).forEach(m -> add(models, m, state));
             }
--- a/coordination/src/test/java/org/hornbeampass/coordination/routing/IncarnationProperties.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/routing/IncarnationProperties.java
@@ -28,11 +28,11 @@
     private enum Delivery {
         CORRECT,
         /** As if the version of a list were not checked. */
-        EACH_LIST_IS_NEW,
+        LIST_VERSION_IGNORED,
         /** As if a list that shows an upstream revived it. */
-        LIST_REVIVES,
+        LISTED_UPSTREAM_REVIVED,
         /** As if an upstream's own word were not heard. */
-        WORD_IS_IGNORED
+        LEAVING_REPORT_IGNORED
     }
 
     /** One schedule with a plain model of which lives have ended. */
@@ -83,7 +83,7 @@
                             UpstreamFixtures.report(nowMs, incarnation, 0));
                     see(runner, incarnation);
                 }
-                case 1 -> word(nowMs, runner, incarnation);
+                case 1 -> leavingReport(nowMs, runner, incarnation);
                 case 2 -> {
                     mTable.onLeaving(
                             nowMs, UpstreamFixtures.runner(runner), Evidence.OWN, incarnation);
@@ -93,8 +93,8 @@
             }
         }
 
-        private void word(long nowMs, int runner, long incarnation) {
-            if (mDelivery != Delivery.WORD_IS_IGNORED) {
+        private void leavingReport(long nowMs, int runner, long incarnation) {
+            if (mDelivery != Delivery.LEAVING_REPORT_IGNORED) {
                 mTable.onLoadReport(
                         nowMs,
                         UpstreamFixtures.runner(runner),
@@ -131,13 +131,13 @@
 
         private void deliver(long nowMs, long version, List<ListedUpstream> lines) {
             mDelivered++;
-            if (mDelivery == Delivery.LIST_REVIVES) {
+            if (mDelivery == Delivery.LISTED_UPSTREAM_REVIVED) {
                 for (ListedUpstream each : lines) {
                     mTable.onLoadReport(
                             nowMs, each.id(), UpstreamFixtures.report(nowMs, 1_000 + nowMs, 0));
                 }
             }
-            boolean distorted = mDelivery == Delivery.EACH_LIST_IS_NEW;
+            boolean distorted = mDelivery == Delivery.LIST_VERSION_IGNORED;
             mTable.onListed(nowMs, new UpstreamList(distorted ? mDelivered : version, lines));
         }
 
--- a/coordination/src/test/java/org/hornbeampass/coordination/routing/UpstreamChooserTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/routing/UpstreamChooserTest.java
@@ -101,11 +101,11 @@
     @Test
     void choose_skipsExcluded() {
         mTable.applyConfig(0, UpstreamFixtures.config(1, 2, 4));
-        RoutingQuery retry = UpstreamFixtures.query().without(UpstreamFixtures.runner(0));
+        RoutingQuery retry = UpstreamFixtures.query().excluding(UpstreamFixtures.runner(0));
 
         assertThat(mChooser.choose(0, retry).get().upstream())
                 .isEqualTo(UpstreamFixtures.runner(1));
-        assertThat(kind(mChooser.choose(0, retry.without(UpstreamFixtures.runner(1)))))
+        assertThat(kind(mChooser.choose(0, retry.excluding(UpstreamFixtures.runner(1)))))
                 .isEqualTo(ErrorKind.NO_UPSTREAM);
     }
 
@@ -241,7 +241,7 @@
             only =
                     UpstreamFixtures.runner(i).equals(upstream)
                             ? only
-                            : only.without(UpstreamFixtures.runner(i));
+                            : only.excluding(UpstreamFixtures.runner(i));
         }
         Either<Failure, UpstreamChoice> choice = mChooser.choose(nowMs, only);
         choice.peek(c -> mChooser.onEnded(nowMs, c, outcome));
--- a/coordination/src/test/java/org/hornbeampass/coordination/routing/UpstreamSteps.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/routing/UpstreamSteps.java
@@ -227,7 +227,7 @@
                 mNowMs + faultMs(),
                 () -> {
                     end(runner, choice, mFault);
-                    afterFailure(number, attempts, startedMs, query.without(choice.upstream()));
+                    afterFailure(number, attempts, startedMs, query.excluding(choice.upstream()));
                 });
     }
 
--- a/coordination/src/test/java/org/hornbeampass/coordination/service/LoadRelayTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/service/LoadRelayTest.java
@@ -90,7 +90,7 @@
     void eachVm_knowsTheLoadOfAllOthers() {
         run(1_000);
         for (UpstreamRegistry board : mBoards.values()) {
-            assertThat(board.fleetLoad().vmsHeard()).isEqualTo(VMS - 1);
+            assertThat(board.fleetLoad().reportingVms()).isEqualTo(VMS - 1);
             assertThat(board.fleetLoad().at("a").requests()).isEqualTo(VMS - 1);
             assertThat(board.fleetLoad().at("a").unreadTokens()).isEqualTo((VMS - 1) * TOKENS);
         }
--- a/coordination/src/test/java/org/hornbeampass/coordination/service/UpstreamRegistryTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/service/UpstreamRegistryTest.java
@@ -262,9 +262,9 @@
         mBoard.onEntry(0, entry("a", false));
         InFlightReport.Item busy = new InFlightReport.Item("a", 20_000, 3);
         mBoard.fleetLoad().onReport(0, "vm-2", new InFlightReport(List.of(busy), 1));
-        mBoard.tick(FleetLoad.FRESH_MS);
+        mBoard.tick(FleetLoad.REPORT_TTL_MS);
         assertThat(mBoard.fleetLoad().at("a").requests()).isZero();
-        assertThat(mBoard.fleetLoad().vmsHeard()).isZero();
+        assertThat(mBoard.fleetLoad().reportingVms()).isZero();
     }
 
     @Test
--- a/coordination/src/test/java/org/hornbeampass/coordination/upstream/IncarnationTrackerTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/upstream/IncarnationTrackerTest.java
@@ -7,56 +7,56 @@
 
 /** Tests {@link IncarnationTracker}. */
 class IncarnationTrackerTest {
-    private final IncarnationTracker mLife = new IncarnationTracker(0);
+    private final IncarnationTracker mTracker = new IncarnationTracker(0);
 
     @Test
     void newUpstream_thatNoListShowsYet_isLive() {
-        assertThat(mLife.notListed(1)).isFalse();
-        assertThat(mLife.live()).isTrue();
+        assertThat(mTracker.onNotListed(1)).isFalse();
+        assertThat(mTracker.isLive()).isTrue();
     }
 
     @Test
     void endedLife_isNotRevivedByListThatStillShowsIt() {
-        mLife.listed(1, 4);
-        assertThat(mLife.ended(2, 4, Evidence.UPSTREAM_WORD)).isTrue();
-        mLife.listed(3, 4);
+        mTracker.onListed(1, 4);
+        assertThat(mTracker.onEnded(2, 4, Evidence.UPSTREAM_WORD)).isTrue();
+        mTracker.onListed(3, 4);
 
-        assertThat(mLife.live()).isFalse();
-        assertThat(mLife.endEvidence()).contains(Evidence.UPSTREAM_WORD);
+        assertThat(mTracker.isLive()).isFalse();
+        assertThat(mTracker.endEvidence()).contains(Evidence.UPSTREAM_WORD);
     }
 
     @Test
     void greaterIncarnation_isLiveAgain() {
-        mLife.ended(2, 4, Evidence.OWN);
-        assertThat(mLife.seen(3, 5)).isTrue();
+        mTracker.onEnded(2, 4, Evidence.OWN);
+        assertThat(mTracker.onSeen(3, 5)).isTrue();
 
-        assertThat(mLife.live()).isTrue();
-        assertThat(mLife.liveSinceMs()).isEqualTo(3);
+        assertThat(mTracker.isLive()).isTrue();
+        assertThat(mTracker.liveSinceMs()).isEqualTo(3);
     }
 
     @Test
     void newsOfEarlierLife_isToBeIgnored() {
-        mLife.seen(1, 5);
+        mTracker.onSeen(1, 5);
 
-        assertThat(mLife.seen(2, 4)).isFalse();
-        assertThat(mLife.ended(3, 4, Evidence.OWN)).isFalse();
-        assertThat(mLife.live()).isTrue();
+        assertThat(mTracker.onSeen(2, 4)).isFalse();
+        assertThat(mTracker.onEnded(3, 4, Evidence.OWN)).isFalse();
+        assertThat(mTracker.isLive()).isTrue();
     }
 
     @Test
     void lifeThatWasListed_endsWhenListShowsItNoMore() {
-        mLife.listed(1, 4);
+        mTracker.onListed(1, 4);
 
-        assertThat(mLife.notListed(2)).isTrue();
-        assertThat(mLife.live()).isFalse();
+        assertThat(mTracker.onNotListed(2)).isTrue();
+        assertThat(mTracker.isLive()).isFalse();
     }
 
     @Test
     void lifeThatBeganAfterTheListedOne_staysWhenTheListedOneGoes() {
-        mLife.listed(1, 4);
-        mLife.seen(2, 5);
+        mTracker.onListed(1, 4);
+        mTracker.onSeen(2, 5);
 
-        assertThat(mLife.notListed(3)).isFalse();
-        assertThat(mLife.live()).isTrue();
+        assertThat(mTracker.onNotListed(3)).isFalse();
+        assertThat(mTracker.isLive()).isTrue();
     }
 }
--- a/coordination/src/test/java/org/hornbeampass/coordination/upstream/PrefixCacheEstimateTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/upstream/PrefixCacheEstimateTest.java
@@ -16,51 +16,51 @@
 class PrefixCacheEstimateTest {
     private static final PrefixDigests PROMPT = PrefixDigests.of(11, 12, 13, 14);
 
-    private final PrefixCacheEstimate mBelief = new PrefixCacheEstimate(4);
+    private final PrefixCacheEstimate mEstimate = new PrefixCacheEstimate(4);
 
     @Test
     void matchingBlocks_countsLeadingBlocksOnly() {
-        mBelief.ran(PrefixDigests.of(11, 12));
+        mEstimate.onServed(PrefixDigests.of(11, 12));
 
-        assertThat(mBelief.matchingBlocks(PROMPT)).isEqualTo(2);
-        assertThat(mBelief.matchingBlocks(PrefixDigests.of(99, 12))).isZero();
-        assertThat(mBelief.matchingBlocks(PrefixDigests.none())).isZero();
+        assertThat(mEstimate.matchingBlocks(PROMPT)).isEqualTo(2);
+        assertThat(mEstimate.matchingBlocks(PrefixDigests.of(99, 12))).isZero();
+        assertThat(mEstimate.matchingBlocks(PrefixDigests.none())).isZero();
     }
 
     @Test
     void gapInEvents_dropsAllBelief() {
-        mBelief.apply(stored(0, 11, 12));
-        mBelief.apply(stored(3, 13));
+        mEstimate.apply(stored(0, 11, 12));
+        mEstimate.apply(stored(3, 13));
 
-        assertThat(mBelief.matchingBlocks(PROMPT)).isZero();
-        assertThat(mBelief.gaps()).isEqualTo(1);
+        assertThat(mEstimate.matchingBlocks(PROMPT)).isZero();
+        assertThat(mEstimate.gaps()).isEqualTo(1);
     }
 
     @Test
     void repeatedEvents_areSkipped() {
-        mBelief.apply(stored(0, 11));
-        mBelief.apply(event(1, new CacheEvent(Kind.REMOVED, 11)));
-        mBelief.apply(stored(0, 11));
+        mEstimate.apply(stored(0, 11));
+        mEstimate.apply(event(1, new CacheEvent(Kind.REMOVED, 11)));
+        mEstimate.apply(stored(0, 11));
 
-        assertThat(mBelief.matchingBlocks(PROMPT)).isZero();
-        assertThat(mBelief.gaps()).isZero();
+        assertThat(mEstimate.matchingBlocks(PROMPT)).isZero();
+        assertThat(mEstimate.gaps()).isZero();
     }
 
     @Test
     void clearedCache_holdsNothing() {
-        mBelief.ran(PROMPT);
-        mBelief.apply(event(0, new CacheEvent(Kind.CLEARED, 0)));
+        mEstimate.onServed(PROMPT);
+        mEstimate.apply(event(0, new CacheEvent(Kind.CLEARED, 0)));
 
-        assertThat(mBelief.matchingBlocks(PROMPT)).isZero();
+        assertThat(mEstimate.matchingBlocks(PROMPT)).isZero();
     }
 
     @Test
     void fullBelief_dropsTheEndOfTheOldestPromptFirst() {
-        mBelief.ran(PROMPT);
-        mBelief.ran(PrefixDigests.of(21));
+        mEstimate.onServed(PROMPT);
+        mEstimate.onServed(PrefixDigests.of(21));
 
-        assertThat(mBelief.matchingBlocks(PROMPT)).isEqualTo(3);
-        assertThat(mBelief.matchingBlocks(PrefixDigests.of(21))).isEqualTo(1);
+        assertThat(mEstimate.matchingBlocks(PROMPT)).isEqualTo(3);
+        assertThat(mEstimate.matchingBlocks(PrefixDigests.of(21))).isEqualTo(1);
     }
 
     private static CacheEvents stored(long sequence, long... digests) {
--- a/experiment/src/main/java/org/hornbeampass/experiment/routing/RequestRun.java
+++ b/experiment/src/main/java/org/hornbeampass/experiment/routing/RequestRun.java
@@ -240,7 +240,7 @@
                         mRequest.deadline());
         RetryDecision decision = mVm.retries().decide(mClock.nowMs(), failed, mSent, mVm.budget());
         if (decision instanceof RetryDecision.RetryElsewhere retry) {
-            mQuery = mQuery.without(mCurrent.orElseThrow().mChoice.upstream());
+            mQuery = mQuery.excluding(mCurrent.orElseThrow().mChoice.upstream());
             mClock.after((double) retry.delayMs(), this::attempt);
         } else if (decision instanceof RetryDecision.GiveUp giveUp) {
             finish(Optional.of(giveUp.failure()));
--- a/router/src/main/java/org/hornbeampass/router/upstream/UpstreamRoute.java
+++ b/router/src/main/java/org/hornbeampass/router/upstream/UpstreamRoute.java
@@ -97,7 +97,7 @@
         RetryDecision decision =
                 mCalls.retries().decide(nowMs, failed, mSentBefore, mCalls.retryBudget());
         mSentBefore |= fault.outcome().mayHaveSent();
-        mQuery = mQuery.without(mLast);
+        mQuery = mQuery.excluding(mLast);
         if (decision instanceof RetryDecision.RetryElsewhere elsewhere) {
             return new Retry.Again(elsewhere.delayMs());
         }
