--- a/coordination/src/main/java/org/hornbeampass/coordination/routing/Candidates.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/routing/Candidates.java
@@ -8,10 +8,10 @@
 import java.util.SplittableRandom;
 
 /**
- * The upstreams that one attempt may go to, gathered anew for each choice in reused arrays.
+ * The upstreams to which one attempt may be sent, collected for each choice in reused arrays.
  *
- * <p>Upstreams pass a sieve whose findings are counted, so that a refusal can say why none is left.
- * Guarded by the table's lock.
+ * <p>Upstreams are filtered and those left out are counted by reason, so that a rejection can state
+ * why no candidate is left. Guarded by {@code UpstreamTable#lock()}.
  */
 final class Candidates {
     private static final int MAX_CANDIDATES = 16;
@@ -26,19 +26,21 @@
     private boolean mReportsReliable;
     private PrefixDigests mPrefix = PrefixDigests.none();
 
-    /** How strictly upstreams are sieved. */
+    /** How strictly upstreams are filtered. */
     enum Filter {
-        /** Healthy ones only, whose requests go on and whose reports have not stopped. */
+        /**
+         * Only healthy upstreams whose requests make progress and whose reports have not stopped.
+         */
         HEALTHY,
-        /** Stalled ones too, where no other is left. */
+        /** Also stalled upstreams, if no others are left. */
         ALLOW_STALLED,
-        /** Ejected ones too, where no other is left. */
+        /** Also ejected upstreams, if no others are left. */
         ALLOW_EJECTED
     }
 
     /**
-     * Gathers upstreams of a group that an attempt may go to: all of a small group; of a large one
-     * the prompt's home and a sample.
+     * Collects the upstreams of a group to which an attempt may be sent: all of a small group, or
+     * the prompt's preferred upstream and a random sample of a large one.
      */
     void gather(
             long nowMs,
@@ -91,32 +93,32 @@
         }
     }
 
-    /** Returns the number of upstreams that are left. */
+    /** Returns the number of candidates. */
     int size() {
         return mSize;
     }
 
-    /** Returns an upstream. */
+    /** Returns a candidate. */
     UpstreamState state(int index) {
         return mStates[index];
     }
 
-    /** Returns the hash of an upstream's name. */
+    /** Returns the hash of a candidate's name. */
     long hash(int index) {
         return mHashes[index];
     }
 
-    /** Returns the prompt's digests. */
+    /** Returns the digests of the prompt's blocks. */
     PrefixDigests prefix() {
         return mPrefix;
     }
 
-    /** Returns how many suitable upstreams had no place left. */
+    /** Returns how many suitable upstreams were left out because they are at their limits. */
     int atLimit() {
         return mAtLimit;
     }
 
-    /** Returns how many suitable upstreams were left out as ejected or stalled. */
+    /** Returns how many suitable upstreams were left out because they are ejected or stalled. */
     int unhealthy() {
         return mUnhealthy;
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/routing/PredictedWait.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/routing/PredictedWait.java
@@ -8,13 +8,14 @@
 import java.util.SplittableRandom;
 
 /**
- * Predicts the time to first token at each candidate and chooses among the best.
+ * Predicts the time to first token at each candidate and chooses among those with the lowest.
  *
- * <p>The prediction is the round trip plus the upstream's smoothed time per unit of load, times the
- * estimated load, less what a cached prefix saves. The load is this VM's own, at once, plus that of
- * others by the last report; as the report ages, the others' load moves to the group's mean. Among
- * candidates whose predictions are too close to tell apart, chance decides, so that VMs with the
- * same news don't all choose the same one. Stateless; runs under the table's lock.
+ * <p>The prediction is the round-trip time plus the product of the upstream's smoothed time per
+ * request in progress and its estimated load, reduced by the saving of a cached prefix. The load
+ * consists of this VM's own requests, which count at once, and the load of others in the last
+ * report; as the report ages, the latter approaches the mean of the candidates. Among candidates
+ * with nearly equal predictions the choice is random, so that VMs with the same information don't
+ * all choose the same upstream. Stateless; the caller holds {@code UpstreamTable#lock()}.
  */
 final class PredictedWait {
     private static final double DEFAULT_MS_PER_REQUEST = 10;
@@ -60,7 +61,7 @@
         return load.inFlight() + weight * load.othersLoad() + (1 - weight) * meanOthers;
     }
 
-    /** Returns the mean load by others over the candidates that reported; 0 without any report. */
+    /** Returns the mean load of others over the candidates with a report; 0 without any report. */
     static double meanOthersLoad(Candidates candidates) {
         double sum = 0;
         int known = 0;
@@ -83,7 +84,10 @@
         return Math.max(waitMs, (double) load.silentMs(nowMs)) * penalty;
     }
 
-    /** Returns the greatest slow-start weight: where all are new, none is held back. */
+    /**
+     * Returns the greatest slow-start weight of the candidates; weights are relative to it, so that
+     * no upstream is held back if all are new.
+     */
     private static double maxSlowStartWeight(long nowMs, Candidates candidates) {
         double most = 0;
         for (int i = 0; i < candidates.size(); i++) {
@@ -113,12 +117,18 @@
         return CACHED_SAVING * share + (preferred ? PREFERRED_SAVING * (1 - share) : 0);
     }
 
-    /** Returns the digest by which a prompt finds its home; the prompt has a block at least. */
+    /**
+     * Returns the digest that determines a prompt's preferred upstream; the prompt must have at
+     * least one block.
+     */
     static long affinityKey(PrefixDigests prefix) {
         return prefix.at(Math.min(AFFINITY_BLOCKS, prefix.size()) - 1);
     }
 
-    /** Returns the candidate to which all VMs send a prompt that no one is known to hold. */
+    /**
+     * Returns the index of the candidate to which all VMs prefer to send a prompt that no upstream
+     * is known to have cached; -1 for an empty prompt.
+     */
     private static int preferred(Candidates candidates) {
         PrefixDigests prefix = candidates.prefix();
         if (prefix.size() == 0) {
--- a/coordination/src/main/java/org/hornbeampass/coordination/routing/RoutingPolicy.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/routing/RoutingPolicy.java
@@ -5,20 +5,23 @@
 import java.util.SplittableRandom;
 
 /**
- * The ways to choose among the upstreams that an attempt may go to.
+ * The policies that choose among the candidates of an attempt.
  *
- * <p>Each is a pure function of the candidates, the time and a random source. Stateless; runs under
- * the table's lock.
+ * <p>Each is a function of the candidates, the time and a random source only. Stateless; the caller
+ * holds {@code UpstreamTable#lock()}.
  */
 public enum RoutingPolicy {
-    /** Any of them, with equal chances. */
+    /** Any candidate, with equal probability. */
     RANDOM {
         @Override
         int pick(long nowMs, Candidates candidates, SplittableRandom random) {
             return random.nextInt(candidates.size());
         }
     },
-    /** The one with the least load by its last report, however old; chance breaks ties. */
+    /**
+     * The candidate with the least load in its last report, regardless of the report's age; ties
+     * are broken by a random starting point.
+     */
     LEAST_REPORTED {
         @Override
         int pick(long nowMs, Candidates candidates, SplittableRandom random) {
@@ -33,7 +36,10 @@
             return best;
         }
     },
-    /** Of two taken by chance, the one with fewer reported and own requests. */
+    /**
+     * Of two random candidates, the one with the lower load, which is the greater of its reported
+     * load and this VM's requests in progress there.
+     */
     TWO_CHOICES {
         @Override
         int pick(long nowMs, Candidates candidates, SplittableRandom random) {
@@ -46,7 +52,7 @@
             return known(candidates, other) < known(candidates, one) ? other : one;
         }
     },
-    /** The one whose first token is predicted to come first; see {@link PredictedWait}. */
+    /** The candidate with the lowest predicted time to first token; see {@link PredictedWait}. */
     PREDICTED_WAIT {
         @Override
         int pick(long nowMs, Candidates candidates, SplittableRandom random) {
@@ -54,7 +60,7 @@
         }
     };
 
-    /** Returns the index of the chosen candidate; there is at least one. */
+    /** Returns the index of the chosen candidate; there must be at least one candidate. */
     abstract int pick(long nowMs, Candidates candidates, SplittableRandom random);
 
     private static int reported(Candidates candidates, int index) {
--- a/coordination/src/main/java/org/hornbeampass/coordination/routing/RoutingQuery.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/routing/RoutingQuery.java
@@ -11,15 +11,15 @@
 import java.util.Set;
 
 /**
- * One attempt that needs an upstream.
+ * The parameters for choosing the upstream of one attempt.
  *
- * <p>The VM's own failure domain is that of the table. Immutable; safe for use by any thread.
+ * <p>The VM's own failure domain is taken from the table. Immutable; safe for use by any thread.
  *
- * @param target what is asked for
- * @param organisation who asks
- * @param priority from 0 (first to be shed) to 9 (last to be shed), sent on to the engine
- * @param prefix the prompt's digests
- * @param excluded upstreams of earlier attempts, which are not chosen again
+ * @param target the requested model or service
+ * @param organisation the organisation that sent the request
+ * @param priority from 0 (first to be shed) to 9 (last to be shed); forwarded to the engine
+ * @param prefix the digests of the prompt's blocks
+ * @param excluded the upstreams of earlier attempts, which are not chosen again
  * @param deadline when the answer is due
  */
 public record RoutingQuery(
@@ -29,7 +29,7 @@
         PrefixDigests prefix,
         Set<UpstreamId> excluded,
         Deadline deadline) {
-    /** Copies the set. */
+    /** Rejects null components and copies the set. */
     public RoutingQuery {
         Objects.requireNonNull(target, "target");
         Objects.requireNonNull(organisation, "organisation");
--- a/coordination/src/main/java/org/hornbeampass/coordination/routing/UpstreamChoice.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/routing/UpstreamChoice.java
@@ -6,16 +6,16 @@
 /**
  * The upstream chosen for one attempt.
  *
- * <p>It holds a place at the upstream until {@link UpstreamChooser#onEnded}, which must be called
- * exactly once for each choice, also for one that was never sent. Immutable; safe for use by any
- * thread.
+ * <p>It counts towards the upstream's limit until {@link UpstreamChooser#onEnded}, which must be
+ * called exactly once for each choice, even if the attempt was never sent. Immutable; safe for use
+ * by any thread.
  *
  * @param attempt identifies the attempt on this VM
  * @param upstream the upstream
- * @param baseUri where it listens
+ * @param baseUri the upstream's base URI
  * @param domain its failure domain
- * @param incarnation its life as known at the time of the choice
- * @param cachedBlocks leading blocks of the prompt that are believed to be cached there
+ * @param incarnation the upstream's newest known incarnation at the time of the choice
+ * @param cachedBlocks the estimated number of leading blocks of the prompt that are cached there
  * @param chosenAtMs when it was chosen, in milliseconds
  */
 public record UpstreamChoice(
--- a/coordination/src/main/java/org/hornbeampass/coordination/routing/UpstreamChooser.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/routing/UpstreamChooser.java
@@ -22,12 +22,13 @@
 import java.util.SplittableRandom;
 
 /**
- * Chooses the upstream of each attempt and learns from how attempts go.
+ * Chooses the upstream of each attempt and updates the upstreams' state from the course of
+ * attempts.
  *
- * <p>Invariants: an upstream whose life ended is never chosen; an upstream never has more attempts
- * of this VM in progress than its limit; each choice counts from {@link #choose} to the first
- * {@link #onEnded}, and later calls for it have no effect. Thread-safe: all state is guarded by the
- * table's lock.
+ * <p>Invariants: an upstream whose incarnation has ended is never chosen; an upstream never has
+ * more attempts of this VM in progress than its limit; each choice counts from {@link #choose} to
+ * the first {@link #onEnded}, and later calls for it have no effect. Thread-safe: all state is
+ * guarded by {@link UpstreamTable#lock()}.
  */
 public final class UpstreamChooser {
     private static final Candidates.Filter[] FILTERS = Candidates.Filter.values();
@@ -64,9 +65,9 @@
     /**
      * Creates a chooser.
      *
-     * @param table what is known of upstreams
-     * @param policy how to choose among those that are left
-     * @param seed seeds the random source; VMs must differ
+     * @param table the state of the upstreams
+     * @param policy chooses among the candidates
+     * @param seed seeds the random source; must differ between VMs
      */
     public UpstreamChooser(UpstreamTable table, RoutingPolicy policy, long seed) {
         mTable = table;
@@ -75,11 +76,11 @@
     }
 
     /**
-     * Chooses an upstream and holds a place there.
+     * Chooses an upstream and counts the attempt towards its limit.
      *
-     * @return the choice, or {@code OVERLOADED} where each suitable upstream is at its limit,
-     *     {@code NO_UPSTREAM} where none is suitable, {@code DEADLINE_EXCEEDED_NOT_RUN} where it is
-     *     too late; in each failure nothing was sent
+     * @return the choice, or {@code OVERLOADED} if suitable upstreams exist but are at their
+     *     limits, {@code NO_UPSTREAM} if none is suitable, {@code DEADLINE_EXCEEDED_NOT_RUN} if the
+     *     deadline has passed; after a failure nothing has been sent
      */
     public Either<Failure, UpstreamChoice> choose(long nowMs, RoutingQuery query) {
         if (query.deadline().passed(nowMs)) {
@@ -104,8 +105,8 @@
     }
 
     /**
-     * Returns how many requests for a target this VM may have in progress over all upstreams that
-     * get work now: the capacity of the target's {@code AdmissionQueue}.
+     * Returns how many requests for a target this VM may have in progress at all live and healthy
+     * upstreams together. This is the capacity of the target's {@code AdmissionQueue}.
      */
     public int capacity(long nowMs, WorkTarget target) {
         synchronized (mTable.lock()) {
@@ -123,7 +124,7 @@
         }
     }
 
-    /** Notes that an attempt's first byte is being sent. */
+    /** Records that an attempt's first byte is being sent. */
     public void onStarted(long nowMs, UpstreamChoice choice) {
         synchronized (mTable.lock()) {
             Attempt attempt = mAttempts.get(choice.attempt());
@@ -133,7 +134,7 @@
         }
     }
 
-    /** Learns from an attempt's first token; for a plain service, from the start of its answer. */
+    /** Records an attempt's first token, or for a plain service the start of its answer. */
     public void onFirstToken(long nowMs, UpstreamChoice choice) {
         synchronized (mTable.lock()) {
             Attempt attempt = mAttempts.get(choice.attempt());
@@ -147,7 +148,10 @@
         }
     }
 
-    /** Returns for how long an attempt that was chosen and has not ended may be silent. */
+    /**
+     * Returns how long an attempt in progress may go without progress. Throws {@link
+     * IllegalArgumentException} if the attempt has ended.
+     */
     public AttemptTimeouts timeouts(long nowMs, UpstreamChoice choice, AnswerKind kind) {
         synchronized (mTable.lock()) {
             Attempt attempt = mAttempts.get(choice.attempt());
@@ -167,7 +171,7 @@
     }
 
     /**
-     * Learns that an attempt's answer goes on.
+     * Records progress of an attempt's answer.
      *
      * @param gapMs the longest gap between its parts since the last call, in milliseconds
      */
@@ -181,8 +185,8 @@
     }
 
     /**
-     * Returns when any attempt of this VM last made progress at an attempt's upstream, in
-     * milliseconds; {@code Long.MIN_VALUE} where none did or the attempt has ended.
+     * Returns when any attempt of this VM last made progress at the attempt's upstream, in
+     * milliseconds; {@code Long.MIN_VALUE} if none has or if the attempt has ended.
      */
     public long lastProgressMs(UpstreamChoice choice) {
         synchronized (mTable.lock()) {
@@ -191,7 +195,10 @@
         }
     }
 
-    /** Ends an attempt: gives its place back and learns from its outcome. */
+    /**
+     * Ends an attempt: it no longer counts towards its upstream's limit, and its outcome updates
+     * the upstream's health.
+     */
     public void onEnded(long nowMs, UpstreamChoice choice, AttemptOutcome outcome) {
         synchronized (mTable.lock()) {
             Attempt attempt = mAttempts.remove(choice.attempt());
@@ -220,7 +227,7 @@
     private UpstreamChoice start(
             long nowMs, UpstreamState state, UpstreamGroup group, RoutingQuery query) {
         long number = ++mLastAttempt;
-        int believed = state.matchingBlocks(query.prefix());
+        int cachedBlocks = state.matchingBlocks(query.prefix());
         mAttempts.put(number, new Attempt(nowMs, state, group, query));
         state.onStarted(nowMs);
         return new UpstreamChoice(
@@ -229,7 +236,7 @@
                 state.spec().baseUri(),
                 state.spec().domain(),
                 state.incarnation(),
-                believed,
+                cachedBlocks,
                 nowMs);
     }
 
--- a/coordination/src/main/java/org/hornbeampass/coordination/routing/package-info.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/routing/package-info.java
@@ -1,2 +1,2 @@
-/** The choice of an upstream for each attempt of a request. */
+/** Chooses an upstream for each attempt of a request. */
 package org.hornbeampass.coordination.routing;
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/BroadcastPaths.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/BroadcastPaths.java
@@ -13,15 +13,17 @@
 import java.util.stream.Collectors;
 
 /**
- * Whom a VM sends what all others are to know.
+ * The VMs to which a VM sends messages that are meant for all VMs.
  *
- * <p>In a small fleet each VM tells all others. In a larger one it tells one VM of its failure
- * domain, the relay, which passes it on to the relays of other domains and to its own domain. VMs
- * that choose different relays for a moment hear less. Immutable; safe for use by any thread.
+ * <p>In a small fleet each VM sends to all others. In a larger one it sends to one VM of its
+ * failure domain, the relay, which forwards to the relays of the other failure domains and to the
+ * VMs of its own. While VMs disagree about the members, they may choose different relays, and some
+ * messages don't reach all VMs. Immutable; safe for use by any thread.
  *
  * @param self this VM's name
- * @param relay the relay of this VM's failure domain; empty where VMs tell each other directly
- * @param directPeers the other VMs of this VM's failure domain, or all others without relays
+ * @param relay the relay of this VM's failure domain; empty where VMs send to each other directly
+ * @param directPeers the other VMs of this VM's failure domain, or all other VMs where there are no
+ *     relays
  * @param otherRelays the relays of the other failure domains
  */
 public record BroadcastPaths(
@@ -53,22 +55,22 @@
         Map<String, String> relays = new TreeMap<>();
         byDomain.forEach((domain, names) -> relays.put(domain.value(), relay(domain, names)));
         String own = relays.remove(self.domain().value());
-        List<String> near = new ArrayList<>(byDomain.getOrDefault(self.domain(), List.of()));
-        near.remove(self.name());
+        List<String> directPeers = new ArrayList<>(byDomain.getOrDefault(self.domain(), List.of()));
+        directPeers.remove(self.name());
         return new BroadcastPaths(
-                self.name(), Optional.ofNullable(own), near, List.copyOf(relays.values()));
+                self.name(), Optional.ofNullable(own), directPeers, List.copyOf(relays.values()));
     }
 
     private static String relay(FailureDomain domain, List<String> candidates) {
         return RendezvousHash.choose("load-" + domain.value(), candidates).orElseThrow();
     }
 
-    /** Returns whether this VM passes on what others tell. */
+    /** Returns whether this VM is the relay of its failure domain. */
     public boolean isRelay() {
         return relay.isPresent() && relay.get().equals(self);
     }
 
-    /** Returns whom this VM tells what all others are to know. */
+    /** Returns the VMs to which this VM sends a message that is meant for all VMs. */
     public List<String> broadcastTargets() {
         if (!isRelay()) {
             return relay.map(List::of).orElse(directPeers);
@@ -78,7 +80,10 @@
         return all;
     }
 
-    /** Remembers the paths for as long as the members are the same. */
+    /**
+     * Returns a function that computes the paths of a VM and caches them while the members stay the
+     * same.
+     */
     public static Function<List<Member>, BroadcastPaths> cachedChooser(Member self) {
         return new Function<>() {
             private List<Member> mMembers = List.of();
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/BroadcastQueue.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/BroadcastQueue.java
@@ -9,52 +9,52 @@
 import java.util.function.Supplier;
 
 /**
- * Spreads news over the fleet along the paths of the load reports.
+ * Broadcasts updates to all VMs along the {@link BroadcastPaths}, which load reports use too.
  *
- * <p>Each VM tells what it found out; relays pass on what is new to them, so that no item goes in a
- * circle. All is told {@link #SENDS_PER_ITEM} times, since a message may be lost. Nothing is sent
- * where there is no news. Confined to one thread.
+ * <p>Each VM sends its own updates; a relay forwards only items that are new to it, so that no item
+ * circulates forever. Each item is sent {@link #SENDS_PER_ITEM} times, since messages may be lost.
+ * Nothing is sent while there are no updates. Confined to one thread.
  *
- * @param <T> an item of news, which names what is told
+ * @param <T> an item, which identifies what was updated
  */
 public final class BroadcastQueue<T> {
-    /** Sends news to other VMs. */
+    /** Sends items to other VMs. */
     @FunctionalInterface
     public interface Sender<T> {
         /**
-         * Tells some VMs.
+         * Sends items to the given VMs.
          *
          * @param nowMs the present time in milliseconds
          * @param vms their names
-         * @param items the news
+         * @param items the items
          */
         void send(long nowMs, List<String> vms, List<T> items);
     }
 
-    /** After what time news are told again, in milliseconds. */
+    /** The interval between repeated sends, in milliseconds. */
     private static final long REPEAT_INTERVAL_MS = 500;
 
-    /** How often each item is told. */
+    /** How many times each item is sent, the first send included. */
     private static final int SENDS_PER_ITEM = 6;
 
     private final Supplier<BroadcastPaths> mPaths;
     private final Sender<T> mSender;
 
-    /** News of this VM or its failure domain, for all others. */
+    /** New items of this VM or its failure domain, for all other VMs. */
     private final Set<T> mNewForAll = new LinkedHashSet<>();
 
-    /** News of other failure domains, for this VM's own. */
+    /** New items of other failure domains, for the VMs of this failure domain. */
     private final Set<T> mNewForOwnDomain = new LinkedHashSet<>();
 
-    /** How often each item is to be told still. */
+    /** The number of sends that remain for each item. */
     private final Map<T, Integer> mRemainingSends = new LinkedHashMap<>();
 
     private long mNextRepeatMs;
 
     /**
-     * Makes an empty list of news.
+     * Creates an empty queue.
      *
-     * @param paths gives whom to tell now
+     * @param paths provides the current recipients
      * @param sender sends the messages
      */
     public BroadcastQueue(Supplier<BroadcastPaths> paths, Sender<T> sender) {
@@ -62,16 +62,16 @@
         mSender = sender;
     }
 
-    /** Adds what this VM found out. */
+    /** Adds an item that originates on this VM. */
     public void add(T item) {
         mNewForAll.add(item);
     }
 
     /**
-     * Adds what another VM told.
+     * Adds items received from another VM; only a relay forwards them.
      *
      * @param from its name
-     * @param items what was new to this VM
+     * @param items the items that were new to this VM
      */
     public void onReceived(String from, Collection<T> items) {
         BroadcastPaths paths = mPaths.get();
@@ -81,14 +81,14 @@
     }
 
     /**
-     * Returns whether the next {@link #tick} tells news again; then is the time to add lasting
-     * ones.
+     * Returns whether the next {@link #tick} repeats items; callers then add those that must be
+     * sent for as long as they hold.
      */
     public boolean isRepeatDue(long nowMs) {
         return nowMs >= mNextRepeatMs;
     }
 
-    /** Tells what is new. */
+    /** Sends new items, and repeats earlier ones when that is due. */
     public void tick(long nowMs) {
         Set<T> toAll = new LinkedHashSet<>(mNewForAll);
         if (isRepeatDue(nowMs)) {
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/EntryResult.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/EntryResult.java
@@ -1,26 +1,30 @@
 package org.hornbeampass.coordination.service;
 
 /**
- * What became of an entry that was shown to the board.
+ * How the registry handled an upstream's entry.
  *
  * <p>Immutable; safe for use by any thread.
  */
 public enum EntryResult {
-    /** An upstream that was not known. */
+    /** The entry of an upstream that was not known. */
     ADDED,
     /** A newer entry of a known incarnation. */
     UPDATED,
-    /** The first entry of a later incarnation: what was known of the former one is forgotten. */
+    /**
+     * The first entry of a later incarnation; everything known about the former one is discarded.
+     */
     STARTED_AGAIN,
-    /** An entry of an incarnation that has ended, which arrived late; it changes nothing. */
+    /** A late entry of an incarnation that has ended; it is ignored. */
     FORMER_INCARNATION;
 
-    /** Returns whether the entry's incarnation is the one in use from now on. */
+    /** Returns whether the entry was applied, so that its incarnation is now the current one. */
     public boolean isAccepted() {
         return this != FORMER_INCARNATION;
     }
 
-    /** Returns whether requests in progress at the former incarnation are lost. */
+    /**
+     * Returns whether the entry replaced a former incarnation, whose requests in progress are lost.
+     */
     public boolean replacesIncarnation() {
         return this == STARTED_AGAIN;
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/FleetLoad.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/FleetLoad.java
@@ -7,16 +7,17 @@
 import java.util.Optional;
 
 /**
- * What the other VMs have in progress at each upstream, as they last told.
+ * The load that the other VMs last reported for each upstream.
  *
- * <p>Invariant: a report counts until the next one of the same VM, or until it is {@link
- * #REPORT_TTL_MS} old; the sums are those of all reports that count, kept by difference. Confined
- * to one thread.
+ * <p>Invariant: a report counts until the next one of the same VM arrives or until it is {@link
+ * #REPORT_TTL_MS} old. The sums per upstream cover all reports that count and are updated
+ * incrementally. Confined to one thread.
  */
 public final class FleetLoad {
     /**
-     * How long a report counts, in milliseconds. Prompts are read within some hundred; a VM that is
-     * not heard for longer is cut off or gone, and its share is unknown.
+     * How long a report counts, in milliseconds. Engines read a prompt within a few hundred
+     * milliseconds; a VM that sends no report for longer is unreachable or has stopped, and its
+     * load is unknown.
      */
     static final long REPORT_TTL_MS = 1_000;
 
@@ -26,8 +27,8 @@
     /**
      * Work in progress at one upstream.
      *
-     * @param unreadTokens prompt tokens that are still to be read
-     * @param requests requests that are worked on
+     * @param unreadTokens prompt tokens that the upstream has not read yet
+     * @param requests requests in progress
      */
     record Work(long unreadTokens, int requests) {
         Work plus(InFlightReport.Item item, int sign) {
@@ -39,15 +40,15 @@
     /**
      * The last report of one VM.
      *
-     * @param receivedAtMs when it came, in milliseconds
-     * @param report what it said
+     * @param receivedAtMs when it was received, in milliseconds
+     * @param report the report
      */
     private record LastReport(long receivedAtMs, InFlightReport report) {}
 
     private final Map<String, LastReport> mReportsByVm = new HashMap<>();
     private final Map<String, Work> mWorkByUpstream = new HashMap<>();
 
-    /** Takes a VM's report. */
+    /** Replaces the last report of a VM by a new one. */
     public void onReport(long nowMs, String vm, InFlightReport report) {
         LastReport previous = mReportsByVm.put(vm, new LastReport(nowMs, report));
         if (previous != null) {
@@ -56,7 +57,7 @@
         accumulate(mWorkByUpstream, report, 1);
     }
 
-    /** Forgets reports that no longer count. */
+    /** Removes expired reports. */
     void tick(long nowMs) {
         Iterator<LastReport> reports = mReportsByVm.values().iterator();
         while (reports.hasNext()) {
@@ -68,22 +69,22 @@
         }
     }
 
-    /** Returns how many VMs' work is counted. */
+    /** Returns how many VMs the current reports cover. */
     int reportingVms() {
         return mReportsByVm.values().stream().mapToInt(t -> t.report().vms()).sum();
     }
 
-    /** Returns whether anything is in progress elsewhere. */
+    /** Returns whether any other VM has requests in progress. */
     boolean hasWork() {
         return !mWorkByUpstream.isEmpty();
     }
 
-    /** Returns the other VMs' work at an upstream. */
+    /** Returns the load of all other VMs at an upstream. */
     Work at(String upstream) {
         return mWorkByUpstream.getOrDefault(upstream, NO_WORK);
     }
 
-    /** Returns all work but one VM's, and this VM's own. */
+    /** Returns the sum of this VM's load and of all received reports except that of one VM. */
     InFlightReport sumWithout(String vm, InFlightReport own) {
         Map<String, Work> sum = new HashMap<>(mWorkByUpstream);
         Optional<InFlightReport> excluded =
@@ -95,8 +96,9 @@
     }
 
     /**
-     * Returns the work of some VMs, and this VM's own. A sum that one of them told, since it takes
-     * itself for a relay, is left out: two relays of one domain would add up each other's sums.
+     * Returns the sum of this VM's load and of the reports of the given VMs. A report that covers
+     * several VMs is left out: its sender also acts as a relay, and two relays of one failure
+     * domain would add each other's sums again and again.
      */
     InFlightReport sumOf(List<String> vms, InFlightReport own) {
         Map<String, Work> sum = new HashMap<>();
@@ -125,7 +127,10 @@
                 vms);
     }
 
-    /** Adds a report to sums, or takes it out of them; a sum of nothing is left out. */
+    /**
+     * Adds a report to the sums, or subtracts it where {@code sign} is -1; removes sums that become
+     * zero.
+     */
     private static void accumulate(Map<String, Work> sums, InFlightReport report, int sign) {
         for (InFlightReport.Item item : report.items()) {
             Work sum = sums.getOrDefault(item.upstream(), NO_WORK).plus(item, sign);
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/FormerUpstreams.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/FormerUpstreams.java
@@ -6,35 +6,36 @@
 import java.util.Map;
 
 /**
- * The last entries of upstreams that the board has forgotten, so that a late one brings none back.
+ * The last entries of upstreams that were removed from the registry, so that a late entry does not
+ * add them again.
  *
- * <p>Guards against two faults: an entry of an ended incarnation that is carried out late by the
- * platform, and an upstream that left and is shown as ready once more. Confined to one thread.
+ * <p>Guards against two faults: the platform carries out a delayed write of an ended incarnation's
+ * entry, and an upstream that was leaving is listed as ready again. Confined to one thread.
  */
 final class FormerUpstreams {
     /**
-     * How long an entry is remembered, in milliseconds: writes that the platform carries out late
-     * come within seconds, and ten minutes of restarts are a few thousand entries at the most.
+     * How long an entry is kept, in milliseconds. Delayed writes take effect within seconds, and
+     * restarts during ten minutes add a few thousand entries at most.
      */
     static final long RETENTION_MS = 600_000;
 
     /**
-     * The last word on one upstream.
+     * The last state of a removed upstream.
      *
      * @param entry its last entry
-     * @param wasLeaving whether it was ever seen leaving in this incarnation
-     * @param forgottenAtMs when it was forgotten, in milliseconds
+     * @param wasLeaving whether this incarnation was ever known to be leaving
+     * @param forgottenAtMs when it was removed from the registry, in milliseconds
      */
     private record Former(UpstreamEntry entry, boolean wasLeaving, long forgottenAtMs) {}
 
     private final Map<String, Former> mById = new HashMap<>();
 
-    /** Remembers an upstream that is gone. */
+    /** Adds an upstream that was removed from the registry. */
     void add(long nowMs, UpstreamEntry entry, boolean leaving) {
         mById.put(entry.id(), new Former(entry, leaving, nowMs));
     }
 
-    /** Returns whether an entry is of an incarnation that has ended for good. */
+    /** Returns whether an entry belongs to an incarnation that has ended. */
     boolean hasEnded(UpstreamEntry entry) {
         Former former = mById.get(entry.id());
         if (former == null || entry.startedAfter(former.entry())) {
@@ -43,7 +44,7 @@
         return former.wasLeaving() || former.entry().startedAfter(entry);
     }
 
-    /** Forgets what is older than {@link #RETENTION_MS}. */
+    /** Removes entries that are older than {@link #RETENTION_MS}. */
     void tick(long nowMs) {
         mById.values().removeIf(f -> nowMs - f.forgottenAtMs() >= RETENTION_MS);
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/InFlightReport.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/InFlightReport.java
@@ -7,12 +7,12 @@
 import java.util.List;
 
 /**
- * Tells other VMs what this one has in progress at each upstream.
+ * A message that reports a VM's load, or the sum of several VMs' loads, at each upstream.
  *
  * <p>Immutable; safe for use by any thread.
  *
- * @param items one for each upstream at which anything is in progress
- * @param vms how many VMs' work it is
+ * @param items one for each upstream with requests in progress
+ * @param vms how many VMs the sums cover; 1 unless the sender is a relay
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record InFlightReport(List<Item> items, int vms) implements PeerMessage {
@@ -22,11 +22,11 @@
     }
 
     /**
-     * What is in progress at one upstream.
+     * The load at one upstream.
      *
-     * @param upstream its identity
-     * @param unreadTokens the prompt tokens that it has still to read
-     * @param requests how many requests it works on
+     * @param upstream the upstream's identity
+     * @param unreadTokens the prompt tokens that it has not read yet
+     * @param requests how many requests are in progress there
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     public record Item(String upstream, long unreadTokens, int requests) {}
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/IncarnationListener.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/IncarnationListener.java
@@ -1,14 +1,14 @@
 package org.hornbeampass.coordination.service;
 
 /**
- * Hears that the incarnation of an upstream at which a request is in progress has ended.
+ * Receives the end of an upstream's incarnation at which a request is in progress.
  *
- * <p>Called on the board's thread, once at most.
+ * <p>Called at most once, on the thread of the {@link UpstreamRegistry}.
  */
 @FunctionalInterface
 public interface IncarnationListener {
     /**
-     * Takes the end of the incarnation: nothing that was sent there will be answered.
+     * Called when the incarnation has ended; requests sent to it will not be answered.
      *
      * @param nowMs the present time in milliseconds
      */
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/LoadExchange.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/LoadExchange.java
@@ -9,33 +9,37 @@
 import java.util.function.Supplier;
 
 /**
- * Tells the other VMs, again and again, what this one has in progress at the upstreams.
+ * Periodically reports this VM's load at each upstream to the other VMs.
  *
- * <p>Invariants: a VM that is no relay sends at most {@link #MAX_MESSAGES_PER_S} messages a second,
- * however many VMs there are; a relay sends to its own failure domain and to one VM of each other
- * domain; what a VM told is in no sum that comes back to it. Confined to one thread.
+ * <p>Invariants: a VM that is not a relay sends at most {@link #MAX_MESSAGES_PER_S} messages a
+ * second, independent of the number of VMs; a relay sends to its own failure domain and to one VM
+ * of each other domain; a sum sent to a VM never contains that VM's own load. Confined to one
+ * thread.
  */
 public final class LoadExchange {
     /**
-     * How often others are told directly, in milliseconds: an engine reads 5,000 tokens meanwhile.
+     * The interval between direct reports, in milliseconds; an engine reads 5,000 tokens in this
+     * time.
      */
     private static final long DIRECT_PERIOD_MS = 100;
 
-    /** How many messages a VM sends in a second at most: a bound that eight VMs don't reach. */
+    /** The largest number of messages that a VM sends in a second; eight VMs don't reach it. */
     private static final long MAX_MESSAGES_PER_S = 80;
 
     private static final long SECOND_MS = 1_000;
 
     /**
-     * To how many others a VM can tell all it has within its messages. Beyond that each was heard
-     * less often: 95 VMs would send 7,600 messages in a second, and hear each other every 1.2 s,
-     * where a report counts for one.
+     * The largest number of other VMs to which a VM can report directly within {@link
+     * #MAX_MESSAGES_PER_S}. With more, each would receive reports less often: 95 VMs would send
+     * 7,600 messages a second and receive one from each other VM only every 1.2 s, while a report
+     * counts for 1 s.
      */
     static final int MAX_DIRECT_PEERS = (int) (MAX_MESSAGES_PER_S * DIRECT_PERIOD_MS / SECOND_MS);
 
     /**
-     * How often relays are told, and tell, in milliseconds. 95 VMs in five domains send 1,000
-     * messages in a second together, and what one tells is with all others after two such spans.
+     * The interval between reports to and from relays, in milliseconds. With it, 95 VMs in five
+     * failure domains send 1,000 messages a second in total, and a report reaches all VMs after two
+     * intervals.
      */
     private static final long RELAY_PERIOD_MS = 200;
 
@@ -46,11 +50,11 @@
     private boolean mLastReportEmpty = true;
 
     /**
-     * Makes an exchange.
+     * Creates an exchange.
      *
-     * @param registry what is in progress here, and takes in what is elsewhere
+     * @param registry provides this VM's load and stores that of the other VMs
      * @param peers sends messages to other VMs
-     * @param paths gives whom to tell now
+     * @param paths provides the current recipients
      */
     public LoadExchange(
             UpstreamRegistry registry, PeerNetwork peers, Supplier<BroadcastPaths> paths) {
@@ -59,7 +63,7 @@
         mPaths = paths;
     }
 
-    /** Tells the others where it is time; where nothing is in progress, they are told so once. */
+    /** Sends a report if one is due; while nothing is in progress, sends a single empty report. */
     public void tick(long nowMs) {
         if (nowMs < mNextSendMs) {
             return;
@@ -84,7 +88,10 @@
         recipients.forEach(n -> mPeers.send(n, own));
     }
 
-    /** Tells the own domain of all VMs, and the other relays of the own domain. */
+    /**
+     * Sends the load of all VMs to this failure domain, and that of this failure domain to the
+     * other relays.
+     */
     private void sendAsRelay(BroadcastPaths paths, InFlightReport own) {
         FleetLoad load = mRegistry.fleetLoad();
         for (String vm : paths.directPeers()) {
@@ -94,7 +101,7 @@
         paths.otherRelays().forEach(r -> mPeers.send(r, domain));
     }
 
-    /** Takes another VM's report. */
+    /** Stores another VM's report. */
     public void onReport(
             long nowMs, VmId from, InFlightReport report, Consumer<PeerMessage> reply) {
         mRegistry.fleetLoad().onReport(nowMs, from.name(), report);
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/PrefillUrgency.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/PrefillUrgency.java
@@ -1,24 +1,23 @@
 package org.hornbeampass.coordination.service;
 
 /**
- * How soon an engine should take up a request, by how much it has to read for it: shortest first.
+ * The priority of a request in an engine's queue by the number of prompt tokens that the engine has
+ * to read (prefill): the shortest prompts come first.
  *
- * <p>A short prompt that waits behind long ones is late for a fraction of their time, while they
- * lose little by it. It answers the load of engines that read many prompts for the first time: on
- * two days with short and long prompts mixed, requests late in the first six seconds fell from 32
- * to 26 and from 43 to 31 (one run each, on the same seeds; budgets, which refused nobody then,
- * were changed at the same time).
+ * <p>A short prompt that waits behind long ones misses its objective although it needs only a
+ * fraction of their time, while running it first delays them little. This matters most while
+ * engines read many prompts for the first time, short and long ones mixed.
  *
  * <p>Immutable; safe for use by any thread.
  */
 public enum PrefillUrgency {
-    /** Read in some 35 ms, at about 60 tokens a millisecond; objectives are 400 ms and more. */
+    /** Read in about 35 ms at 60 tokens a millisecond; objectives are 400 ms and more. */
     SHORT(2_000, 2),
-    /** Read in some 100 ms: a few of them fit into an objective. */
+    /** Read in about 100 ms; a few of them fit into an objective. */
     MEDIUM(6_000, 4),
-    /** Read in some 250 ms: about half of an objective. */
+    /** Read in about 250 ms, about half of an objective. */
     LONG(15_000, 6),
-    /** Takes most of an objective by itself; anything before it that is short costs it little. */
+    /** Takes most of an objective by itself, so that shorter prompts before it add little. */
     HUGE(Long.MAX_VALUE, 8);
 
     private final long mMaxTokens;
@@ -43,7 +42,7 @@
         return HUGE;
     }
 
-    /** Returns its rank, from 0 for the first to 9 for the last. */
+    /** Returns the rank, from 0 (served first) to 9 (served last). */
     public int rank() {
         return mRank;
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/RateLimit.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/RateLimit.java
@@ -3,32 +3,33 @@
 import java.util.OptionalDouble;
 
 /**
- * How many requests an upstream takes from the whole fleet, as its answers named it.
+ * The rate limit that an upstream's answers state for the whole fleet.
  *
- * <p>Answers overtake one another, and VMs hear different ones. Invariant: a stricter limit counts
- * at once; a looser one, or none, counts only from an answer to a request that was sent after the
- * stricter one had been heard. Immutable; safe for use by any thread.
+ * <p>Answers may arrive out of order, and each VM receives different ones. Invariant: a stricter
+ * limit takes effect at once; a looser one, or the end of the limit, takes effect only if its
+ * answer belongs to a request that was sent after the stricter limit had been received. Immutable;
+ * safe for use by any thread.
  *
- * @param perSecond requests a second; empty where the answer named no limit
- * @param requestSentMs when the request was sent whose answer named it, in milliseconds
- * @param answeredMs when the answer came, in milliseconds
+ * @param perSecond requests a second; empty where the answer stated no limit
+ * @param requestSentMs when the request was sent whose answer stated it, in milliseconds
+ * @param answeredMs when that answer was received, in milliseconds
  */
 public record RateLimit(OptionalDouble perSecond, long requestSentMs, long answeredMs) {
-    /** What is known before any answer. */
+    /** The state before any answer. */
     public static final RateLimit UNKNOWN =
             new RateLimit(OptionalDouble.empty(), Long.MIN_VALUE, Long.MIN_VALUE);
 
-    /** Returns whether an answer has told anything. */
+    /** Returns whether any answer has been received. */
     boolean known() {
         return answeredMs != Long.MIN_VALUE;
     }
 
-    /** Returns whether it bounds what the upstream may be sent. */
+    /** Returns whether the upstream limits its request rate. */
     public boolean hasLimit() {
         return perSecond.isPresent();
     }
 
-    /** Returns what holds after both, whatever their order. */
+    /** Returns the limit that results from both; the order of the two does not matter. */
     RateLimit merge(RateLimit other) {
         if (!known() || !other.known()) {
             return known() ? this : other;
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/RetryWindow.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/RetryWindow.java
@@ -3,39 +3,43 @@
 import org.agrona.collections.LongArrayList;
 
 /**
- * One VM's share of the fleet's budget for sending requests more than once, for one service.
+ * One VM's share of the fleet's retry budget for one service.
  *
- * <p>Invariant: in any window, what is granted stays at or below the ratio of the first sends in
- * that window plus this VM's share of the fixed part, so that the VMs' grants together stay within
- * the fleet's budget. Confined to one thread.
+ * <p>Invariant: in any window, the granted retries never exceed the configured ratio times the
+ * first sends in that window plus this VM's share of the fixed part, so that all VMs together stay
+ * within the fleet's budget. Confined to one thread.
  */
 public final class RetryWindow {
-    /** What is kept back for VMs whose count of the fleet differs, as a share. */
+    /**
+     * The share of the budget that is used; the rest covers VMs that count a different number of
+     * VMs.
+     */
     private static final double SAFETY_FACTOR = 0.85;
 
     private final long mWindowMs;
     private final LongArrayList mFirstSends = new LongArrayList();
     private final LongArrayList mRetries = new LongArrayList();
 
-    /** Makes an empty window of a length in milliseconds. */
+    /** Creates an empty window of the given length in milliseconds. */
     public RetryWindow(long windowMs) {
         mWindowMs = windowMs;
     }
 
-    /** Counts a request that is sent for the first time. */
+    /** Counts the first send of a request. */
     public void onFirstSend(long nowMs) {
         dropExpired(mFirstSends, nowMs);
         mFirstSends.addLong(nowMs);
     }
 
     /**
-     * Takes one further send out of the budget.
+     * Takes one retry out of the budget, if it has one left.
      *
      * @param nowMs the present time in milliseconds
-     * @param ratio further sends for each first one, from the settings
-     * @param extra the fleet's fixed part in each window, from the settings
-     * @param vms how many VMs share the fixed part
-     * @return whether it may be sent
+     * @param ratio retries for each first send, from the settings
+     * @param extra the retries that the whole fleet has in each window in addition, from the
+     *     settings
+     * @param vms how many VMs share {@code extra}
+     * @return whether the retry may be sent
      */
     public boolean tryTake(long nowMs, double ratio, double extra, int vms) {
         dropExpired(mFirstSends, nowMs);
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/RouteTable.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/RouteTable.java
@@ -15,9 +15,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A configuration, laid out for look-ups by host, path, key and name.
+ * An index over a configuration for look-ups by host, path, key and name.
  *
- * <p>Invariant: of the routes of a host, the one with the longest prefix of the path is found.
+ * <p>Invariant: a look-up returns the route with the longest matching path prefix of the host.
  * Immutable; safe for use by any thread.
  */
 public final class RouteTable {
@@ -27,7 +27,7 @@
     private final Map<String, PrepaidOrganisation> mOrganisations = new HashMap<>();
     private final Map<String, ServiceSpec> mServices = new HashMap<>();
 
-    /** Lays a configuration out. */
+    /** Builds the index of a configuration. */
     public RouteTable(FleetConfig config) {
         mConfig = config;
         for (Route route : config.routes()) {
@@ -43,12 +43,12 @@
         config.services().forEach(s -> mServices.put(s.name(), s));
     }
 
-    /** Returns the configuration that is laid out here. */
+    /** Returns the indexed configuration. */
     public FleetConfig config() {
         return mConfig;
     }
 
-    /** Returns whether callers must show keys on routes that are not open. */
+    /** Returns whether callers must send keys on routes that are not open. */
     public boolean checksKeys() {
         return !mOrganisations.isEmpty();
     }
@@ -56,7 +56,7 @@
     /**
      * Finds the route of a request.
      *
-     * @param host the host asked for, with or without a port
+     * @param host the requested host, with or without a port
      * @param path the path without its query
      */
     public Optional<Route> route(String host, String path) {
@@ -70,7 +70,7 @@
         return Optional.empty();
     }
 
-    /** Finds the organisation that holds a key. */
+    /** Finds the organisation to which a key belongs. */
     public Optional<PrepaidOrganisation> organisationOf(String key) {
         return Optional.ofNullable(mOrganisationsByKey.get(key));
     }
@@ -85,7 +85,10 @@
         return Optional.ofNullable(mServices.get(name));
     }
 
-    /** Chooses the service of one request, by the targets' weights. */
+    /**
+     * Chooses the service of one request at random in proportion to the targets' weights; empty
+     * where all weights are 0.
+     */
     public Optional<ServiceSpec> pickService(Route route, RandomGenerator random) {
         int total = route.targets().stream().mapToInt(Route.Target::weight).sum();
         if (total <= 0) {
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/SendGate.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/SendGate.java
@@ -1,18 +1,18 @@
 package org.hornbeampass.coordination.service;
 
 /**
- * Tells which upstreams take no more requests for now, since the fleet has used up their rate.
+ * Decides which upstreams get no requests for now because the fleet has used up their rate limit.
  *
- * <p>Confined to the board's thread.
+ * <p>Confined to the thread of the {@link UpstreamRegistry}.
  */
 @FunctionalInterface
 public interface SendGate {
-    /** Never closed: for upstreams without rate limits. */
+    /** Lets every request pass, for upstreams without rate limits. */
     SendGate OPEN = (nowMs, upstream) -> 0;
 
     /**
-     * Returns when an upstream may take a request again, in milliseconds from now on; 0 where it
-     * may now.
+     * Returns the time until an upstream may be sent a request, in milliseconds; 0 where it may be
+     * sent one now.
      */
     long waitMs(long nowMs, UpstreamIncarnation upstream);
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/SignalExchange.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/SignalExchange.java
@@ -12,11 +12,11 @@
 import java.util.function.Supplier;
 
 /**
- * Takes what upstreams say of themselves in their answers, and tells the other VMs.
+ * Processes the signals in upstreams' answers and shares them with the other VMs.
  *
- * <p>That an upstream leaves is told until its entry says so too or it is gone, and a rate limit
- * for as long as answers to this VM name it, so that a VM that starts meanwhile hears of both.
- * Confined to one thread.
+ * <p>That an upstream is leaving is repeated until its entry shows it too or the upstream is gone;
+ * a rate limit is repeated for as long as answers to this VM state it. A VM that starts later
+ * therefore receives both. Confined to one thread.
  */
 public final class SignalExchange {
     private static final String OWN_ANSWER = "";
@@ -26,17 +26,17 @@
     private final SignalListener mListener;
     private final BroadcastQueue<UpstreamIncarnation> mBroadcasts;
 
-    /** The incarnations whose limit was named to this VM since news were last repeated. */
+    /** The incarnations whose answers to this VM stated a rate limit since the last repetition. */
     private final Set<UpstreamIncarnation> mReportedLimits = new LinkedHashSet<>();
 
     /**
-     * Makes an exchange.
+     * Creates an exchange.
      *
-     * @param registry takes upstreams that leave out of use
-     * @param table keeps the signals
+     * @param registry stops the use of upstreams that are leaving
+     * @param table stores the signals
      * @param peers sends messages to other VMs
-     * @param paths gives whom to tell now
-     * @param listener hears what is new
+     * @param paths provides the current recipients
+     * @param listener receives changes of signals
      */
     public SignalExchange(
             UpstreamRegistry registry,
@@ -63,7 +63,7 @@
                         .toList());
     }
 
-    /** Takes what an answer said of its upstream. */
+    /** Processes the signals of an answer to this VM. */
     public void onAnswer(long nowMs, UpstreamInstance upstream, UpstreamSignals signals) {
         if (!signals.restricts() && mTable.isEmpty()) {
             return;
@@ -80,7 +80,7 @@
         }
     }
 
-    /** Takes what another VM was told. */
+    /** Processes the signals that another VM reports. */
     public void onReport(long nowMs, VmId from, SignalReport report, Consumer<PeerMessage> reply) {
         List<UpstreamIncarnation> changed = new ArrayList<>();
         for (SignalReport.Item item : report.items()) {
@@ -91,7 +91,10 @@
         mBroadcasts.onReceived(from.name(), changed);
     }
 
-    /** Takes what another VM knows of one upstream; returns whether any of it is new. */
+    /**
+     * Processes what another VM reports about one upstream; returns whether it changed the known
+     * signals.
+     */
     public boolean onItem(long nowMs, VmId from, SignalReport.Item item) {
         return merge(nowMs, item.upstream(), item.signals(nowMs), from.name());
     }
@@ -113,7 +116,7 @@
         return startsLeaving || limitChanged;
     }
 
-    /** Tells the other VMs. */
+    /** Sends changed signals, and repeats those that still hold, to the other VMs. */
     public void tick(long nowMs) {
         mTable.tick(nowMs);
         if (mBroadcasts.isRepeatDue(nowMs)) {
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/SignalReport.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/SignalReport.java
@@ -8,7 +8,7 @@
 import java.util.OptionalDouble;
 
 /**
- * Tells other VMs what upstreams said of themselves in their answers.
+ * A message that shares the signals of upstreams' answers with other VMs.
  *
  * <p>Immutable; safe for use by any thread.
  *
@@ -17,8 +17,8 @@
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record SignalReport(List<Item> items) implements PeerMessage {
     /**
-     * By how much a message may be late, in milliseconds. The receiver takes requests to have been
-     * sent that much earlier, so that a message that was late makes no limit obsolete.
+     * The largest assumed delay of a message, in milliseconds. The receiver dates requests back by
+     * this time, so that a delayed message never replaces a limit that is still valid.
      */
     static final long MAX_MESSAGE_DELAY_MS = 200;
 
@@ -26,14 +26,15 @@
     private static final long UNKNOWN = -1;
 
     /**
-     * The signals of one incarnation. Times are told as ages, since clocks of VMs differ.
+     * The signals of one incarnation. Times are sent as ages, since the clocks of VMs differ.
      *
      * @param upstream the incarnation
-     * @param leaving whether it leaves
-     * @param perSecond its rate limit in requests a second; -1 where it names none
-     * @param askedAgoMs how long ago the request was sent whose answer told the limit, in
-     *     milliseconds; -1 where nothing is known of it
-     * @param heardAgoMs how long ago the answer came
+     * @param leaving whether it is leaving
+     * @param perSecond its rate limit in requests a second; -1 where it states none
+     * @param askedAgoMs how long ago the request was sent whose answer stated the limit, in
+     *     milliseconds; -1 where no answer is known
+     * @param heardAgoMs how long ago that answer was received, in milliseconds; -1 where no answer
+     *     is known
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     public record Item(
@@ -42,7 +43,7 @@
             double perSecond,
             long askedAgoMs,
             long heardAgoMs) {
-        /** Tells what is known of an incarnation. */
+        /** Returns the report of an incarnation's signals. */
         public static Item of(long nowMs, UpstreamIncarnation upstream, UpstreamSignals signals) {
             RateLimit limit = signals.rateLimit();
             boolean known = limit.known();
@@ -54,7 +55,7 @@
                     known ? Math.max(0, nowMs - limit.answeredMs()) : UNKNOWN);
         }
 
-        /** Returns the signals by the receiver's clock. */
+        /** Returns the signals with times by the receiver's clock. */
         UpstreamSignals signals(long nowMs) {
             return new UpstreamSignals(leaving, rateLimit(nowMs));
         }
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/SignalTable.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/SignalTable.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /**
- * The signals of upstreams, listed or not yet listed, that are known to this VM.
+ * The last known signals of each upstream, including upstreams that are not listed yet.
  *
  * <p>Confined to one thread.
  */
@@ -12,27 +12,27 @@
     /**
      * Signals of one incarnation.
      *
-     * @param signals what is known
-     * @param limitedSinceMs from when on a rate limit has been known without a break, in
+     * @param signals the last known signals
+     * @param limitedSinceMs since when a rate limit has been known without interruption, in
      *     milliseconds
-     * @param updatedAtMs when they were heard last, in milliseconds
+     * @param updatedAtMs when signals were last received, in milliseconds
      */
     private record Entry(UpstreamSignals signals, long limitedSinceMs, long updatedAtMs) {}
 
     private final Map<UpstreamIncarnation, Entry> mEntries = new HashMap<>();
 
-    /** Returns what is known of an incarnation. */
+    /** Returns the signals of an incarnation. */
     public UpstreamSignals get(UpstreamIncarnation upstream) {
         Entry entry = mEntries.get(upstream);
         return entry == null ? UpstreamSignals.NONE : entry.signals();
     }
 
-    /** Returns whether anything is known of an incarnation. */
+    /** Returns whether signals of an incarnation are known. */
     boolean contains(UpstreamIncarnation upstream) {
         return mEntries.containsKey(upstream);
     }
 
-    /** Returns whether nothing is known of any upstream. */
+    /** Returns whether no signals are known. */
     public boolean isEmpty() {
         return mEntries.isEmpty();
     }
@@ -43,7 +43,7 @@
         return entry == null ? 0 : nowMs - entry.limitedSinceMs();
     }
 
-    /** Merges signals into what is known, and returns what was known before. */
+    /** Merges signals into the known ones and returns those that were known before. */
     UpstreamSignals merge(long nowMs, UpstreamIncarnation upstream, UpstreamSignals signals) {
         UpstreamSignals before = get(upstream);
         UpstreamSignals after = before.merge(signals);
@@ -53,7 +53,10 @@
         return before;
     }
 
-    /** Forgets what is as old as the longest memory of an upstream. */
+    /**
+     * Removes signals that are older than {@link FormerUpstreams#RETENTION_MS}, after which the
+     * upstream itself is forgotten.
+     */
     void tick(long nowMs) {
         mEntries.values().removeIf(e -> nowMs - e.updatedAtMs() >= FormerUpstreams.RETENTION_MS);
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/UpstreamInstance.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/UpstreamInstance.java
@@ -7,33 +7,42 @@
 import java.util.Set;
 
 /**
- * One incarnation of an upstream as this VM sees it: its entry, the requests that this VM has in
- * progress there, and what they have shown of it.
+ * One incarnation of an upstream as this VM sees it: its entry, this VM's requests in progress
+ * there, and statistics about their outcomes.
  *
- * <p>Invariant: once seen leaving or gone it takes no new request, whatever later entries say.
- * Confined to one thread.
+ * <p>Invariant: once it is leaving, it gets no new requests, whatever later entries state. Confined
+ * to one thread.
  */
 public final class UpstreamInstance {
-    /** How fast evidence fades: the weight of one answer after this many milliseconds is 1/e. */
+    /**
+     * The time constant of the exponential decay of statistics, in milliseconds: the weight of an
+     * outcome of that age is 1/e.
+     */
     private static final double DECAY_TIME_CONSTANT_MS = 4_000;
 
-    /** The first pause after failures without an answer; doubled for each further one. */
+    /**
+     * The first pause after failures without an answer, in milliseconds; it doubles with each
+     * further failure.
+     */
     private static final long FIRST_PAUSE_MS = 500;
 
-    /** The longest pause: a sound upstream is back in use within this time. */
+    /** The longest pause, in milliseconds: a healthy upstream is back in use within this time. */
     private static final long MAX_PAUSE_MS = 4_000;
 
-    /** Failures in a row after which an upstream is paused; one alone may be a lost packet. */
+    /**
+     * Consecutive failures after which an upstream is paused; a single one may be a lost packet.
+     */
     private static final int FAILURES_BEFORE_PAUSE = 2;
 
     /**
-     * The longest pause that an upstream may ask for: a mistaken one must not take it out for good.
+     * The longest pause that an upstream may request, in milliseconds, so that a wrong request does
+     * not exclude it forever.
      */
     private static final long MAX_REQUESTED_PAUSE_MS = 600_000;
 
     private static final double LATENCY_SMOOTHING = 0.2;
 
-    /** Prompt tokens that an engine reads in a millisecond, about, on the installations at hand. */
+    /** The approximate number of prompt tokens that an engine reads in a millisecond. */
     static final double PREFILL_TOKENS_PER_MS = 50;
 
     private final Set<IncarnationListener> mListeners = new LinkedHashSet<>();
@@ -57,12 +66,12 @@
         mLeaving = entry.leaving();
     }
 
-    /** Returns its entry as last seen. */
+    /** Returns the last received entry. */
     public UpstreamEntry entry() {
         return mEntry;
     }
 
-    /** Returns its identity. */
+    /** Returns the upstream's identity. */
     public String id() {
         return mEntry.id();
     }
@@ -74,17 +83,20 @@
         mGoneAtMs = Long.MAX_VALUE;
     }
 
-    /** Takes it out of use at a time in milliseconds, unless its entry is seen again before. */
+    /** Marks it as gone from a time in milliseconds on, unless its entry is received again. */
     void markGoneAt(long atMs) {
         mGoneAtMs = Math.min(mGoneAtMs, atMs);
     }
 
-    /** Returns whether its entry has been missing for so long that it counts as gone. */
+    /**
+     * Returns whether it is gone: its entry has been missing for long enough, or its incarnation
+     * has ended.
+     */
     boolean isGone(long nowMs) {
         return nowMs >= mGoneAtMs;
     }
 
-    /** Returns whether its entry tells when it started. */
+    /** Returns whether its entry states when it started. */
     boolean hasIncarnation() {
         return mEntry.bornMs().isPresent();
     }
@@ -94,49 +106,52 @@
         return mIncarnation;
     }
 
-    /** Takes it out of use for new requests, for good. */
+    /** Permanently stops new requests to it. */
     void markLeaving() {
         mLeaving = true;
     }
 
-    /** Returns whether it was ever seen leaving. */
+    /** Returns whether it was ever known to be leaving. */
     public boolean isLeaving() {
         return mLeaving;
     }
 
-    /** Returns whether it may take new requests at all. */
+    /** Returns whether it may get new requests; a pause after failures is not considered. */
     public boolean isUsable(long nowMs) {
         return !mLeaving && !isGone(nowMs) && requestedPauseLeftMs(nowMs) == 0;
     }
 
     /**
-     * Sends no new requests for a time, since the upstream asked for that. Unlike a pause after
-     * failures, this one ends by time alone.
+     * Stops new requests for a time that the upstream requested. Unlike a pause after failures, a
+     * successful answer does not end it early.
      *
      * @param nowMs the present time in milliseconds
-     * @param pauseMs for how long, in milliseconds
+     * @param pauseMs the length of the pause in milliseconds
      */
     public void onPauseRequested(long nowMs, long pauseMs) {
         long untilMs = nowMs + Math.min(pauseMs, MAX_REQUESTED_PAUSE_MS);
         mRequestedPauseUntilMs = Math.max(mRequestedPauseUntilMs, untilMs);
     }
 
-    /** Returns for how long it still wants nothing from this VM, in milliseconds. */
+    /**
+     * Returns the rest of the pause that the upstream requested, in milliseconds; 0 where there is
+     * none.
+     */
     long requestedPauseLeftMs(long nowMs) {
         return Math.max(0, mRequestedPauseUntilMs - nowMs);
     }
 
-    /** Returns whether it is left alone for a while after failures. */
+    /** Returns whether it is paused after failures or for lack of capacity. */
     public boolean isPaused(long nowMs) {
         return nowMs < mPausedUntilMs;
     }
 
-    /** Returns how many of this VM's requests are in progress there. */
+    /** Returns the number of this VM's requests in progress there. */
     public int inFlight() {
         return mListeners.size();
     }
 
-    /** Returns the prompt tokens of this VM's requests there that have not begun to answer. */
+    /** Returns the prompt tokens of this VM's requests there whose answers have not begun. */
     public long unreadTokens() {
         return mUnreadTokens;
     }
@@ -145,34 +160,35 @@
      * Counts a request that is sent there.
      *
      * @param tokens the prompt tokens that must be read for it
-     * @param listener hears of the incarnation's end; the same one is given to {@link #onEnded}
+     * @param listener receives the incarnation's end; the same object must be passed to {@link
+     *     #onEnded}
      */
     public void onSent(long tokens, IncarnationListener listener) {
         mListeners.add(listener);
         mUnreadTokens += tokens;
     }
 
-    /** Counts the beginning of an answer, with the tokens given to {@link #onSent}. */
+    /** Records that an answer has begun, with the tokens passed to {@link #onSent}. */
     public void onPromptRead(long tokens) {
         mUnreadTokens = Math.max(0, mUnreadTokens - tokens);
     }
 
-    /** Counts the end of a request, whatever it was. */
+    /** Records that a request has ended, with any outcome. */
     public void onEnded(IncarnationListener listener) {
         mListeners.remove(listener);
     }
 
-    /** Ends this incarnation: it takes no request any more, and those in progress are lost. */
+    /** Ends this incarnation: it gets no more requests, and those in progress are lost. */
     void end(long nowMs) {
         mGoneAtMs = nowMs;
         List.copyOf(mListeners).forEach(l -> l.onEnded(nowMs));
     }
 
     /**
-     * Takes a good answer as evidence.
+     * Records a successful answer, which also ends a pause after failures.
      *
      * @param nowMs the present time in milliseconds
-     * @param latencyMs how long it took to its first byte, in milliseconds
+     * @param latencyMs the time to its first byte, in milliseconds
      */
     public void onSuccess(long nowMs, double latencyMs) {
         decay(nowMs);
@@ -183,12 +199,13 @@
     }
 
     /**
-     * Takes the first part of an engine's answer as evidence of how long requests wait there beyond
-     * the reading of their own prompt: for other VMs' requests, or since it is slow.
+     * Records the first part of an engine's answer. The time beyond the reading of the request's
+     * own prompt shows how long requests wait there, behind those of other VMs or because the
+     * engine is slow.
      *
      * @param nowMs the present time in milliseconds
-     * @param latencyMs how long it took, in milliseconds
-     * @param promptTokens the tokens of the prompt
+     * @param latencyMs the time to the first part, in milliseconds
+     * @param promptTokens the prompt tokens that the engine had to read
      */
     public void onFirstPart(long nowMs, double latencyMs, long promptTokens) {
         onSuccess(nowMs, latencyMs);
@@ -196,20 +213,23 @@
         mDelayMs += LATENCY_SMOOTHING * (delayMs - mDelayMs);
     }
 
-    /** Returns how long requests waited there of late, in milliseconds; fades like all evidence. */
+    /**
+     * Returns the smoothed recent wait of requests there, in milliseconds; decays like all
+     * statistics.
+     */
     public double delayMs(long nowMs) {
         decay(nowMs);
         return mDelayMs;
     }
 
-    /** Takes an answer that reports a failure as evidence. */
+    /** Records an answer that reports a failure. */
     public void onErrorAnswer(long nowMs) {
         decay(nowMs);
         mFailures++;
         mFailuresInRow = 0;
     }
 
-    /** Takes a connection or an answer that did not come about as evidence. */
+    /** Records a failed connection or a missing answer. */
     public void onNoAnswer(long nowMs) {
         decay(nowMs);
         mFailures++;
@@ -221,18 +241,20 @@
         mPausedUntilMs = nowMs + Math.min(MAX_PAUSE_MS, FIRST_PAUSE_MS << doublings);
     }
 
-    /** Takes the word of an upstream that it has no room; it gets new requests again soon. */
+    /**
+     * Pauses an upstream that answered that it has no capacity, for {@code pauseMs} milliseconds.
+     */
     public void onOverloaded(long nowMs, long pauseMs) {
         mPausedUntilMs = Math.max(mPausedUntilMs, nowMs + pauseMs);
     }
 
-    /** Returns the share of recent answers that failed, drawn towards 0 while there are few. */
+    /** Returns the share of recent requests that failed, biased towards 0 while there are few. */
     public double failureShare(long nowMs) {
         decay(nowMs);
         return mFailures / (mSuccesses + mFailures + 2);
     }
 
-    /** Returns the usual time to the first byte in milliseconds; 0 where none was seen. */
+    /** Returns the smoothed time to the first byte in milliseconds; 0 before the first answer. */
     public double latencyMs() {
         return mLatencyMs;
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/UpstreamRegistry.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/UpstreamRegistry.java
@@ -17,39 +17,43 @@
 import java.util.stream.Collectors;
 
 /**
- * All registered upstreams, and the choice of one for each request.
+ * Holds all registered upstreams and chooses one for each request.
  *
- * <p>Invariants: an upstream that is leaving or gone is never chosen; what is known of one belongs
- * to one incarnation, and an older incarnation never comes back; one that is paused after failures
- * is chosen only where all usable ones of its service are; one whose rate limit the fleet has used
- * up is not chosen. Confined to one thread.
+ * <p>Invariants: an upstream that is leaving or gone is never chosen; the state of an upstream
+ * belongs to one incarnation, and an older incarnation never replaces a newer one; an upstream that
+ * is paused after failures is chosen only if all usable upstreams of its service are paused; an
+ * upstream whose rate limit the fleet has used up is not chosen. Confined to one thread.
  */
 public final class UpstreamRegistry {
     /**
-     * How long an entry that is missing after an outage of the platform may still come back, in
-     * milliseconds; the platform's own entries are back within two seconds.
+     * How long an upstream stays in use after its entry went missing in an outage of the platform,
+     * in milliseconds. Entries are back within two seconds after an outage.
      */
     static final long MISSING_GRACE_MS = 1_900;
 
     /**
-     * By how much this VM's own load stands for that of the other VMs where none of them is heard:
-     * callers choose VMs at random, so that loads are alike.
+     * The factor by which this VM's own load is multiplied to stand for that of the other VMs when
+     * no reports arrive from them. Callers choose VMs at random, so that their loads are similar.
      */
     private static final double UNREPORTED_LOAD_FACTOR = 2.0;
 
-    /** What one running request adds to another's wait at an engine, in milliseconds. */
+    /** How much each running request adds to the wait of another at an engine, in milliseconds. */
     private static final double COST_PER_RUNNING_REQUEST_MS = 0.5;
 
     /**
-     * How much more a token counts that is read a second time in the fleet than one that must be
-     * read: it delays the requests of all others at its upstream, and is charged for.
+     * The weight of a token that is cached at another upstream and would be read a second time,
+     * compared to a token that has to be read anyway. Reading it again delays all other requests at
+     * the upstream and is billed.
      */
     private static final double REPEATED_PREFILL_WEIGHT = 3.0;
 
-    /** What a certain failure costs in the comparison, in milliseconds: about a repeated wait. */
+    /**
+     * The cost of a certain failure when upstreams are compared, in milliseconds: about the wait of
+     * a second attempt.
+     */
     private static final double FAILURE_COST_MS = 3_000;
 
-    /** Breaks ties between upstreams at random, in milliseconds. */
+    /** The upper bound of the random cost that breaks ties between upstreams, in milliseconds. */
     private static final double MAX_TIE_BREAK_MS = 4.0;
 
     private final Map<String, UpstreamInstance> mById = new HashMap<>();
@@ -61,18 +65,18 @@
     private final RandomGenerator mRandom;
     private final IntSupplier mVms;
 
-    /** Makes an empty board for upstreams of which nothing is known but their entries. */
+    /** Creates an empty registry for upstreams without signals and rate limits. */
     public UpstreamRegistry(RandomGenerator random, IntSupplier vms) {
         this(random, vms, new SignalTable(), SendGate.OPEN);
     }
 
     /**
-     * Makes an empty board.
+     * Creates an empty registry.
      *
-     * @param random spreads ties
+     * @param random breaks ties
      * @param vms how many VMs send requests to the upstreams
-     * @param signals what upstreams have said of themselves
-     * @param gate tells which upstreams take no more requests for now
+     * @param signals the signals of upstreams' answers
+     * @param gate decides which upstreams get no requests because of their rate limits
      */
     public UpstreamRegistry(
             RandomGenerator random, IntSupplier vms, SignalTable signals, SendGate gate) {
@@ -82,12 +86,12 @@
         mGate = gate;
     }
 
-    /** Returns what the other VMs have in progress. */
+    /** Returns the load that the other VMs reported. */
     FleetLoad fleetLoad() {
         return mFleetLoad;
     }
 
-    /** Returns what this VM has in progress. */
+    /** Returns this VM's own load, for the other VMs. */
     InFlightReport inFlight() {
         return new InFlightReport(
                 mById.values().stream()
@@ -98,11 +102,11 @@
     }
 
     /**
-     * Takes an entry as the platform shows it.
+     * Applies an upstream's entry as read from the platform.
      *
      * @param nowMs the present time in milliseconds
      * @param entry the entry
-     * @return what became of it
+     * @return how the entry was handled
      */
     public EntryResult onEntry(long nowMs, UpstreamEntry entry) {
         UpstreamInstance current = mById.get(entry.id());
@@ -144,18 +148,18 @@
         mByService.computeIfAbsent(entry.service(), s -> new ArrayList<>()).add(added);
     }
 
-    /** Takes an entry that can't be understood: it names no upstream, whatever it named before. */
+    /** Handles an entry that can't be parsed, like the removal of the entry. */
     public void onUnreadableEntry(long nowMs, String id) {
         onRemoved(nowMs, id, false);
     }
 
     /**
-     * Takes the removal of an entry.
+     * Handles the removal of an entry.
      *
      * @param nowMs the present time in milliseconds
      * @param id the upstream's identity
-     * @param afterOutage whether the platform was out of reach a moment ago, so that entries may
-     *     have lapsed which will be back
+     * @param afterOutage whether the platform was unreachable shortly before, so that the entry may
+     *     have expired and will be written again
      */
     public void onRemoved(long nowMs, String id, boolean afterOutage) {
         UpstreamInstance current = mById.get(id);
@@ -164,7 +168,9 @@
         }
     }
 
-    /** Takes an incarnation out of use for new requests, for good, if it is listed. */
+    /**
+     * Permanently stops new requests to an incarnation, if it is the current one of its upstream.
+     */
     void markLeaving(UpstreamIncarnation upstream) {
         UpstreamInstance current = mById.get(upstream.upstream());
         if (current != null && current.incarnation().equals(upstream)) {
@@ -172,7 +178,9 @@
         }
     }
 
-    /** Returns the upstreams that leave, and whose entries don't say so. */
+    /**
+     * Returns the upstreams that are leaving according to their answers but not to their entries.
+     */
     List<UpstreamIncarnation> leavingByAnswerOnly(long nowMs) {
         return mById.values().stream()
                 .filter(i -> i.isLeaving() && !i.entry().leaving() && !i.isGone(nowMs))
@@ -180,7 +188,7 @@
                 .toList();
     }
 
-    /** Returns the listed upstreams that have named a rate limit. */
+    /** Returns the registered upstreams that have a rate limit. */
     public Set<String> rateLimited() {
         return mById.values().stream()
                 .filter(i -> mSignals.get(i.incarnation()).rateLimit().hasLimit())
@@ -188,12 +196,16 @@
                 .collect(Collectors.toSet());
     }
 
-    /** Takes the word of whoever listens at an address that it is not this upstream. */
+    /**
+     * Marks an upstream as gone because the server at its address answered that it is another one.
+     */
     public void onIdentityMismatch(long nowMs, UpstreamInstance instance) {
         instance.markGoneAt(nowMs);
     }
 
-    /** Forgets upstreams that are gone and have no request in progress. */
+    /**
+     * Removes upstreams that are gone and have no request in progress, and discards expired state.
+     */
     public void tick(long nowMs) {
         mFormer.tick(nowMs);
         mFleetLoad.tick(nowMs);
@@ -212,9 +224,9 @@
     }
 
     /**
-     * Returns the upstreams of a service that may get requests. Where half of them tell their
-     * incarnation, an entry that does not is not an upstream's own; where few do, those few may be
-     * another writer's, and take nobody else out of use.
+     * Returns the upstreams of a service that may get requests. If at least half of them state
+     * their incarnation, entries without one are left out, since upstreams did not write them. If
+     * fewer do, those entries may come from another writer and must not exclude the rest.
      */
     private List<UpstreamInstance> selectable(long nowMs, String service) {
         List<UpstreamInstance> all = mByService.getOrDefault(service, List.of());
@@ -239,8 +251,8 @@
      *
      * @param nowMs the present time in milliseconds
      * @param service the service
-     * @param prompt what the request reads
-     * @param tried upstreams that may not be chosen, since the request was sent to them before
+     * @param prompt the request's prompt
+     * @param tried upstreams to which the request was sent before, which are not chosen again
      */
     public Optional<UpstreamChoice> choose(
             long nowMs, ServiceSpec service, Prompt prompt, Set<String> tried) {
@@ -252,24 +264,25 @@
     }
 
     /**
-     * Returns when the first upstream of a service wants requests again, where all have asked for a
-     * pause.
+     * Returns the time until the first upstream of a service accepts requests again, if all of them
+     * have requested a pause.
      *
      * @param nowMs the present time in milliseconds
      * @param service the service's name
-     * @return the time in milliseconds from now on; empty where no pause keeps requests from it
+     * @return the time in milliseconds from now; empty if at least one upstream has requested no
+     *     pause
      */
     public OptionalLong requestedPauseLeftMs(long nowMs, String service) {
         return shortestWait(nowMs, service, i -> i.requestedPauseLeftMs(nowMs));
     }
 
     /**
-     * Returns when the first upstream of a service takes requests again, where pauses and used-up
-     * rate limits keep requests from all.
+     * Returns the time until the first upstream of a service may get requests again, if requested
+     * pauses and used-up rate limits block all of them.
      *
      * @param nowMs the present time in milliseconds
      * @param service the service's name
-     * @return the time in milliseconds from now on; empty where one takes requests now
+     * @return the time in milliseconds from now; empty if at least one upstream is not blocked
      */
     public OptionalLong unavailableForMs(long nowMs, String service) {
         return shortestWait(
@@ -289,7 +302,10 @@
                 .findFirst();
     }
 
-    /** Returns the cheapest that is not paused; where all are, the cheapest of them. */
+    /**
+     * Returns the upstream with the lowest cost that is not paused; if all are paused, the one with
+     * the lowest cost.
+     */
     private Optional<UpstreamInstance> cheapest(
             long nowMs,
             ServiceSpec service,
@@ -319,7 +335,10 @@
         return Optional.ofNullable(cheapest);
     }
 
-    /** Returns where the shared parts of a prompt most likely lie: the same upstream on all VMs. */
+    /**
+     * Returns the upstream that most likely has the shared parts of a prompt cached. Rendezvous
+     * hashing makes all VMs choose the same one.
+     */
     private static Optional<UpstreamInstance> cacheHolder(
             Prompt prompt, List<UpstreamInstance> instances) {
         long key = prompt.sharedHash();
@@ -362,7 +381,10 @@
                 + commonCost(nowMs, each);
     }
 
-    /** Returns by how much the own load is multiplied, for the VMs that are not heard. */
+    /**
+     * Returns the factor for this VM's own load, which also stands for the VMs whose reports are
+     * missing.
+     */
     private double ownWeight() {
         int others = Math.max(1, mVms.getAsInt() - 1);
         double unreportedShare = Math.max(0, 1 - (double) mFleetLoad.reportingVms() / others);
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/UpstreamSignals.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/UpstreamSignals.java
@@ -1,23 +1,23 @@
 package org.hornbeampass.coordination.service;
 
 /**
- * What the answers of one incarnation of an upstream have said of the upstream itself.
+ * The signals about an upstream in the answers of one of its incarnations.
  *
  * <p>Immutable; safe for use by any thread.
  *
- * @param leaving whether it leaves, which it never takes back
- * @param rateLimit how many requests it takes from the whole fleet
+ * @param leaving whether it is leaving; once true, this stays true
+ * @param rateLimit its rate limit for the whole fleet
  */
 public record UpstreamSignals(boolean leaving, RateLimit rateLimit) {
-    /** What is known before any answer. */
+    /** The state before any answer. */
     public static final UpstreamSignals NONE = new UpstreamSignals(false, RateLimit.UNKNOWN);
 
-    /** Returns what holds after both, whatever their order. */
+    /** Returns the signals that result from both; the order of the two does not matter. */
     UpstreamSignals merge(UpstreamSignals other) {
         return new UpstreamSignals(leaving || other.leaving, rateLimit.merge(other.rateLimit));
     }
 
-    /** Returns whether it restricts what the upstream may be sent. */
+    /** Returns whether the signals restrict the requests that may be sent to the upstream. */
     boolean restricts() {
         return leaving || rateLimit.hasLimit();
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/package-info.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/package-info.java
@@ -1,2 +1,2 @@
-/** Decides which route, organisation, upstream and retry a request gets. */
+/** Selects the route, organisation and upstream of a request, and decides on its retries. */
 package org.hornbeampass.coordination.service;
--- a/coordination/src/main/java/org/hornbeampass/coordination/upstream/Distance.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/upstream/Distance.java
@@ -3,7 +3,7 @@
 import org.hornbeampass.state.config.UpstreamSpec;
 
 /**
- * How far an upstream is from this VM, with the round trip that a choice reckons with.
+ * How far an upstream is from this VM, with the round-trip time that routing assumes.
  *
  * <p>Immutable; safe for use by any thread.
  */
@@ -21,7 +21,7 @@
         mRoundTripMs = roundTripMs;
     }
 
-    /** Returns the round trip in milliseconds. */
+    /** Returns the assumed round-trip time in milliseconds. */
     public double roundTripMs() {
         return mRoundTripMs;
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/upstream/IncarnationTracker.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/upstream/IncarnationTracker.java
@@ -5,11 +5,11 @@
 import java.util.Optional;
 
 /**
- * Decides whether an upstream may get new work, from evidence about its lives.
+ * Decides whether an upstream may get new work, based on evidence about its incarnations.
  *
- * <p>Invariants: the known incarnation and the last ended incarnation only grow; an ended life
- * never gets new work again, so only a greater incarnation brings the upstream back. Guarded by the
- * table's lock.
+ * <p>Invariants: the newest known and the last ended incarnation number never decrease; an ended
+ * incarnation never gets new work again, so that only a greater incarnation makes the upstream live
+ * again. Guarded by {@link UpstreamTable#lock()}.
  */
 final class IncarnationTracker {
     private static final long NONE = -1;
@@ -24,30 +24,32 @@
         mLiveSinceMs = nowMs;
     }
 
-    /** Returns whether this life may get new work. */
+    /** Returns whether the newest known incarnation may get new work. */
     boolean isLive() {
         return mIncarnation > mLastEnded;
     }
 
-    /** Returns the greatest incarnation that was heard of. */
+    /** Returns the newest known incarnation. */
     long incarnation() {
         return mIncarnation;
     }
 
-    /** Returns when this life began as far as this VM knows, in milliseconds. */
+    /** Returns when this VM first learned of the newest incarnation, in milliseconds. */
     long liveSinceMs() {
         return mLiveSinceMs;
     }
 
-    /** Returns what ended the last life that ended; empty where none did. */
+    /**
+     * Returns the evidence for the end of the last ended incarnation; empty where none has ended.
+     */
     Optional<Evidence> endEvidence() {
         return mEndEvidence;
     }
 
     /**
-     * Notes that a life was seen.
+     * Records that an incarnation was seen.
      *
-     * @return whether it is the newest life; news of an earlier one is to be ignored
+     * @return whether it is the newest known incarnation; state of an earlier one must be ignored
      */
     boolean onSeen(long nowMs, long incarnation) {
         if (incarnation < mIncarnation) {
@@ -60,7 +62,10 @@
         return true;
     }
 
-    /** Ends a life and all earlier ones. Returns whether the present life ended just now. */
+    /**
+     * Ends an incarnation and all earlier ones. Returns whether the upstream stopped being live by
+     * this call.
+     */
     boolean onEnded(long nowMs, long incarnation, Evidence evidence) {
         boolean wasLive = isLive();
         onSeen(nowMs, incarnation);
@@ -71,15 +76,16 @@
         return wasLive && !isLive();
     }
 
-    /** Notes that a list newer than all before shows a life. */
+    /** Records that a list newer than all previous ones contains an incarnation. */
     void onListed(long nowMs, long incarnation) {
         mLastListed = Math.max(mLastListed, incarnation);
         onSeen(nowMs, incarnation);
     }
 
     /**
-     * Notes that a list newer than all before does not show the upstream: the life that an earlier
-     * list showed has ended; one that no list ever showed may be too new for it.
+     * Records that a list newer than all previous ones does not contain the upstream. This ends the
+     * incarnation that an earlier list contained; an incarnation that no list has contained yet may
+     * be newer than this list. Returns whether the upstream stopped being live by this call.
      */
     boolean onNotListed(long nowMs) {
         return mLastListed != NONE && onEnded(nowMs, mLastListed, Evidence.LIST);
--- a/coordination/src/main/java/org/hornbeampass/coordination/upstream/LoadEstimate.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/upstream/LoadEstimate.java
@@ -3,11 +3,12 @@
 import org.hornbeampass.state.upstream.LoadReport;
 
 /**
- * Estimates an upstream's load from this VM's own requests and from the upstream's late reports.
+ * Estimates an upstream's load from this VM's own requests and from the upstream's delayed load
+ * reports.
  *
- * <p>Own requests count at once. A report is a hint: what this VM had in flight when the report was
- * made is subtracted, so that the rest is the load of others, and the rest counts less as the
- * report ages. Guarded by the table's lock.
+ * <p>Own requests count at once. The load of others is estimated from a report by subtracting the
+ * requests that this VM had in flight when the report was made; its weight decreases as the report
+ * ages. Guarded by {@link UpstreamTable#lock()}.
  */
 public final class LoadEstimate {
     private static final int HISTORY_SIZE = 128;
@@ -32,32 +33,35 @@
     private long mLastProgressMs = Long.MIN_VALUE;
     private long mAwaitingSinceMs = Long.MAX_VALUE;
 
-    /** Returns this VM's own requests in progress there. */
+    /** Returns the number of this VM's requests in progress there. */
     public int inFlight() {
         return mInFlight;
     }
 
-    /** Returns this VM's own requests there that have not had their first token. */
+    /** Returns the number of this VM's requests there that have not received their first token. */
     public int awaitingFirstToken() {
         return mAwaitingFirstToken;
     }
 
-    /** Returns running and waiting requests as last reported, however old; 0 without a report. */
+    /**
+     * Returns the running and waiting requests of the last report, regardless of its age; 0 without
+     * a report.
+     */
     public int reported() {
         return mReportedLoad;
     }
 
-    /** Returns whether any report arrived. */
+    /** Returns whether any report has been received. */
     public boolean hasReport() {
         return mReportedAtMs != Long.MIN_VALUE;
     }
 
-    /** Returns the load by others when the last report was made. */
+    /** Returns the load of others at the time of the last report, in requests. */
     public int othersLoad() {
         return mOthersLoad;
     }
 
-    /** Returns how much the last report counts now, from 1 (fresh) towards 0 (old). */
+    /** Returns the weight of the last report, from 1 (new) down to 0 (old, or no report). */
     public double reportWeight(long nowMs) {
         if (!hasReport()) {
             return 0;
@@ -65,19 +69,22 @@
         return 1 / (1 + Math.max(0, nowMs - mReportedAtMs) / REPORT_HALF_WEIGHT_AGE_MS);
     }
 
-    /** Returns the smoothed time to first token per request in progress; 0 before the first. */
+    /**
+     * Returns the smoothed time to first token per request in progress, in milliseconds; 0 before
+     * the first token.
+     */
     public double msPerRequest() {
         return mMsPerRequest;
     }
 
-    /** Returns the smoothed time to first token in milliseconds; 0 before the first. */
+    /** Returns the smoothed time to first token in milliseconds; 0 before the first token. */
     public double firstTokenMs() {
         return mFirstTokenMs;
     }
 
     /**
-     * Returns for how long requests have waited there without any sign of progress, in
-     * milliseconds; 0 where none waits.
+     * Returns for how long requests have waited there without any progress, in milliseconds; 0
+     * where none is waiting for its first token.
      */
     public long silentMs(long nowMs) {
         if (mAwaitingFirstToken == 0) {
@@ -86,22 +93,25 @@
         return Math.max(0, nowMs - Math.max(mAwaitingSinceMs, mLastProgressMs));
     }
 
-    /** Returns the smoothed longest gaps between parts of answers, in milliseconds. */
+    /**
+     * Returns the smoothed longest gap between the parts of an answer, in milliseconds; 0 where
+     * none is known.
+     */
     public double gapMs() {
         return mGapMs;
     }
 
     /**
      * Returns when any request of this VM last made progress there, in milliseconds; {@code
-     * Long.MIN_VALUE} where none did.
+     * Long.MIN_VALUE} where none has.
      */
     public long lastProgressMs() {
         return mLastProgressMs;
     }
 
     /**
-     * Returns whether reports came regularly and have stopped: the upstream may be dead,
-     * unreachable or frozen.
+     * Returns whether reports arrived regularly and have stopped: the upstream may have failed, be
+     * unreachable or hang.
      */
     public boolean reportsStopped(long nowMs) {
         return mReportIntervalMs > 0
@@ -109,13 +119,16 @@
                         > Math.max(MIN_REPORT_GAP_MS, REPORT_GAP_RATIO * mReportIntervalMs);
     }
 
-    /** Learns that an answer goes on, and the longest gap between its parts of late. */
+    /**
+     * Records progress of an answer and the longest recent gap between its parts; 0 leaves the gap
+     * unchanged.
+     */
     void onProgress(long nowMs, long longestGapMs) {
         mLastProgressMs = Math.max(mLastProgressMs, nowMs);
         mGapMs = longestGapMs > 0 ? smooth(mGapMs, (double) longestGapMs) : mGapMs;
     }
 
-    /** Counts a request that was chosen to go there. */
+    /** Counts a request that was routed to this upstream. */
     void onStarted(long nowMs) {
         mInFlight++;
         mAwaitingFirstToken++;
@@ -126,9 +139,9 @@
     }
 
     /**
-     * Learns from a first token.
+     * Records a first token.
      *
-     * @param loadAtStart the estimated load when the request was sent, itself not counted
+     * @param loadAtStart the estimated load when the request was sent, without the request itself
      */
     void onFirstToken(long nowMs, double waitedMs, double loadAtStart) {
         mAwaitingFirstToken--;
@@ -137,7 +150,7 @@
         mMsPerRequest = smooth(mMsPerRequest, waitedMs / (loadAtStart + 1));
     }
 
-    /** Counts a request that ended. */
+    /** Records the end of a request. */
     void onEnded(long nowMs, boolean awaitedFirstToken, boolean progress) {
         if (awaitedFirstToken) {
             mAwaitingFirstToken--;
@@ -149,8 +162,8 @@
         recordInFlight(nowMs);
     }
 
-    /** Takes a report; one older than the last is ignored. */
-    void reported(long nowMs, LoadReport report) {
+    /** Applies a load report; a report older than the last one is ignored. */
+    void onReport(long nowMs, LoadReport report) {
         if (mReportReceivedAtMs != Long.MIN_VALUE && nowMs > mReportReceivedAtMs) {
             mReportIntervalMs = smooth(mReportIntervalMs, (double) (nowMs - mReportReceivedAtMs));
         }
@@ -163,7 +176,7 @@
         mOthersLoad = Math.max(0, mReportedLoad - inFlightAt(report.reportedAtMs()));
     }
 
-    /** Forgets reports and latencies, since another life began. */
+    /** Discards reports and latencies because a new incarnation has started. */
     void reset() {
         mReportedAtMs = Long.MIN_VALUE;
         mReportReceivedAtMs = Long.MIN_VALUE;
@@ -173,7 +186,7 @@
         resetLatency();
     }
 
-    /** Forgets latencies, so that an upstream that was ejected for them is judged anew. */
+    /** Discards latencies, so that an upstream that was ejected for them is measured again. */
     void resetLatency() {
         mMsPerRequest = 0;
         mFirstTokenMs = 0;
--- a/coordination/src/main/java/org/hornbeampass/coordination/upstream/OutlierDetector.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/upstream/OutlierDetector.java
@@ -4,12 +4,13 @@
 import org.hornbeampass.coordination.upstream.UpstreamHealth.State;
 
 /**
- * Decides when a bad upstream is ejected from its group.
+ * Outlier ejection: decides when a failing or slow upstream is ejected from its group.
  *
- * <p>Reasons are failures in a row, a high share of failures, and a time to first token far above
- * the group's. Invariant: an ejection never takes the ejected share of the group's live members
- * above {@link #MAX_EJECTED_SHARE}; a failed probe of an upstream that is out already takes no
- * more. Stateless; runs under the table's lock.
+ * <p>An upstream is ejected for consecutive failures, for a high share of failures, or for a time
+ * to first token far above that of its group. Invariant: an ejection never raises the ejected share
+ * of the group's live members above {@link #MAX_EJECTED_SHARE}; a failed probe may always extend an
+ * ejection, since it ejects no further upstream. Stateless; the caller holds {@link
+ * UpstreamTable#lock()}.
  */
 public final class OutlierDetector {
     /** The largest share of a group's live members that is ejected at once. */
@@ -22,7 +23,7 @@
     private static final double MAX_LATENCY_RATIO = 6;
     private static final double MIN_LATENCY_EXCESS_MS = 500;
 
-    /** Learns from an attempt's outcome and ejects the upstream where that is due. */
+    /** Records an attempt's outcome and ejects the upstream if it fails too often. */
     public void onOutcome(
             long nowMs, UpstreamGroup group, UpstreamState upstream, AttemptOutcome outcome) {
         UpstreamHealth health = upstream.health();
@@ -40,7 +41,7 @@
         }
     }
 
-    /** Learns from a first token and ejects the upstream where it is far slower than its group. */
+    /** Ejects the upstream after a first token if it is far slower than its group. */
     public void onFirstToken(long nowMs, UpstreamGroup group, UpstreamState upstream) {
         double ownMs = upstream.load().firstTokenMs();
         if (ownMs < MIN_LATENCY_EXCESS_MS || upstream.health().state(nowMs) != State.HEALTHY) {
--- a/coordination/src/main/java/org/hornbeampass/coordination/upstream/Placement.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/upstream/Placement.java
@@ -6,7 +6,7 @@
 import java.util.Objects;
 
 /**
- * Names a VM and says where it is, from its settings.
+ * A VM's name and location, from its settings.
  *
  * <p>Immutable; safe for use by any thread.
  *
@@ -15,7 +15,7 @@
  * @param region its region
  */
 public record Placement(String vmName, FailureDomain domain, Region region) {
-    /** Checks that no part is missing. */
+    /** Rejects null components. */
     public Placement {
         Objects.requireNonNull(vmName, "vmName");
         Objects.requireNonNull(domain, "domain");
--- a/coordination/src/main/java/org/hornbeampass/coordination/upstream/PrefixCacheEstimate.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/upstream/PrefixCacheEstimate.java
@@ -6,12 +6,12 @@
 import org.hornbeampass.state.upstream.PrefixDigests;
 
 /**
- * Holds which prefixes an upstream is believed to have cached.
+ * Estimates which prompt prefixes an upstream has cached.
  *
- * <p>Belief comes from the upstream's late cache events and from this VM's own requests. A gap in
- * the events drops all belief, since an eviction may have been missed. Invariant: at most a fixed
- * number of blocks is held; the oldest belief is dropped first, and of one prompt its end. Guarded
- * by the table's lock.
+ * <p>The estimate is based on the upstream's delayed cache events and on this VM's own requests. A
+ * gap in the events clears it, since an eviction may have been missed. Invariant: it holds at most
+ * a fixed number of blocks; the oldest are removed first, and within one prompt the last ones.
+ * Guarded by {@link UpstreamTable#lock()}.
  */
 final class PrefixCacheEstimate {
     private static final long UNKNOWN_SEQUENCE = -1;
@@ -26,7 +26,7 @@
         mInsertionOrder = new long[maxBlocks];
     }
 
-    /** Returns how many leading blocks of a prompt are believed to be cached. */
+    /** Returns the estimated number of leading blocks of a prompt that are cached. */
     int matchingBlocks(PrefixDigests prefix) {
         int low = 0;
         int high = prefix.size();
@@ -44,14 +44,17 @@
         return low + 1;
     }
 
-    /** Believes the whole of a prompt to be cached, since a request of this VM just ran there. */
+    /** Assumes that a whole prompt is cached, since a request of this VM has just run there. */
     void onServed(PrefixDigests prefix) {
         for (int i = prefix.size() - 1; i >= 0; i--) {
             add(prefix.at(i));
         }
     }
 
-    /** Applies events; those before the next expected number are repeats and are skipped. */
+    /**
+     * Applies events; events before the next expected sequence number are duplicates and are
+     * skipped.
+     */
     void apply(CacheEvents batch) {
         long sequence = batch.firstSequence();
         if (mNextSequence != UNKNOWN_SEQUENCE && sequence > mNextSequence) {
@@ -67,13 +70,13 @@
         mNextSequence = Math.max(mNextSequence, sequence);
     }
 
-    /** Drops all belief and the place in the events, since another life began. */
+    /** Clears the estimate and the sequence number because a new incarnation has started. */
     void reset() {
         clear();
         mNextSequence = UNKNOWN_SEQUENCE;
     }
 
-    /** Returns how many gaps were met. */
+    /** Returns the number of gaps in the events so far. */
     long gaps() {
         return mGaps;
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/upstream/RoutingSettings.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/upstream/RoutingSettings.java
@@ -6,8 +6,9 @@
  * <p>Immutable; safe for use by any thread.
  *
  * @param subsetSize the largest number of upstreams of one model that a VM sends to
- * @param maxCachedBlocks the largest number of cached blocks that are remembered per upstream
- * @param adaptiveLimits whether limits per upstream follow the latency gradient
+ * @param maxCachedBlocks the largest number of blocks per upstream that the estimate of its cache
+ *     holds
+ * @param adaptiveLimits whether concurrency limits per upstream adapt to the latency gradient
  */
 public record RoutingSettings(int subsetSize, int maxCachedBlocks, boolean adaptiveLimits) {
     private static final int DEFAULT_SUBSET_SIZE = 64;
@@ -16,11 +17,11 @@
     /** Checks the bounds. */
     public RoutingSettings {
         if (subsetSize < 1 || maxCachedBlocks < 1) {
-            throw new IllegalArgumentException("subsetSize and maxBelievedBlocks must be positive");
+            throw new IllegalArgumentException("subsetSize and maxCachedBlocks must be positive");
         }
     }
 
-    /** Returns the settings that hold where none are given. */
+    /** Returns the default settings. */
     public static RoutingSettings defaults() {
         return new RoutingSettings(DEFAULT_SUBSET_SIZE, DEFAULT_MAX_CACHED_BLOCKS, true);
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/upstream/UpstreamGroup.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/upstream/UpstreamGroup.java
@@ -8,10 +8,10 @@
 /**
  * The upstreams of one model or service that this VM sends to.
  *
- * <p>Invariant: it holds at most the configured subset of live upstreams, taken by rendezvous
- * hashing of the VM's and the upstreams' names, half of it from the VM's own failure domain where
- * that has enough. Its members never change; the table replaces the group. The members' state is
- * guarded by the table's lock.
+ * <p>Invariant: it holds at most the configured number of live upstreams, selected by rendezvous
+ * hashing of the VM's and the upstreams' names, half of them from the VM's own failure domain if
+ * that has enough. The members of a group never change; the table replaces the group. Their state
+ * is guarded by {@link UpstreamTable#lock()}.
  */
 public final class UpstreamGroup {
     private static final long MAX_MEAN_AGE_MS = 50;
@@ -29,7 +29,7 @@
         }
     }
 
-    /** Returns a VM's subset of the candidates. */
+    /** Returns the group with a VM's subset of the candidates. */
     static UpstreamGroup of(String vmName, List<UpstreamState> candidates, int subsetSize) {
         if (candidates.size() <= subsetSize) {
             List<UpstreamState> all = new ArrayList<>(candidates);
@@ -68,7 +68,8 @@
     }
 
     /**
-     * Returns the member that ranks first for a key by rendezvous hashing; there is one at least.
+     * Returns the index of the member that ranks first for a key by rendezvous hashing; the group
+     * must not be empty.
      */
     public int firstRanked(long key) {
         int best = 0;
@@ -84,8 +85,8 @@
     }
 
     /**
-     * Returns the members' mean time to first token, at most {@value #MAX_MEAN_AGE_MS} ms old; 0
-     * where none is known.
+     * Returns the members' mean time to first token in milliseconds, cached for at most {@value
+     * #MAX_MEAN_AGE_MS} ms; 0 where none is known.
      */
     public double meanFirstTokenMs(long nowMs) {
         if (mMeanAtMs == Long.MIN_VALUE || nowMs - mMeanAtMs >= MAX_MEAN_AGE_MS) {
@@ -95,14 +96,17 @@
         return mMeanFirstTokenMs;
     }
 
-    /** Returns the mean time to first token of the other members; 0 where none is known. */
+    /**
+     * Returns the mean time to first token of the other members in milliseconds; 0 where none is
+     * known.
+     */
     double meanFirstTokenMs(UpstreamState except) {
         return meanFirstTokenMs(Optional.of(except));
     }
 
     /**
-     * Returns whether at most half of the members' reports have stopped: where more have, the news
-     * is broken rather than the upstreams.
+     * Returns whether the reports of at most half of the members have stopped. If more have, the
+     * delivery of reports has failed rather than the upstreams.
      */
     public boolean areReportsReliable(long nowMs) {
         int stopped = 0;
@@ -112,7 +116,10 @@
         return stopped * 2 <= mMembers.length;
     }
 
-    /** Returns the members' mean gap between parts of answers; 0 where none is known. */
+    /**
+     * Returns the members' mean gap between the parts of answers in milliseconds; 0 where none is
+     * known.
+     */
     public double meanGapMs() {
         double sum = 0;
         int known = 0;
--- a/coordination/src/main/java/org/hornbeampass/coordination/upstream/UpstreamHealth.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/upstream/UpstreamHealth.java
@@ -3,11 +3,11 @@
 import org.hornbeampass.coordination.limit.AttemptOutcome;
 
 /**
- * Holds one upstream's failures, ejection and recovery as this VM sees them.
+ * Tracks one upstream's failures, ejection and recovery as this VM sees them.
  *
- * <p>Invariants: an ejected upstream gets nothing until its time is up, then one request at a time
- * until enough of them succeed; each ejection that follows without recovery lasts twice as long, up
- * to a bound. Guarded by the table's lock.
+ * <p>Invariants: an ejected upstream gets no requests until the ejection expires, and then one
+ * request at a time until enough of them have succeeded; each further ejection without a recovery
+ * in between lasts twice as long, up to a bound. Guarded by {@link UpstreamTable#lock()}.
  */
 public final class UpstreamHealth {
     private static final int WINDOW_MS = 10_000;
@@ -16,13 +16,13 @@
     private static final int MAX_DOUBLINGS = 4;
     private static final double ERROR_SMOOTHING = 0.1;
 
-    /** Whether an upstream gets work. */
+    /** Whether an upstream gets requests. */
     public enum State {
-        /** It gets work. */
+        /** It gets requests. */
         HEALTHY,
-        /** It gets none. */
+        /** It gets no requests. */
         EJECTED,
-        /** It gets one request at a time. */
+        /** It gets one request at a time, to find out whether it has recovered. */
         PROBING
     }
 
@@ -40,7 +40,7 @@
     private int mPreviousFailures;
     private double mErrorShare;
 
-    /** Returns the state; an ejection whose time is up turns into probing. */
+    /** Returns the state; an expired ejection changes to probing. */
     public State state(long nowMs) {
         if (mState == State.EJECTED && nowMs >= mEjectedUntilMs) {
             mState = State.PROBING;
@@ -49,18 +49,18 @@
         return mState;
     }
 
-    /** Returns whether a further request may be sent. */
+    /** Returns whether another request may be sent while {@code inFlight} are in progress. */
     public boolean admits(long nowMs, int inFlight) {
         State state = state(nowMs);
         return state == State.HEALTHY || (state == State.PROBING && inFlight == 0);
     }
 
-    /** Returns failures in a row. */
+    /** Returns the number of consecutive failures. */
     public int consecutiveFailures() {
         return mConsecutiveFailures;
     }
 
-    /** Returns failures in a row in which no connection could be made. */
+    /** Returns the number of consecutive failures in which the upstream was unreachable. */
     public int consecutiveUnreachable() {
         return mConsecutiveUnreachable;
     }
@@ -75,19 +75,19 @@
         return mRecoveredAtMs;
     }
 
-    /** Returns outcomes seen in the last {@value #WINDOW_MS} to twice as many milliseconds. */
+    /** Returns the number of outcomes in this and the previous window of {@value #WINDOW_MS} ms. */
     int recentOutcomes(long nowMs) {
         rotateWindow(nowMs);
         return mOutcomes + mPreviousOutcomes;
     }
 
-    /** Returns failures in the same time. */
+    /** Returns the number of failures in the same time. */
     int recentFailures(long nowMs) {
         rotateWindow(nowMs);
         return mFailures + mPreviousFailures;
     }
 
-    /** Counts an outcome. */
+    /** Records an outcome. */
     void record(long nowMs, AttemptOutcome outcome) {
         rotateWindow(nowMs);
         if (outcome.upstreamFailed()) {
@@ -109,7 +109,7 @@
         mPreviousFailures = 0;
     }
 
-    /** Forgets all failures, since another life began. */
+    /** Discards all failures because a new incarnation has started. */
     void reset(long nowMs) {
         mState = State.HEALTHY;
         mEjections = 0;
--- a/coordination/src/main/java/org/hornbeampass/coordination/upstream/UpstreamState.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/upstream/UpstreamState.java
@@ -10,9 +10,9 @@
 import java.util.Optional;
 
 /**
- * All that this VM knows of one upstream.
+ * The state of one upstream as this VM knows it.
  *
- * <p>Guarded by the table's lock, {@link UpstreamTable#lock()}.
+ * <p>Guarded by {@link UpstreamTable#lock()}.
  */
 public final class UpstreamState {
     private static final double SLOW_START_MS = 10_000;
@@ -45,22 +45,22 @@
         return mSpec;
     }
 
-    /** Returns how far it is. */
+    /** Returns its distance from this VM. */
     public Distance distance() {
         return mDistance;
     }
 
-    /** Returns whether it may get new work as far as its life goes. */
+    /** Returns whether its newest known incarnation may get new work. */
     public boolean isLive() {
         return mIncarnations.isLive();
     }
 
-    /** Returns the newest incarnation that was heard of. */
+    /** Returns the newest known incarnation. */
     public long incarnation() {
         return mIncarnations.incarnation();
     }
 
-    /** Returns its load. */
+    /** Returns the estimate of its load. */
     public LoadEstimate load() {
         return mLoad;
     }
@@ -70,24 +70,24 @@
         return mHealth;
     }
 
-    /** Returns how many requests this VM may have in progress there. */
+    /** Returns the limit of this VM's requests in progress there. */
     public ConcurrencyLimit limit() {
         return mLimit;
     }
 
-    /** Returns its last report; empty where none came in this life. */
+    /** Returns the last load report; empty where this incarnation has sent none. */
     public Optional<LoadReport> report() {
         return mReport;
     }
 
-    /** Returns how many leading blocks of a prompt are believed to be cached there. */
+    /** Returns the estimated number of leading blocks of a prompt that are cached there. */
     public int matchingBlocks(PrefixDigests prefix) {
         return mCachedPrefixes.matchingBlocks(prefix);
     }
 
     /**
-     * Returns whether it can serve a target: what its last report says is ready, or what is
-     * configured where no report came yet.
+     * Returns whether it can serve a target: for a model, according to its last load report, or to
+     * its settings while there is no report.
      */
     public boolean serves(WorkTarget target) {
         if (target.service().isPresent()) {
@@ -102,18 +102,21 @@
                         || report.readyAdapters().contains(target.adapter().get()));
     }
 
-    /** Returns the share of full work that a new or recovered upstream may get, from 0.1 to 1. */
+    /**
+     * Returns the share of its full load that a new or recovered upstream may get, from 0.1 to 1
+     * (slow start).
+     */
     public double slowStartWeight(long nowMs) {
         long sinceMs = Math.max(mIncarnations.liveSinceMs(), mHealth.recoveredAtMs());
         return Math.min(1, INITIAL_WEIGHT + Math.max(0, nowMs - sinceMs) / SLOW_START_MS);
     }
 
-    /** Counts a request that was chosen to go there. */
+    /** Counts a request that was routed to this upstream. */
     public void onStarted(long nowMs) {
         mLoad.onStarted(nowMs);
     }
 
-    /** Learns from a first token, after which the prompt is believed to be cached. */
+    /** Records a first token, after which the prompt is assumed to be cached. */
     public void onFirstToken(
             long nowMs, long startedAtMs, double loadAtStart, PrefixDigests prefix) {
         double waitedMs = (double) (nowMs - startedAtMs);
@@ -122,12 +125,12 @@
         mCachedPrefixes.onServed(prefix);
     }
 
-    /** Learns that an answer goes on, and the longest gap between its parts of late. */
+    /** Records progress of an answer and the longest recent gap between its parts. */
     public void onProgress(long nowMs, long gapMs) {
         mLoad.onProgress(nowMs, gapMs);
     }
 
-    /** Counts a request that ended. */
+    /** Records the end of a request. */
     public void onEnded(long nowMs, boolean awaitedFirstToken, boolean progress) {
         mLoad.onEnded(nowMs, awaitedFirstToken, progress);
     }
@@ -150,7 +153,7 @@
         boolean newer = mReport.map(r -> r.reportedAtMs() <= report.reportedAtMs()).orElse(true);
         if (newer) {
             mReport = Optional.of(report);
-            mLoad.reported(nowMs, report);
+            mLoad.onReport(nowMs, report);
         }
     }
 
--- a/coordination/src/main/java/org/hornbeampass/coordination/upstream/UpstreamStatus.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/upstream/UpstreamStatus.java
@@ -12,13 +12,13 @@
  * <p>Immutable; safe for use by any thread.
  *
  * @param id the upstream
- * @param live whether it may get new work as far as its life goes
- * @param endEvidence from where this VM knows that it is leaving
+ * @param live whether its newest known incarnation may get new work
+ * @param endEvidence the evidence that it is leaving; empty where it is live
  * @param incarnation its newest known incarnation
- * @param health whether it is ejected
+ * @param health its ejection state
  * @param inFlight this VM's requests in progress there
- * @param limit how many this VM may have in progress there
- * @param reportAgeMs the age of its last report in milliseconds
+ * @param limit the limit of this VM's requests in progress there
+ * @param reportAgeMs the age of its last load report in milliseconds; empty without a report
  */
 public record UpstreamStatus(
         UpstreamId id,
--- a/coordination/src/main/java/org/hornbeampass/coordination/upstream/UpstreamTable.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/upstream/UpstreamTable.java
@@ -22,13 +22,14 @@
 import java.util.Set;
 
 /**
- * Holds what this VM knows of each upstream: settings, life, load, cache and health.
+ * Holds this VM's state of each upstream: settings, incarnation, load, cache and health.
  *
- * <p>Invariants: an upstream gets new work only while it is configured and its newest known life
- * has not ended; any one of list, its own word or own evidence ends a life, and nothing revives it;
- * a list with a version that is not greater than the last one is ignored. Thread-safe: one lock,
- * {@link #lock()}, guards the table and all that hangs on it; it is a leaf in the order of locks,
- * and nothing is called back while it is held.
+ * <p>Invariants: an upstream gets new work only while it is configured and its newest known
+ * incarnation has not ended; an incarnation ends by the platform's list, the upstream's own report
+ * or this VM's own evidence, each of which is enough, and never becomes live again; a list whose
+ * version is not greater than the last one is ignored. Thread-safe: one lock, {@link #lock()},
+ * guards the table and all objects reachable from it. It is a leaf in the lock order, and no
+ * callbacks run while it is held.
  */
 public final class UpstreamTable {
     private final Object mLock = new Object();
@@ -46,7 +47,7 @@
     /**
      * Creates an empty table.
      *
-     * @param placement this VM's name and place
+     * @param placement this VM's name and location
      * @param settings its settings
      */
     public UpstreamTable(Placement placement, RoutingSettings settings) {
@@ -54,7 +55,7 @@
         mSettings = settings;
     }
 
-    /** Takes a configuration; one that is not newer than the last is ignored. */
+    /** Applies a configuration; one that is not newer than the last is ignored. */
     public void applyConfig(long nowMs, ConfigSnapshot config) {
         synchronized (mLock) {
             if (config.revision() <= mRevision) {
@@ -69,7 +70,10 @@
         }
     }
 
-    /** Takes a load report; one of an earlier life or of an unknown upstream is ignored. */
+    /**
+     * Applies a load report; a report of an earlier incarnation or of an unknown upstream is
+     * ignored.
+     */
     public void onLoadReport(long nowMs, UpstreamId id, LoadReport report) {
         synchronized (mLock) {
             UpstreamState state = mStates.get(id);
@@ -90,7 +94,9 @@
         }
     }
 
-    /** Takes cache events; those of an earlier life or of an unknown upstream are ignored. */
+    /**
+     * Applies cache events; events of an earlier incarnation or of an unknown upstream are ignored.
+     */
     public void onCacheEvents(long nowMs, CacheEvents events) {
         synchronized (mLock) {
             UpstreamState state = mStates.get(events.upstream());
@@ -108,9 +114,9 @@
     }
 
     /**
-     * Ends a life of an upstream and all earlier ones, on one piece of evidence.
+     * Ends an incarnation of an upstream and all earlier ones.
      *
-     * @param incarnation the life that ends; 0 where the upstream has none
+     * @param incarnation the incarnation that ends; 0 where the upstream has no incarnations
      */
     public void onLeaving(long nowMs, UpstreamId id, Evidence evidence, long incarnation) {
         synchronized (mLock) {
@@ -121,7 +127,7 @@
         }
     }
 
-    /** Takes the platform's list; one that is not newer than the last is ignored. */
+    /** Applies the platform's list; one that is not newer than the last is ignored. */
     public void onListed(long nowMs, UpstreamList list) {
         synchronized (mLock) {
             if (list.version() <= mListVersion) {
@@ -142,7 +148,7 @@
         }
     }
 
-    /** Returns each upstream as this VM sees it, in the order of their names. */
+    /** Returns the status of each upstream as this VM sees it, ordered by name. */
     public List<UpstreamStatus> status(long nowMs) {
         synchronized (mLock) {
             return mStates.values().stream()
@@ -153,8 +159,8 @@
     }
 
     /**
-     * Returns the upstreams that this VM sends to, whose reports and cache events it needs; those
-     * of others need not be fetched.
+     * Returns the upstreams that this VM sends requests to. Load reports and cache events are
+     * needed only from these.
      */
     public Set<UpstreamId> subset() {
         synchronized (mLock) {
@@ -165,12 +171,17 @@
         }
     }
 
-    /** Returns the lock that guards the table, for those who decide on its state. */
+    /**
+     * Returns the lock that guards the table, for callers that read several parts of its state
+     * together.
+     */
     public Object lock() {
         return mLock;
     }
 
-    /** Returns the upstreams for a target; to be used while {@link #lock()} is held. */
+    /**
+     * Returns the upstreams for a target. The caller must hold {@link #lock()} while it uses them.
+     */
     public Optional<UpstreamGroup> group(WorkTarget target) {
         if (target.service().isPresent()) {
             return Optional.ofNullable(mServices.get(target.service().get()));
--- a/coordination/src/main/java/org/hornbeampass/coordination/upstream/package-info.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/upstream/package-info.java
@@ -1,2 +1,2 @@
-/** What one VM knows of each upstream: its life, load, cache and health. */
+/** One VM's state of each upstream: its incarnation, load, cache and health. */
 package org.hornbeampass.coordination.upstream;
--- a/coordination/src/test/java/org/hornbeampass/coordination/routing/IncarnationProperties.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/routing/IncarnationProperties.java
@@ -19,23 +19,26 @@
 import java.util.SplittableRandom;
 import java.util.stream.LongStream;
 
-/** Schedules of late news: an upstream whose life ended gets no new work, whatever comes later. */
+/**
+ * Tests with random schedules of delayed and reordered reports and lists that an upstream whose
+ * incarnation has ended gets no new work.
+ */
 class IncarnationProperties {
     private static final int RUNNERS = 4;
     private static final int EVENTS = 60;
 
-    /** How the news reach the table; mutants distort them. */
+    /** How events are delivered to the table; the mutants distort them. */
     private enum Delivery {
         CORRECT,
         /** As if the version of a list were not checked. */
         LIST_VERSION_IGNORED,
-        /** As if a list that shows an upstream revived it. */
+        /** As if a list that contains an upstream made it live again. */
         LISTED_UPSTREAM_REVIVED,
-        /** As if an upstream's own word were not heard. */
+        /** As if an upstream's own report that it is leaving were lost. */
         LEAVING_REPORT_IGNORED
     }
 
-    /** One schedule with a plain model of which lives have ended. */
+    /** One schedule with a simple model of which incarnations have ended. */
     private static final class Schedule {
         private final SplittableRandom mRandom;
         private final Delivery mDelivery;
@@ -156,17 +159,17 @@
     }
 
     @Property(seed = "11", tries = 300)
-    void endedLife_neverGetsWork(@ForAll long seed) {
+    void endedIncarnation_neverGetsWork(@ForAll long seed) {
         assertThat(new Schedule(seed, Delivery.CORRECT).run()).isEmpty();
     }
 
     @Test
-    void mutants_areCaught() {
+    void mutants_areDetected() {
         for (Delivery mutant : Delivery.values()) {
-            boolean caught =
+            boolean detected =
                     LongStream.range(0, 300)
                             .anyMatch(seed -> new Schedule(seed, mutant).run().isPresent());
-            assertThat(caught).as(mutant.name()).isEqualTo(mutant != Delivery.CORRECT);
+            assertThat(detected).as(mutant.name()).isEqualTo(mutant != Delivery.CORRECT);
         }
     }
 }
--- a/coordination/src/test/java/org/hornbeampass/coordination/routing/SilentUpstreamTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/routing/SilentUpstreamTest.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.stream.IntStream;
 
-/** Tests what {@link UpstreamChooser} learns and tells of attempts that are silent. */
+/** Tests how {@link UpstreamChooser} handles attempts and upstreams that show no progress. */
 class SilentUpstreamTest {
     private final UpstreamTable mTable =
             new UpstreamTable(UpstreamFixtures.placement(), RoutingSettings.defaults());
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void progressOfOneAttempt_showsItsUpstreamAliveToOthers() {
+    void progressOfOneAttempt_isVisibleToOtherAttemptsAtItsUpstream() {
         mTable.applyConfig(0, UpstreamFixtures.config(1, 1, 4));
         UpstreamChoice one = choose(0);
         UpstreamChoice other = choose(0);
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void runnerWhoseReportsStop_getsNothingWhileOthersReport() {
+    void runnerWhoseReportsStop_getsNoWorkWhileOthersReport() {
         mTable.applyConfig(0, UpstreamFixtures.config(1, 3, 64));
         report(0, 1_000, 0);
         report(1_100, 2_100, 1);
@@ -73,20 +73,20 @@
             assertThat(choose(2_100).upstream()).isNotEqualTo(UpstreamFixtures.runner(0));
         }
         report(2_200, 2_200, 0);
-        assertThat(chosenInTurn(2_200)).contains(UpstreamFixtures.runner(0));
+        assertThat(chosenInSequence(2_200)).contains(UpstreamFixtures.runner(0));
     }
 
     @Test
-    void whereMostReportsStop_newsIsNotBelieved() {
+    void stoppedReportsOfMostRunners_areIgnored() {
         mTable.applyConfig(0, UpstreamFixtures.config(1, 3, 64));
         report(0, 1_000, 0);
         report(1_100, 2_100, 2);
 
-        assertThat(chosenInTurn(2_100))
+        assertThat(chosenInSequence(2_100))
                 .contains(UpstreamFixtures.runner(0), UpstreamFixtures.runner(1));
     }
 
-    /** Gives reports of all runners but the first ones, 100 ms apart. */
+    /** Delivers reports every 100 ms from all runners from {@code firstRunner} on. */
     private void report(long fromMs, long untilMs, int firstRunner) {
         for (long nowMs = fromMs; nowMs <= untilMs; nowMs += 100) {
             for (int n = firstRunner; n < 3; n++) {
@@ -96,7 +96,7 @@
         }
     }
 
-    private List<UpstreamId> chosenInTurn(long nowMs) {
+    private List<UpstreamId> chosenInSequence(long nowMs) {
         return IntStream.range(0, 60).mapToObj(i -> choose(nowMs).upstream()).toList();
     }
 
--- a/coordination/src/test/java/org/hornbeampass/coordination/routing/UpstreamChooserTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/routing/UpstreamChooserTest.java
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void onEnded_twice_givesOnePlaceBack() {
+    void onEnded_twice_freesOnePlaceOnly() {
         mTable.applyConfig(0, UpstreamFixtures.config(1, 1, 2));
         UpstreamChoice first = mChooser.choose(0, UpstreamFixtures.query()).get();
         mChooser.choose(0, UpstreamFixtures.query());
@@ -110,7 +110,7 @@
     }
 
     @Test
-    void leaving_byEachEvidence_getsNoNewWork() {
+    void leavingUpstream_byAnyEvidence_getsNoNewWork() {
         mTable.applyConfig(0, UpstreamFixtures.config(1, 4, 100));
         mTable.onLeaving(1, UpstreamFixtures.runner(0), Evidence.OWN, 0);
         mTable.onLoadReport(1, UpstreamFixtures.runner(1), UpstreamFixtures.leaving(1, 7));
@@ -128,7 +128,7 @@
     }
 
     @Test
-    void olderList_neverRevives() {
+    void olderList_neverMakesUpstreamLiveAgain() {
         mTable.applyConfig(0, UpstreamFixtures.config(1, 2, 100));
         mTable.onLoadReport(1, UpstreamFixtures.runner(0), UpstreamFixtures.leaving(1, 7));
         List<ListedUpstream> live =
@@ -154,7 +154,7 @@
     }
 
     @Test
-    void choose_ofModelThatIsNotReady_goesWhereItIs() {
+    void choose_forModel_usesUpstreamWhereItIsReady() {
         mTable.applyConfig(0, UpstreamFixtures.config(1, 2, 100));
         LoadReport other =
                 new LoadReport(1, 0, 0, 0, 0, false, Set.of(new ModelId("x")), Set.of("a"));
@@ -186,7 +186,7 @@
     }
 
     @Test
-    void frozenUpstream_isLeftOutOnceItIsSilent() {
+    void frozenUpstream_isLeftOutOnceItMakesNoProgress() {
         mTable.applyConfig(0, UpstreamFixtures.config(1, 3, 1_000));
         for (int i = 0; i < 300; i++) {
             UpstreamChoice choice = mChooser.choose(i * 20L, UpstreamFixtures.query()).get();
@@ -200,7 +200,7 @@
     }
 
     @Test
-    void unreachableUpstream_isEjectedAndProbedOneByOne() {
+    void unreachableUpstream_isEjectedAndProbedOneRequestAtATime() {
         mTable.applyConfig(0, UpstreamFixtures.config(1, 4, 1_000));
         fail(0, UpstreamFixtures.runner(0), AttemptOutcome.CONNECT_FAILED);
         fail(1, UpstreamFixtures.runner(0), AttemptOutcome.CONNECT_FAILED);
@@ -215,7 +215,7 @@
     }
 
     @Test
-    void ejection_leavesAtLeastHalf() {
+    void ejection_leavesAtLeastHalfOfTheGroup() {
         mTable.applyConfig(0, UpstreamFixtures.config(1, 4, 1_000));
         for (int runner = 0; runner < 4; runner++) {
             for (int i = 0; i < 5; i++) {
--- a/coordination/src/test/java/org/hornbeampass/coordination/routing/UpstreamFixtures.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/routing/UpstreamFixtures.java
@@ -19,7 +19,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-/** Makes small fleets of upstreams and queries for them; stateless. */
+/** Creates configurations, reports and queries for small groups of upstreams; stateless. */
 public final class UpstreamFixtures {
     /** The model of all runners. */
     public static final ModelId MODEL = new ModelId("flight-desk");
@@ -31,12 +31,12 @@
 
     private UpstreamFixtures() {}
 
-    /** Returns where VM {@code vm-0} is: in failure domain {@code d0}. */
+    /** Returns the placement of VM {@code vm-0} in failure domain {@code d0}. */
     public static Placement placement() {
         return new Placement("vm-0", new FailureDomain("d0"), new Region("r"));
     }
 
-    /** Returns runner {@code n}'s name; it is in failure domain {@code n mod 3}. */
+    /** Returns the identity of runner {@code n}, which is in failure domain {@code n mod 3}. */
     public static UpstreamId runner(int n) {
         return new UpstreamId("runner-" + n);
     }
--- a/coordination/src/test/java/org/hornbeampass/coordination/routing/UpstreamSteps.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/routing/UpstreamSteps.java
@@ -27,14 +27,14 @@
 import java.util.Set;
 import java.util.stream.IntStream;
 
-/** The steps of the scenarios: one VM in virtual time before upstreams of fixed speed. */
+/** Steps of the scenarios: simulates one VM in virtual time with upstreams of fixed speed. */
 public class UpstreamSteps {
-    private static final long EVERY_MS = 20;
+    private static final long REQUEST_INTERVAL_MS = 20;
     private static final long FIRST_TOKEN_MS = 30;
     private static final long ANSWER_MS = 200;
     private static final long CONNECT_TIMEOUT_MS = 300;
     private static final long FIRST_TOKEN_TIMEOUT_MS = 1_000;
-    private static final long REPORT_EVERY_MS = 500;
+    private static final long REPORT_INTERVAL_MS = 500;
 
     private final UpstreamTable mTable =
             new UpstreamTable(UpstreamFixtures.placement(), RoutingSettings.defaults());
@@ -46,35 +46,35 @@
             new PriorityQueue<>(
                     Comparator.comparingLong(Event::atMs).thenComparingLong(Event::order));
     private final Map<Integer, Long> mFaultAtMs = new HashMap<>();
-    private final Map<Integer, Integer> mAtOnce = new HashMap<>();
-    private final Map<Integer, Integer> mMostAtOnceAfterBound = new HashMap<>();
-    private final List<Runnable> mLater = new ArrayList<>();
-    private final Set<Integer> mSentWithByte = new HashSet<>();
+    private final Map<Integer, Integer> mConcurrent = new HashMap<>();
+    private final Map<Integer, Integer> mMaxConcurrentAfterBound = new HashMap<>();
+    private final List<Runnable> mDeferred = new ArrayList<>();
+    private final Set<Integer> mPossiblySent = new HashSet<>();
     private AttemptOutcome mFault = AttemptOutcome.TIMED_OUT;
     private boolean mRepeatable = true;
     private int mRunners;
     private int mRequests;
     private int mAnswered;
     private int mAttempts;
-    private int mResentAfterByte;
+    private int mResent;
     private long mWorstFirstTokenMs;
     private long mNowMs;
     private long mOrder;
 
-    /** Something that happens at a time. */
+    /** An action scheduled at a time; {@code order} keeps actions of the same time in sequence. */
     private record Event(long atMs, long order, Runnable run) {}
 
     @Given("a flight desk with {int} runners in 3 failure domains")
     public void flightDesk(int runners) {
         mRunners = runners;
         mTable.applyConfig(0, UpstreamFixtures.config(1, runners, 64));
-        list(5, Set.of());
+        deliverList(5, Set.of());
     }
 
     @When("briefings come for {int} seconds and runner {int} freezes after {int} seconds")
     public void freezes(int seconds, int runner, int afterS) {
         at(afterS * 1_000L, () -> mFaultAtMs.put(runner, mNowMs));
-        mLater.add(() -> run(seconds));
+        mDeferred.add(() -> run(seconds));
     }
 
     @When(
@@ -88,7 +88,7 @@
                         IntStream.range(0, mRunners)
                                 .filter(r -> r % 3 == domain)
                                 .forEach(r -> mFaultAtMs.put(r, mNowMs)));
-        mLater.add(() -> run(seconds));
+        mDeferred.add(() -> run(seconds));
     }
 
     @When("briefings come for {int} seconds and runner {int} leaves after {int} seconds")
@@ -96,20 +96,20 @@
         mFault = AttemptOutcome.SUCCEEDED;
         at(afterS * 1_000L, () -> mFaultAtMs.put(runner, mNowMs));
         at(
-                afterS * 1_000L + REPORT_EVERY_MS,
+                afterS * 1_000L + REPORT_INTERVAL_MS,
                 () ->
                         mTable.onLoadReport(
                                 mNowMs,
                                 UpstreamFixtures.runner(runner),
                                 UpstreamFixtures.leaving(mNowMs, 1)));
-        mLater.add(() -> run(seconds));
+        mDeferred.add(() -> run(seconds));
     }
 
     @When("an older list that still shows runner {int} comes after {int} seconds")
     public void olderList(int runner, int afterS) {
         assertThat(runner).isLessThan(mRunners);
-        at(afterS * 1_000L, () -> list(4, Set.of()));
-        at(afterS * 1_000L + 1, () -> list(6, Set.of()));
+        at(afterS * 1_000L, () -> deliverList(4, Set.of()));
+        at(afterS * 1_000L + 1, () -> deliverList(6, Set.of()));
     }
 
     @When(
@@ -124,24 +124,24 @@
                     mFaultAtMs.put(one, mNowMs);
                     mFaultAtMs.put(other, mNowMs);
                 });
-        mLater.add(() -> run(seconds));
+        mDeferred.add(() -> run(seconds));
     }
 
     @Then("each briefing is answered")
     public void eachAnswered() {
-        runNow();
+        runDeferred();
         assertThat(mAnswered).isEqualTo(mRequests).isPositive();
     }
 
     @Then("no briefing waits longer than {int} ms for its first token")
-    public void noneWaits(int ms) {
+    public void noneWaitsLonger(int ms) {
         assertThat(mWorstFirstTokenMs).isPositive().isLessThanOrEqualTo(ms);
     }
 
     @Then("{int} seconds after the fault runner {int} gets at most 1 briefing at a time")
     public void probesOnly(int seconds, int runner) {
         assertThat(seconds).isEqualTo(3);
-        assertThat(mMostAtOnceAfterBound.getOrDefault(runner, 0)).isLessThanOrEqualTo(1);
+        assertThat(mMaxConcurrentAfterBound.getOrDefault(runner, 0)).isLessThanOrEqualTo(1);
     }
 
     @Then("{int} seconds after the fault the runners at fault get at most 1 briefing at a time")
@@ -150,14 +150,14 @@
     }
 
     @Then("{int} seconds after the fault runner {int} gets no briefing at all")
-    public void nothing(int seconds, int runner) {
+    public void noneSent(int seconds, int runner) {
         assertThat(seconds).isEqualTo(3);
-        assertThat(mMostAtOnceAfterBound).doesNotContainKey(runner);
+        assertThat(mMaxConcurrentAfterBound).doesNotContainKey(runner);
     }
 
     @Then("the attempts are at most {double} times the briefings")
     public void amplification(double most) {
-        runNow();
+        runDeferred();
         assertThat((double) mAttempts).isLessThanOrEqualTo(most * mRequests);
     }
 
@@ -167,13 +167,13 @@
     }
 
     @Then("no manifest entry is sent twice once a byte of it was sent")
-    public void neverTwice() {
-        runNow();
-        assertThat(mResentAfterByte).isZero();
+    public void noneSentTwice() {
+        runDeferred();
+        assertThat(mResent).isZero();
         assertThat(mRequests).isPositive();
     }
 
-    private void list(long version, Set<Integer> leaving) {
+    private void deliverList(long version, Set<Integer> leaving) {
         List<ListedUpstream> lines =
                 IntStream.range(0, mRunners)
                         .mapToObj(
@@ -184,13 +184,13 @@
         mTable.onListed(mNowMs, new UpstreamList(version, lines));
     }
 
-    private void runNow() {
-        mLater.forEach(Runnable::run);
-        mLater.clear();
+    private void runDeferred() {
+        mDeferred.forEach(Runnable::run);
+        mDeferred.clear();
     }
 
     private void run(int seconds) {
-        for (long at = 0; at < seconds * 1_000L; at += EVERY_MS) {
+        for (long at = 0; at < seconds * 1_000L; at += REQUEST_INTERVAL_MS) {
             at(at, this::request);
         }
         while (!mEvents.isEmpty()) {
@@ -208,20 +208,20 @@
 
     private void attempt(int number, int attempts, long startedMs, RoutingQuery query) {
         mAttempts++;
-        mResentAfterByte += mSentWithByte.contains(number) ? 1 : 0;
+        mResent += mPossiblySent.contains(number) ? 1 : 0;
         UpstreamChoice choice = mChooser.choose(mNowMs, query).get();
         int runner = Integer.parseInt(choice.upstream().value().substring("runner-".length()));
-        noteWork(runner);
+        countRequest(runner);
         mChooser.onStarted(mNowMs, choice);
         boolean faulty = mFaultAtMs.containsKey(runner) && mFault != AttemptOutcome.SUCCEEDED;
         if (!faulty) {
-            mSentWithByte.add(number);
+            mPossiblySent.add(number);
             at(mNowMs + FIRST_TOKEN_MS, () -> firstToken(choice, startedMs));
             at(mNowMs + ANSWER_MS, () -> end(runner, choice, AttemptOutcome.SUCCEEDED));
             return;
         }
         if (mFault.mayHaveSent()) {
-            mSentWithByte.add(number);
+            mPossiblySent.add(number);
         }
         at(
                 mNowMs + faultMs(),
@@ -253,16 +253,16 @@
     }
 
     private void end(int runner, UpstreamChoice choice, AttemptOutcome outcome) {
-        mAtOnce.merge(runner, -1, Integer::sum);
+        mConcurrent.merge(runner, -1, Integer::sum);
         mChooser.onEnded(mNowMs, choice, outcome);
         mAnswered += outcome == AttemptOutcome.SUCCEEDED ? 1 : 0;
     }
 
-    private void noteWork(int runner) {
-        int atOnce = mAtOnce.merge(runner, 1, Integer::sum);
+    private void countRequest(int runner) {
+        int concurrent = mConcurrent.merge(runner, 1, Integer::sum);
         Long faultAt = mFaultAtMs.get(runner);
         if (faultAt != null && mNowMs - faultAt > 3_000) {
-            mMostAtOnceAfterBound.merge(runner, atOnce, Math::max);
+            mMaxConcurrentAfterBound.merge(runner, concurrent, Math::max);
         }
     }
 
--- a/coordination/src/test/java/org/hornbeampass/coordination/service/LoadExchangeTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/service/LoadExchangeTest.java
@@ -19,44 +19,45 @@
 import java.util.Set;
 import java.util.stream.IntStream;
 
-/** Checks what VMs tell each other of their requests in progress, and how often. */
+/** Tests which load reports a VM sends to the other VMs, and how often. */
 class LoadExchangeTest {
     private static final ServiceSpec SERVICE = new ServiceSpec("s", 100, Optional.empty());
 
-    private final UpstreamRegistry mBoard = new UpstreamRegistry(new Random(1), () -> 3);
-    private final List<String> mTold = new ArrayList<>();
+    private final UpstreamRegistry mRegistry = new UpstreamRegistry(new Random(1), () -> 3);
+    private final List<String> mRecipients = new ArrayList<>();
     private final List<InFlightReport> mReports = new ArrayList<>();
     private BroadcastPaths mPaths =
             new BroadcastPaths("vm-1", Optional.empty(), List.of("vm-2", "vm-3"), List.of());
-    private final LoadExchange mExchange = new LoadExchange(mBoard, new Recorder(), () -> mPaths);
+    private final LoadExchange mExchange =
+            new LoadExchange(mRegistry, new Recorder(), () -> mPaths);
 
-    /** Notes what is sent. */
+    /** Records the messages and their recipients. */
     private final class Recorder extends OneWayPeers {
         @Override
         public void send(String vmName, PeerMessage message) {
-            mTold.add(vmName);
+            mRecipients.add(vmName);
             mReports.add((InFlightReport) message);
         }
     }
 
     private UpstreamInstance upstream() {
-        mBoard.onEntry(
+        mRegistry.onEntry(
                 0,
                 new UpstreamEntry(
                         "a", OptionalLong.empty(), "s", "a:80", new FailureDomain("d"), 6, false));
-        return mBoard.choose(0, SERVICE, Prompt.NONE, Set.of()).orElseThrow().instance();
+        return mRegistry.choose(0, SERVICE, Prompt.NONE, Set.of()).orElseThrow().instance();
     }
 
     @Test
-    void requestInProgress_isToldToAllOthers() {
+    void requestInProgress_isReportedToAllOtherVms() {
         upstream().onSent(700, t -> {});
         mExchange.tick(0);
-        assertThat(mTold).containsExactly("vm-2", "vm-3");
+        assertThat(mRecipients).containsExactly("vm-2", "vm-3");
         assertThat(mReports.get(0).items()).containsExactly(new InFlightReport.Item("a", 700, 1));
     }
 
     @Test
-    void vmWithNothingInProgress_saysSoOnce() {
+    void vmWithNothingInProgress_sendsOneEmptyReport() {
         IncarnationListener request = t -> {};
         UpstreamInstance upstream = upstream();
         upstream.onSent(0, request);
@@ -69,20 +70,20 @@
     }
 
     @Test
-    void largeFleet_costsAVmNoMoreMessages() {
+    void largeFleet_doesNotIncreaseMessagesPerVm() {
         upstream().onSent(700, t -> {});
         List<String> near = IntStream.range(0, 78).mapToObj(i -> "vm-" + i).toList();
         mPaths = new BroadcastPaths("vm-1", Optional.of("vm-9"), near, List.of());
         for (long t = 0; t < 20_000; t += 100) {
             mExchange.tick(t);
         }
-        assertThat(mTold).hasSize(100).containsOnly("vm-9");
+        assertThat(mRecipients).hasSize(100).containsOnly("vm-9");
     }
 
     @Test
-    void report_isTakenIn() {
+    void receivedReport_isCounted() {
         InFlightReport report = new InFlightReport(List.of(new InFlightReport.Item("a", 9, 2)), 1);
         mExchange.onReport(0, new VmId("vm-2", 1), report, r -> {});
-        assertThat(mBoard.fleetLoad().at("a").requests()).isEqualTo(2);
+        assertThat(mRegistry.fleetLoad().at("a").requests()).isEqualTo(2);
     }
 }
--- a/coordination/src/test/java/org/hornbeampass/coordination/service/LoadRelayTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/service/LoadRelayTest.java
@@ -22,7 +22,7 @@
 import java.util.Set;
 import java.util.function.Supplier;
 
-/** Checks that the VMs of a large fleet know each other's load through few messages. */
+/** Tests that relays give each VM of a large fleet the load of all others with few messages. */
 class LoadRelayTest {
     private static final int VMS = 95;
     private static final int DOMAINS = 5;
@@ -30,13 +30,13 @@
     private static final ServiceSpec SERVICE = new ServiceSpec("s", 100, Optional.empty());
 
     private final Map<String, LoadExchange> mExchanges = new HashMap<>();
-    private final Map<String, UpstreamRegistry> mBoards = new HashMap<>();
+    private final Map<String, UpstreamRegistry> mRegistries = new HashMap<>();
     private final List<Member> mMembers = new ArrayList<>();
     private List<Member> mUp = List.of();
     private int mMessages;
     private long mNowMs;
 
-    /** Hands messages straight to VMs that are up. */
+    /** Delivers messages at once to VMs that are up. */
     private final class Peers extends OneWayPeers {
         private final VmId mSelf;
 
@@ -66,33 +66,33 @@
     }
 
     private void add(Member self, Supplier<BroadcastPaths> paths) {
-        UpstreamRegistry board = new UpstreamRegistry(new Random(1), () -> VMS);
-        board.onEntry(
+        UpstreamRegistry registry = new UpstreamRegistry(new Random(1), () -> VMS);
+        registry.onEntry(
                 0,
                 new UpstreamEntry(
                         "a", OptionalLong.empty(), "s", "a:80", new FailureDomain("d"), 6, false));
-        board.choose(0, SERVICE, Prompt.NONE, Set.of())
+        registry.choose(0, SERVICE, Prompt.NONE, Set.of())
                 .orElseThrow()
                 .instance()
                 .onSent(TOKENS, t -> {});
-        mBoards.put(self.name(), board);
-        mExchanges.put(self.name(), new LoadExchange(board, new Peers(self.vm()), paths));
+        mRegistries.put(self.name(), registry);
+        mExchanges.put(self.name(), new LoadExchange(registry, new Peers(self.vm()), paths));
     }
 
     private void run(long ms) {
         for (long until = mNowMs + ms; mNowMs < until; mNowMs += 100) {
             mUp.forEach(m -> mExchanges.get(m.name()).tick(mNowMs));
-            mUp.forEach(m -> mBoards.get(m.name()).tick(mNowMs));
+            mUp.forEach(m -> mRegistries.get(m.name()).tick(mNowMs));
         }
     }
 
     @Test
-    void eachVm_knowsTheLoadOfAllOthers() {
+    void eachVm_receivesTheLoadOfAllOthers() {
         run(1_000);
-        for (UpstreamRegistry board : mBoards.values()) {
-            assertThat(board.fleetLoad().reportingVms()).isEqualTo(VMS - 1);
-            assertThat(board.fleetLoad().at("a").requests()).isEqualTo(VMS - 1);
-            assertThat(board.fleetLoad().at("a").unreadTokens()).isEqualTo((VMS - 1) * TOKENS);
+        for (UpstreamRegistry registry : mRegistries.values()) {
+            assertThat(registry.fleetLoad().reportingVms()).isEqualTo(VMS - 1);
+            assertThat(registry.fleetLoad().at("a").requests()).isEqualTo(VMS - 1);
+            assertThat(registry.fleetLoad().at("a").unreadTokens()).isEqualTo((VMS - 1) * TOKENS);
         }
     }
 
@@ -101,24 +101,24 @@
         run(1_000);
         mMessages = 0;
         run(10_000);
-        // 7,600 where each VM told all others 80 times a second, by arithmetic.
+        // Without relays, each VM would send 80 messages a second, 7,600 in total.
         assertThat(mMessages / 10).isEqualTo(1_000);
     }
 
     @Test
-    void relayThatDies_isReplacedByAnother() {
+    void failedRelay_isReplacedByAnother() {
         run(1_000);
         String relay = BroadcastPaths.choose(mMembers.get(0), mMembers).relay().orElseThrow();
         mUp = mMembers.stream().filter(m -> !m.name().equals(relay)).toList();
         run(2_000);
         for (Member each : mUp) {
-            FleetLoad load = mBoards.get(each.name()).fleetLoad();
+            FleetLoad load = mRegistries.get(each.name()).fleetLoad();
             assertThat(load.at("a").requests()).isEqualTo(VMS - 2);
         }
     }
 
     @Test
-    void twoRelaysOfOneDomain_doNotAddUpEachOthersSums() {
+    void twoRelaysOfOneDomain_doNotAddEachOthersSums() {
         List<Member> domain =
                 mMembers.stream().filter(m -> m.domain().value().equals("d0")).toList();
         String relay = BroadcastPaths.choose(domain.get(0), mMembers).relay().orElseThrow();
@@ -134,18 +134,19 @@
         mExchanges.put(
                 second.name(),
                 new LoadExchange(
-                        mBoards.get(second.name()), new Peers(second.vm()), () -> asRelay));
+                        mRegistries.get(second.name()), new Peers(second.vm()), () -> asRelay));
         run(20_000);
         for (Member each : mMembers) {
             boolean near = each.domain().equals(second.domain());
-            int heard = mBoards.get(each.name()).fleetLoad().at("a").requests();
-            // Both relays tell their own domain; no sum that holds another one leaves it.
-            assertThat(heard).isLessThanOrEqualTo(near ? 2 * VMS : VMS);
+            int reported = mRegistries.get(each.name()).fleetLoad().at("a").requests();
+            // Both relays report to their own domain, but neither forwards a sum that contains the
+            // other's.
+            assertThat(reported).isLessThanOrEqualTo(near ? 2 * VMS : VMS);
         }
     }
 
     @Test
-    void smallFleet_isToldDirectly() {
+    void smallFleet_reportsDirectly() {
         BroadcastPaths paths = BroadcastPaths.choose(mMembers.get(0), mMembers.subList(0, 8));
         assertThat(paths.relay()).isEmpty();
         assertThat(paths.directPeers()).hasSize(7);
--- a/coordination/src/test/java/org/hornbeampass/coordination/service/PrefillUrgencyTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/service/PrefillUrgencyTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Checks that less to read never ranks behind more. */
+/** Tests that a shorter prompt never ranks behind a longer one. */
 class PrefillUrgencyTest {
     @Test
     void shorterPrompt_neverRanksBehindALongerOne() {
@@ -17,7 +17,7 @@
     }
 
     @Test
-    void boundaries_belongToTheShorterKind() {
+    void boundaries_belongToTheShorterClass() {
         assertThat(PrefillUrgency.of(2_000)).isEqualTo(PrefillUrgency.SHORT);
         assertThat(PrefillUrgency.of(2_001)).isEqualTo(PrefillUrgency.MEDIUM);
         assertThat(PrefillUrgency.of(Long.MAX_VALUE)).isEqualTo(PrefillUrgency.HUGE);
--- a/coordination/src/test/java/org/hornbeampass/coordination/service/RateLimitTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/service/RateLimitTest.java
@@ -6,14 +6,14 @@
 
 import java.util.OptionalDouble;
 
-/** Checks which of two limits holds where answers overtake one another. */
+/** Tests which of two limits applies when answers arrive out of order. */
 class RateLimitTest {
-    private static RateLimit limit(double perSecond, long askedMs, long heardMs) {
-        return new RateLimit(OptionalDouble.of(perSecond), askedMs, heardMs);
+    private static RateLimit limit(double perSecond, long requestSentMs, long answeredMs) {
+        return new RateLimit(OptionalDouble.of(perSecond), requestSentMs, answeredMs);
     }
 
-    private static RateLimit none(long askedMs, long heardMs) {
-        return new RateLimit(OptionalDouble.empty(), askedMs, heardMs);
+    private static RateLimit none(long requestSentMs, long answeredMs) {
+        return new RateLimit(OptionalDouble.empty(), requestSentMs, answeredMs);
     }
 
     private static void assertMerged(RateLimit first, RateLimit second, RateLimit merged) {
@@ -22,20 +22,20 @@
     }
 
     @Test
-    void anyLimit_holdsOverNothingKnown() {
+    void anyLimit_replacesUnknown() {
         RateLimit limit = limit(1, 10, 20);
         assertMerged(RateLimit.UNKNOWN, limit, limit);
     }
 
     @Test
-    void stricterLimit_holdsAtOnce() {
+    void stricterLimit_appliesAtOnce() {
         RateLimit strict = limit(1, 5, 30);
         assertMerged(limit(2, 10, 20), strict, strict);
         assertMerged(none(10, 20), strict, strict);
     }
 
     @Test
-    void looserLimit_holdsOnlyWhereItsRequestWasSentAfterTheStricterWasHeard() {
+    void looserLimit_appliesOnlyIfItsRequestWasSentAfterTheStricterWasReceived() {
         RateLimit strict = limit(1, 10, 20);
         assertMerged(strict, limit(2, 19, 40), strict);
         assertMerged(strict, none(19, 40), strict);
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void sameLimit_keepsTheLatestTimes() {
+    void equalLimits_keepTheLatestTimes() {
         assertMerged(limit(1, 10, 30), limit(1, 15, 20), limit(1, 15, 30));
     }
 }
--- a/coordination/src/test/java/org/hornbeampass/coordination/service/RetryWindowTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/service/RetryWindowTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Random;
 
-/** Checks that the VMs' shares together stay within the fleet's budget in every window. */
+/** Tests that the retries of all VMs together stay within the fleet's budget in every window. */
 class RetryWindowTest {
     private static final long WINDOW_MS = 10_000;
     private static final double RATIO = 0.2;
@@ -23,21 +23,21 @@
             windows[i] = new RetryWindow(WINDOW_MS);
         }
         List<Long> first = new ArrayList<>();
-        List<Long> further = new ArrayList<>();
+        List<Long> retries = new ArrayList<>();
         for (long nowMs = 0; nowMs < 60_000; nowMs += 5) {
             RetryWindow window = windows[random.nextInt(VMS)];
             if (random.nextInt(4) == 0) {
                 window.onFirstSend(nowMs);
                 first.add(nowMs);
             } else if (window.tryTake(nowMs, RATIO, EXTRA, VMS)) {
-                further.add(nowMs);
+                retries.add(nowMs);
             }
         }
         for (long end = WINDOW_MS; end < 60_000; end += 100) {
-            assertThat(inWindow(further, end))
+            assertThat(inWindow(retries, end))
                     .isLessThanOrEqualTo((long) (RATIO * inWindow(first, end) + EXTRA));
         }
-        assertThat(further).hasSizeGreaterThan(100);
+        assertThat(retries).hasSizeGreaterThan(100);
     }
 
     private static long inWindow(List<Long> times, long endMs) {
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void fixedPart_isThereAgainAfterAWindow() {
+    void fixedPart_isAvailableAgainAfterAWindow() {
         RetryWindow window = new RetryWindow(WINDOW_MS);
         int taken = 0;
         while (window.tryTake(0, RATIO, EXTRA, VMS)) {
--- a/coordination/src/test/java/org/hornbeampass/coordination/service/RouteTableTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/service/RouteTableTest.java
@@ -17,7 +17,7 @@
 import java.util.OptionalLong;
 import java.util.Random;
 
-/** Checks look-ups by host, path and key, and the split of a route between services. */
+/** Tests look-ups by host, path and key, and the weighted split of a route between services. */
 class RouteTableTest {
     private static final RouteTable TABLE =
             new RouteTable(
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void longestPrefixOfTheHost_wins() {
+    void longestPathPrefixOfTheHost_isFound() {
         assertThat(found("flights.example", "/a/b/c")).contains("long");
         assertThat(found("FLIGHTS.example:80", "/a/x")).contains("short");
         assertThat(found("flights.example", "/a")).isEmpty();
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void keys_leadToTheirOrganisation() {
+    void keys_identifyTheirOrganisation() {
         assertThat(TABLE.organisationOf("k2")).map(PrepaidOrganisation::name).contains("org");
         assertThat(TABLE.organisationOf("k3")).isEmpty();
         assertThat(TABLE.checksKeys()).isTrue();
--- a/coordination/src/test/java/org/hornbeampass/coordination/service/SignalExchangeTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/service/SignalExchangeTest.java
@@ -24,22 +24,22 @@
 import java.util.Random;
 import java.util.Set;
 
-/** Checks that what one VM is told by an upstream, all VMs know soon. */
+/** Tests that signals in an answer to one VM reach all VMs soon. */
 class SignalExchangeTest {
     private static final int DOMAINS = 5;
-    private static final UpstreamSignals LEAVES = new UpstreamSignals(true, RateLimit.UNKNOWN);
+    private static final UpstreamSignals LEAVING = new UpstreamSignals(true, RateLimit.UNKNOWN);
     private static final OptionalDouble ONE = OptionalDouble.of(1);
     private static final ServiceSpec SERVICE = new ServiceSpec("s", 100, Optional.empty());
 
-    private final Map<String, UpstreamRegistry> mBoards = new HashMap<>();
+    private final Map<String, UpstreamRegistry> mRegistries = new HashMap<>();
     private final Map<String, SignalTable> mTables = new HashMap<>();
     private final Map<String, SignalExchange> mExchanges = new HashMap<>();
     private final List<Member> mMembers = new ArrayList<>();
-    private final Map<String, String> mToldBy = new HashMap<>();
+    private final Map<String, String> mSources = new HashMap<>();
     private int mMessages;
     private long mNowMs = 1_000;
 
-    /** Hands messages straight to the other VMs. */
+    /** Delivers messages at once to the other VMs. */
     private final class Peers extends OneWayPeers {
         private final VmId mSelf;
 
@@ -54,7 +54,7 @@
         }
     }
 
-    /** Notes who told of an upstream. */
+    /** Records the source of each signal. */
     private final class Listener implements SignalListener {
         private final String mSelf;
 
@@ -63,14 +63,14 @@
         }
 
         @Override
-        public void onLeaving(long nowMs, UpstreamIncarnation upstream, String toldBy) {
-            mToldBy.put(mSelf, toldBy);
+        public void onLeaving(long nowMs, UpstreamIncarnation upstream, String source) {
+            mSources.put(mSelf, source);
         }
 
         @Override
         public void onRateLimit(
-                long nowMs, UpstreamIncarnation upstream, OptionalDouble limit, String toldBy) {
-            mToldBy.put(mSelf, toldBy);
+                long nowMs, UpstreamIncarnation upstream, OptionalDouble limit, String source) {
+            mSources.put(mSelf, source);
         }
     }
 
@@ -84,19 +84,20 @@
         Member self = TestMembers.live("vm-" + number, number % DOMAINS);
         mMembers.add(self);
         SignalTable table = new SignalTable();
-        UpstreamRegistry board = new UpstreamRegistry(new Random(1), () -> 8, table, SendGate.OPEN);
-        mBoards.put(self.name(), board);
+        UpstreamRegistry registry =
+                new UpstreamRegistry(new Random(1), () -> 8, table, SendGate.OPEN);
+        mRegistries.put(self.name(), registry);
         mTables.put(self.name(), table);
         mExchanges.put(
                 self.name(),
                 new SignalExchange(
-                        board,
+                        registry,
                         table,
                         new Peers(self.vm()),
                         () -> BroadcastPaths.choose(self, mMembers),
                         new Listener(self.name())));
-        show(self.name(), entry("i-1", 100, false));
-        show(self.name(), entry("i-2", 100, false));
+        list(self.name(), entry("i-1", 100, false));
+        list(self.name(), entry("i-2", 100, false));
     }
 
     private static UpstreamEntry entry(String id, long bornMs, boolean leaving) {
@@ -104,8 +105,8 @@
                 id, OptionalLong.of(bornMs), "s", "a:80", new FailureDomain("d"), 6, leaving);
     }
 
-    private void show(String vm, UpstreamEntry entry) {
-        mBoards.get(vm).onEntry(mNowMs, entry);
+    private void list(String vm, UpstreamEntry entry) {
+        mRegistries.get(vm).onEntry(mNowMs, entry);
     }
 
     private void run(long ms) {
@@ -115,21 +116,22 @@
     }
 
     private Optional<UpstreamInstance> choose(String vm, String... tried) {
-        return mBoards.get(vm)
+        return mRegistries
+                .get(vm)
                 .choose(mNowMs, SERVICE, Prompt.NONE, Set.of(tried))
                 .map(UpstreamChoice::instance);
     }
 
-    private void tell(String vm, String upstream) {
-        UpstreamInstance told = choose(vm, upstream.equals("i-1") ? "i-2" : "i-1").orElseThrow();
-        assertThat(told.id()).isEqualTo(upstream);
-        mExchanges.get(vm).onAnswer(mNowMs, told, LEAVES);
+    private void reportLeaving(String vm, String upstream) {
+        UpstreamInstance chosen = choose(vm, upstream.equals("i-1") ? "i-2" : "i-1").orElseThrow();
+        assertThat(chosen.id()).isEqualTo(upstream);
+        mExchanges.get(vm).onAnswer(mNowMs, chosen, LEAVING);
     }
 
-    private void nameLimit(String vm, OptionalDouble perSecond, long askedMs) {
-        UpstreamInstance told = choose(vm, "i-2").orElseThrow();
-        RateLimit limit = new RateLimit(perSecond, askedMs, mNowMs);
-        mExchanges.get(vm).onAnswer(mNowMs, told, new UpstreamSignals(false, limit));
+    private void reportLimit(String vm, OptionalDouble perSecond, long requestSentMs) {
+        UpstreamInstance chosen = choose(vm, "i-2").orElseThrow();
+        RateLimit limit = new RateLimit(perSecond, requestSentMs, mNowMs);
+        mExchanges.get(vm).onAnswer(mNowMs, chosen, new UpstreamSignals(false, limit));
     }
 
     private OptionalDouble limitAt(String vm) {
@@ -138,39 +140,39 @@
 
     @ParameterizedTest
     @ValueSource(ints = {8, 95})
-    void answerThatOneVmGot_savesTheOthers(int vms) {
+    void leavingSignalToOneVm_stopsRequestsOfAllVms(int vms) {
         start(vms);
-        tell("vm-3", "i-1");
+        reportLeaving("vm-3", "i-1");
         run(1_000);
-        for (String vm : mBoards.keySet()) {
+        for (String vm : mRegistries.keySet()) {
             assertThat(choose(vm, "i-2")).isEmpty();
             assertThat(choose(vm, "i-1")).isPresent();
-            assertThat(mToldBy.get(vm).isEmpty()).isEqualTo(vm.equals("vm-3"));
+            assertThat(mSources.get(vm).isEmpty()).isEqualTo(vm.equals("vm-3"));
         }
     }
 
     @Test
-    void entryThatIsStillReady_changesNothing() {
+    void staleReadyEntry_doesNotRevertLeavingSignal() {
         start(8);
-        tell("vm-3", "i-1");
+        reportLeaving("vm-3", "i-1");
         run(1_000);
-        show("vm-5", entry("i-1", 100, false));
+        list("vm-5", entry("i-1", 100, false));
         assertThat(choose("vm-5", "i-2")).isEmpty();
     }
 
     @Test
-    void laterIncarnation_isUsed() {
+    void laterIncarnation_getsRequestsAgain() {
         start(8);
-        tell("vm-3", "i-1");
+        reportLeaving("vm-3", "i-1");
         run(1_000);
-        show("vm-5", entry("i-1", 200, false));
+        list("vm-5", entry("i-1", 200, false));
         assertThat(choose("vm-5", "i-2")).isPresent();
     }
 
     @Test
-    void vmThatStartsLater_isToldToo() {
+    void vmThatStartsLater_receivesLeavingSignal() {
         start(8);
-        tell("vm-3", "i-1");
+        reportLeaving("vm-3", "i-1");
         run(20_000);
         startVm(8);
         run(1_000);
@@ -178,20 +180,20 @@
     }
 
     @Test
-    void wordOfAnUpstreamThatIsNotListedYet_countsOnceItIs() {
+    void signalBeforeTheEntry_appliesOnceTheUpstreamIsListed() {
         start(2);
-        SignalReport.Item leaves =
-                SignalReport.Item.of(mNowMs, new UpstreamIncarnation("i-9", 100), LEAVES);
-        mExchanges.get("vm-0").onItem(mNowMs, mMembers.get(1).vm(), leaves);
-        show("vm-0", entry("i-9", 100, false));
+        SignalReport.Item item =
+                SignalReport.Item.of(mNowMs, new UpstreamIncarnation("i-9", 100), LEAVING);
+        mExchanges.get("vm-0").onItem(mNowMs, mMembers.get(1).vm(), item);
+        list("vm-0", entry("i-9", 100, false));
         assertThat(choose("vm-0", "i-1", "i-2")).isEmpty();
     }
 
     @Test
-    void wordThatTheEntryRepeats_isToldNoMore() {
+    void leavingSignalConfirmedByTheEntry_isNoLongerSent() {
         start(8);
-        tell("vm-3", "i-1");
-        mBoards.keySet().forEach(vm -> show(vm, entry("i-1", 100, true)));
+        reportLeaving("vm-3", "i-1");
+        mRegistries.keySet().forEach(vm -> list(vm, entry("i-1", 100, true)));
         run(5_000);
         mMessages = 0;
         run(20_000);
@@ -200,59 +202,59 @@
 
     @ParameterizedTest
     @ValueSource(ints = {8, 95})
-    void rateLimitThatOneVmWasTold_isKnownToAllWithinASecond(int vms) {
+    void rateLimitStatedToOneVm_reachesAllWithinASecond(int vms) {
         start(vms);
-        nameLimit("vm-3", ONE, mNowMs);
+        reportLimit("vm-3", ONE, mNowMs);
         run(1_000);
-        for (String vm : mBoards.keySet()) {
+        for (String vm : mRegistries.keySet()) {
             assertThat(limitAt(vm)).isEqualTo(ONE);
         }
     }
 
     @ParameterizedTest
     @ValueSource(ints = {8, 95})
-    void rateLimitThatIsNamedNoMore_endsOnAllWithinAFewSeconds(int vms) {
+    void rateLimitNoLongerStated_endsOnAllVmsWithinAFewSeconds(int vms) {
         start(vms);
-        nameLimit("vm-3", ONE, mNowMs);
+        reportLimit("vm-3", ONE, mNowMs);
         run(2_000);
         for (int i = 0; i < 5; i++) {
-            nameLimit("vm-5", OptionalDouble.empty(), mNowMs - 50);
+            reportLimit("vm-5", OptionalDouble.empty(), mNowMs - 50);
             run(500);
         }
-        for (String vm : mBoards.keySet()) {
+        for (String vm : mRegistries.keySet()) {
             assertThat(limitAt(vm)).isEmpty();
         }
     }
 
     @Test
-    void answerToARequestFromBeforeTheLimit_doesNotEndIt() {
+    void answerToARequestSentBeforeTheLimit_doesNotEndIt() {
         start(8);
         long beforeMs = mNowMs;
         run(200);
-        nameLimit("vm-3", ONE, mNowMs);
+        reportLimit("vm-3", ONE, mNowMs);
         run(1_000);
-        nameLimit("vm-3", OptionalDouble.empty(), beforeMs);
-        nameLimit("vm-5", OptionalDouble.empty(), beforeMs);
+        reportLimit("vm-3", OptionalDouble.empty(), beforeMs);
+        reportLimit("vm-5", OptionalDouble.empty(), beforeMs);
         run(1_000);
         assertThat(limitAt("vm-3")).isEqualTo(ONE);
         assertThat(limitAt("vm-5")).isEqualTo(ONE);
     }
 
     @Test
-    void vmThatStartsLater_isToldOfARateLimit() {
+    void vmThatStartsLater_receivesRateLimit() {
         start(8);
-        nameLimit("vm-3", ONE, mNowMs);
+        reportLimit("vm-3", ONE, mNowMs);
         run(10_000);
         startVm(8);
-        nameLimit("vm-3", ONE, mNowMs);
+        reportLimit("vm-3", ONE, mNowMs);
         run(1_000);
         assertThat(limitAt("vm-8")).isEqualTo(ONE);
     }
 
     @Test
-    void rateLimitOfAnIncarnation_doesNotHoldForTheNext() {
+    void rateLimit_doesNotApplyToTheNextIncarnation() {
         start(2);
-        nameLimit("vm-0", ONE, mNowMs);
+        reportLimit("vm-0", ONE, mNowMs);
         assertThat(mTables.get("vm-0").get(new UpstreamIncarnation("i-1", 200)))
                 .isEqualTo(UpstreamSignals.NONE);
     }
--- a/coordination/src/test/java/org/hornbeampass/coordination/service/TestMembers.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/service/TestMembers.java
@@ -6,7 +6,7 @@
 import org.hornbeampass.state.member.Member;
 import org.hornbeampass.state.member.MemberState;
 
-/** Members of fleets in tests. */
+/** Creates members for tests. */
 public final class TestMembers {
     private TestMembers() {}
 
--- a/coordination/src/test/java/org/hornbeampass/coordination/service/UpstreamRegistryTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/service/UpstreamRegistryTest.java
@@ -15,7 +15,7 @@
 import java.util.Random;
 import java.util.Set;
 
-/** Checks which upstream a request gets, and that one that leaves gets none. */
+/** Tests which upstream a request gets, and that a leaving or former one gets no requests. */
 class UpstreamRegistryTest {
     private static final ServiceSpec PLAIN = new ServiceSpec("s", 100, Optional.empty());
     private static final ServiceSpec MODEL =
@@ -26,62 +26,62 @@
                     100,
                     List.of(new Prompt.Part("aa", 5_000), new Prompt.Part("own", 1_000)));
 
-    private final UpstreamRegistry mBoard = new UpstreamRegistry(new Random(1), () -> 8);
+    private final UpstreamRegistry mRegistry = new UpstreamRegistry(new Random(1), () -> 8);
 
     private static UpstreamEntry entry(String id, boolean leaving) {
         return new UpstreamEntry(
                 id, OptionalLong.empty(), "s", id + ":80", new FailureDomain("d"), 6, leaving);
     }
 
-    private static UpstreamEntry born(String id, long bornMs, boolean leaving) {
+    private static UpstreamEntry entryOf(String id, long bornMs, boolean leaving) {
         return new UpstreamEntry(
                 id, OptionalLong.of(bornMs), "s", id + ":80", new FailureDomain("d"), 6, leaving);
     }
 
     private Optional<String> choose(long nowMs, ServiceSpec service, Prompt prompt) {
-        return mBoard.choose(nowMs, service, prompt, Set.of()).map(c -> c.instance().id());
+        return mRegistry.choose(nowMs, service, prompt, Set.of()).map(c -> c.instance().id());
     }
 
     private UpstreamInstance only(String id) {
-        mBoard.onEntry(0, entry(id, false));
-        return mBoard.choose(0, PLAIN, Prompt.NONE, Set.of()).orElseThrow().instance();
+        mRegistry.onEntry(0, entry(id, false));
+        return mRegistry.choose(0, PLAIN, Prompt.NONE, Set.of()).orElseThrow().instance();
     }
 
     @Test
-    void leavingUpstream_getsNothingAlsoIfALaterEntrySaysReady() {
-        mBoard.onEntry(0, entry("a", false));
-        mBoard.onEntry(0, entry("a", true));
-        mBoard.onEntry(0, entry("a", false));
+    void leavingUpstream_getsNoRequestsEvenIfALaterEntryIsReady() {
+        mRegistry.onEntry(0, entry("a", false));
+        mRegistry.onEntry(0, entry("a", true));
+        mRegistry.onEntry(0, entry("a", false));
         assertThat(choose(0, PLAIN, Prompt.NONE)).isEmpty();
     }
 
     @Test
-    void removedUpstream_isGoneAtOnceOnACalmDay() {
-        mBoard.onEntry(0, entry("a", false));
-        mBoard.onRemoved(100, "a", false);
+    void removedUpstream_isGoneAtOnceWithoutAnOutage() {
+        mRegistry.onEntry(0, entry("a", false));
+        mRegistry.onRemoved(100, "a", false);
         assertThat(choose(100, PLAIN, Prompt.NONE)).isEmpty();
     }
 
     @Test
-    void entryMissingAfterAnOutage_staysInUseUntilItMustBeBack() {
-        mBoard.onEntry(0, entry("a", false));
-        mBoard.onRemoved(100, "a", true);
+    void entryMissingAfterAnOutage_staysInUseForTheGracePeriod() {
+        mRegistry.onEntry(0, entry("a", false));
+        mRegistry.onRemoved(100, "a", true);
         assertThat(choose(100, PLAIN, Prompt.NONE)).contains("a");
         assertThat(choose(100 + UpstreamRegistry.MISSING_GRACE_MS, PLAIN, Prompt.NONE)).isEmpty();
     }
 
     @Test
-    void entryBackAfterAnOutage_staysInUse() {
-        mBoard.onEntry(0, entry("a", false));
-        mBoard.onRemoved(100, "a", true);
-        mBoard.onEntry(0, entry("a", false));
+    void entryRestoredAfterAnOutage_staysInUse() {
+        mRegistry.onEntry(0, entry("a", false));
+        mRegistry.onRemoved(100, "a", true);
+        mRegistry.onEntry(0, entry("a", false));
         assertThat(choose(60_000, PLAIN, Prompt.NONE)).contains("a");
     }
 
     @Test
-    void silentUpstream_isPausedAndComesBack() {
+    void unresponsiveUpstream_isPausedForATime() {
         UpstreamInstance first = only("a");
-        mBoard.onEntry(0, entry("b", false));
+        mRegistry.onEntry(0, entry("b", false));
         first.onNoAnswer(0);
         first.onNoAnswer(0);
         assertThat(first.isPaused(100)).isTrue();
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void onlyUpstream_isUsedAlsoWhilePaused() {
+    void onlyUpstream_isUsedEvenWhilePaused() {
         UpstreamInstance only = only("a");
         only.onNoAnswer(0);
         only.onNoAnswer(0);
@@ -100,10 +100,10 @@
     }
 
     @Test
-    void sharedPrompt_goesWhereOtherVmsSendItToo() {
+    void sharedPrompt_isSentToTheSameUpstreamByAllVms() {
         UpstreamRegistry other = new UpstreamRegistry(new Random(99), () -> 8);
         for (String id : List.of("a", "b", "c", "d")) {
-            mBoard.onEntry(0, entry(id, false));
+            mRegistry.onEntry(0, entry(id, false));
         }
         for (String id : List.of("d", "c", "b", "a")) {
             other.onEntry(0, entry(id, false));
@@ -114,19 +114,20 @@
     }
 
     @Test
-    void sharedPrompt_leavesItsHomeWhereManyPromptsWaitThere() {
+    void sharedPrompt_avoidsItsCacheHolderWhenManyPromptsWaitThere() {
         for (String id : List.of("a", "b", "c", "d")) {
-            mBoard.onEntry(0, entry(id, false));
+            mRegistry.onEntry(0, entry(id, false));
         }
-        UpstreamInstance home = mBoard.choose(0, MODEL, SHARED, Set.of()).orElseThrow().instance();
-        home.onSent(20_000, t -> {});
-        assertThat(choose(0, MODEL, SHARED)).isNotEqualTo(Optional.of(home.id()));
+        UpstreamInstance holder =
+                mRegistry.choose(0, MODEL, SHARED, Set.of()).orElseThrow().instance();
+        holder.onSent(20_000, t -> {});
+        assertThat(choose(0, MODEL, SHARED)).isNotEqualTo(Optional.of(holder.id()));
     }
 
     @Test
-    void failingUpstream_getsLess() {
+    void failingUpstream_getsFewerRequests() {
         UpstreamInstance bad = only("a");
-        mBoard.onEntry(0, entry("b", false));
+        mRegistry.onEntry(0, entry("b", false));
         for (int i = 0; i < 5; i++) {
             bad.onErrorAnswer(0);
         }
@@ -136,15 +137,15 @@
     }
 
     @Test
-    void slowEngine_getsLittleUntilItsEvidenceFades() {
-        mBoard.onEntry(0, entry("slow", false));
-        mBoard.onEntry(0, entry("sound", false));
+    void slowEngine_getsFewRequestsUntilItsStatisticsDecay() {
+        mRegistry.onEntry(0, entry("slow", false));
+        mRegistry.onEntry(0, entry("sound", false));
         Prompt own = new Prompt(1_000, 100, List.of());
         int toSlow = 0;
         for (int i = 0; i < 100; i++) {
             long nowMs = i * 20L;
             UpstreamInstance chosen =
-                    mBoard.choose(nowMs, MODEL, own, Set.of()).orElseThrow().instance();
+                    mRegistry.choose(nowMs, MODEL, own, Set.of()).orElseThrow().instance();
             boolean slow = chosen.id().equals("slow");
             toSlow += slow ? 1 : 0;
             chosen.onFirstPart(nowMs, slow ? 400 : 40, 1_000);
@@ -158,144 +159,152 @@
     }
 
     @Test
-    void sharedPart_staysAtItsHomeThroughASmallQueue() {
-        mBoard.onEntry(0, entry("a", false));
-        mBoard.onEntry(0, entry("b", false));
-        UpstreamInstance home = mBoard.choose(0, MODEL, SHARED, Set.of()).orElseThrow().instance();
-        home.onSent(3_000, t -> {});
-        assertThat(choose(0, MODEL, SHARED)).contains(home.id());
-        home.onSent(9_000, t -> {});
-        assertThat(choose(0, MODEL, SHARED)).isNotEqualTo(Optional.of(home.id()));
+    void sharedPart_staysAtItsCacheHolderDespiteASmallQueue() {
+        mRegistry.onEntry(0, entry("a", false));
+        mRegistry.onEntry(0, entry("b", false));
+        UpstreamInstance holder =
+                mRegistry.choose(0, MODEL, SHARED, Set.of()).orElseThrow().instance();
+        holder.onSent(3_000, t -> {});
+        assertThat(choose(0, MODEL, SHARED)).contains(holder.id());
+        holder.onSent(9_000, t -> {});
+        assertThat(choose(0, MODEL, SHARED)).isNotEqualTo(Optional.of(holder.id()));
     }
 
     @Test
-    void upstreamThatStartsAgain_isUsedAlsoIfItsFormerIncarnationLeft() {
-        mBoard.onEntry(0, born("a", 100, false));
-        mBoard.onEntry(0, born("a", 100, true));
+    void restartedUpstream_isUsedEvenIfItsFormerIncarnationWasLeaving() {
+        mRegistry.onEntry(0, entryOf("a", 100, false));
+        mRegistry.onEntry(0, entryOf("a", 100, true));
         assertThat(choose(0, PLAIN, Prompt.NONE)).isEmpty();
-        assertThat(mBoard.onEntry(1, born("a", 200, false))).isEqualTo(EntryResult.STARTED_AGAIN);
+        assertThat(mRegistry.onEntry(1, entryOf("a", 200, false)))
+                .isEqualTo(EntryResult.STARTED_AGAIN);
         assertThat(choose(1, PLAIN, Prompt.NONE)).contains("a");
     }
 
     @Test
-    void upstreamThatStartsAgain_hasNoEvidenceAndNoRequestsOfItsFormerIncarnation() {
-        mBoard.onEntry(0, born("a", 100, false));
-        UpstreamInstance former =
-                mBoard.choose(0, MODEL, SHARED, Set.of()).orElseThrow().instance();
+    void restartedUpstream_hasNoStatisticsAndNoRequestsOfItsFormerIncarnation() {
+        mRegistry.onEntry(0, entryOf("a", 100, false));
+        UpstreamInstance previous =
+                mRegistry.choose(0, MODEL, SHARED, Set.of()).orElseThrow().instance();
         List<String> lost = new ArrayList<>();
-        former.onSent(5_000, t -> lost.add("request"));
-        former.onFirstPart(0, 900, 1_000);
-        former.onNoAnswer(0);
-        former.onNoAnswer(0);
-        mBoard.onEntry(1, born("a", 200, false));
-        UpstreamInstance next = mBoard.choose(1, MODEL, SHARED, Set.of()).orElseThrow().instance();
+        previous.onSent(5_000, t -> lost.add("request"));
+        previous.onFirstPart(0, 900, 1_000);
+        previous.onNoAnswer(0);
+        previous.onNoAnswer(0);
+        mRegistry.onEntry(1, entryOf("a", 200, false));
+        UpstreamInstance next =
+                mRegistry.choose(1, MODEL, SHARED, Set.of()).orElseThrow().instance();
         assertThat(lost).containsExactly("request");
-        assertThat(next).isNotSameAs(former);
+        assertThat(next).isNotSameAs(previous);
         assertThat(next.isPaused(1)).isFalse();
         assertThat(next.inFlight()).isZero();
         assertThat(next.unreadTokens()).isZero();
         assertThat(next.failureShare(1)).isZero();
         assertThat(next.delayMs(1)).isZero();
-        assertThat(former.isUsable(1)).isFalse();
+        assertThat(previous.isUsable(1)).isFalse();
     }
 
     @Test
-    void lateEntryOfAFormerIncarnation_changesNothing() {
-        mBoard.onEntry(0, born("a", 200, false));
-        assertThat(mBoard.onEntry(1, born("a", 100, true)))
+    void lateEntryOfAFormerIncarnation_isIgnored() {
+        mRegistry.onEntry(0, entryOf("a", 200, false));
+        assertThat(mRegistry.onEntry(1, entryOf("a", 100, true)))
                 .isEqualTo(EntryResult.FORMER_INCARNATION);
         assertThat(choose(1, PLAIN, Prompt.NONE)).contains("a");
     }
 
     @Test
-    void lateEntryOfAnUpstreamThatLeft_bringsItNotBack() {
-        mBoard.onEntry(0, entry("a", true));
-        mBoard.onRemoved(10, "a", false);
-        mBoard.tick(20);
-        assertThat(mBoard.onEntry(30, entry("a", false))).isEqualTo(EntryResult.FORMER_INCARNATION);
+    void lateEntryOfAnUpstreamThatLeft_doesNotAddItAgain() {
+        mRegistry.onEntry(0, entry("a", true));
+        mRegistry.onRemoved(10, "a", false);
+        mRegistry.tick(20);
+        assertThat(mRegistry.onEntry(30, entry("a", false)))
+                .isEqualTo(EntryResult.FORMER_INCARNATION);
         assertThat(choose(30, PLAIN, Prompt.NONE)).isEmpty();
     }
 
     @Test
-    void lateEntryOfAnIncarnationBeforeOneThatIsGone_bringsItNotBack() {
-        mBoard.onEntry(0, born("a", 200, false));
-        mBoard.onRemoved(10, "a", false);
-        mBoard.tick(20);
-        assertThat(mBoard.onEntry(30, born("a", 100, false)))
+    void lateEntryOfAnIncarnationBeforeARemovedOne_doesNotAddItAgain() {
+        mRegistry.onEntry(0, entryOf("a", 200, false));
+        mRegistry.onRemoved(10, "a", false);
+        mRegistry.tick(20);
+        assertThat(mRegistry.onEntry(30, entryOf("a", 100, false)))
                 .isEqualTo(EntryResult.FORMER_INCARNATION);
-        assertThat(mBoard.onEntry(40, born("a", 200, false))).isEqualTo(EntryResult.ADDED);
+        assertThat(mRegistry.onEntry(40, entryOf("a", 200, false))).isEqualTo(EntryResult.ADDED);
     }
 
     @Test
-    void unreadableEntry_namesNoUpstreamUntilAReadableOneComes() {
-        mBoard.onEntry(0, entry("a", false));
-        mBoard.onUnreadableEntry(10, "a");
+    void unreadableEntry_removesTheUpstreamUntilAReadableOneArrives() {
+        mRegistry.onEntry(0, entry("a", false));
+        mRegistry.onUnreadableEntry(10, "a");
         assertThat(choose(10, PLAIN, Prompt.NONE)).isEmpty();
-        mBoard.onEntry(20, entry("a", false));
+        mRegistry.onEntry(20, entry("a", false));
         assertThat(choose(20, PLAIN, Prompt.NONE)).contains("a");
     }
 
     @Test
-    void entryWithoutItsIncarnationWhereOthersTellTheirs_getsNothing() {
-        mBoard.onEntry(0, entry("stranger", false));
-        mBoard.onEntry(0, born("a", 100, false));
-        mBoard.onEntry(0, born("b", 100, true));
+    void entryWithoutIncarnationWhereOthersStateTheirs_getsNoRequests() {
+        mRegistry.onEntry(0, entry("stranger", false));
+        mRegistry.onEntry(0, entryOf("a", 100, false));
+        mRegistry.onEntry(0, entryOf("b", 100, true));
         for (int i = 0; i < 50; i++) {
             assertThat(choose(0, PLAIN, Prompt.NONE)).contains("a");
         }
     }
 
     @Test
-    void loadOfOtherVms_countsLikeTheOwnOne() {
-        mBoard.onEntry(0, entry("a", false));
-        mBoard.onEntry(0, entry("b", false));
+    void loadOfOtherVms_countsLikeOwnLoad() {
+        mRegistry.onEntry(0, entry("a", false));
+        mRegistry.onEntry(0, entry("b", false));
         Prompt own = new Prompt(1_000, 100, List.of());
         InFlightReport.Item busy = new InFlightReport.Item("a", 20_000, 3);
-        mBoard.fleetLoad().onReport(0, "vm-2", new InFlightReport(List.of(busy), 1));
+        mRegistry.fleetLoad().onReport(0, "vm-2", new InFlightReport(List.of(busy), 1));
         for (int i = 0; i < 50; i++) {
             assertThat(choose(10, MODEL, own)).contains("b");
         }
     }
 
     @Test
-    void reportOfAVmThatFellSilent_countsNoLonger() {
-        mBoard.onEntry(0, entry("a", false));
+    void reportOfAVmThatStoppedReporting_expires() {
+        mRegistry.onEntry(0, entry("a", false));
         InFlightReport.Item busy = new InFlightReport.Item("a", 20_000, 3);
-        mBoard.fleetLoad().onReport(0, "vm-2", new InFlightReport(List.of(busy), 1));
-        mBoard.tick(FleetLoad.REPORT_TTL_MS);
-        assertThat(mBoard.fleetLoad().at("a").requests()).isZero();
-        assertThat(mBoard.fleetLoad().reportingVms()).isZero();
+        mRegistry.fleetLoad().onReport(0, "vm-2", new InFlightReport(List.of(busy), 1));
+        mRegistry.tick(FleetLoad.REPORT_TTL_MS);
+        assertThat(mRegistry.fleetLoad().at("a").requests()).isZero();
+        assertThat(mRegistry.fleetLoad().reportingVms()).isZero();
     }
 
     @Test
-    void newerReportOfAVm_replacesItsFormerOne() {
+    void newerReportOfAVm_replacesThePreviousOne() {
         InFlightReport.Item busy = new InFlightReport.Item("a", 20_000, 3);
-        mBoard.fleetLoad().onReport(0, "vm-2", new InFlightReport(List.of(busy), 1));
-        mBoard.fleetLoad().onReport(100, "vm-3", new InFlightReport(List.of(busy), 1));
-        assertThat(mBoard.fleetLoad().at("a").unreadTokens()).isEqualTo(40_000);
-        mBoard.fleetLoad().onReport(200, "vm-2", new InFlightReport(List.of(), 1));
-        assertThat(mBoard.fleetLoad().at("a").unreadTokens()).isEqualTo(20_000);
+        mRegistry.fleetLoad().onReport(0, "vm-2", new InFlightReport(List.of(busy), 1));
+        mRegistry.fleetLoad().onReport(100, "vm-3", new InFlightReport(List.of(busy), 1));
+        assertThat(mRegistry.fleetLoad().at("a").unreadTokens()).isEqualTo(40_000);
+        mRegistry.fleetLoad().onReport(200, "vm-2", new InFlightReport(List.of(), 1));
+        assertThat(mRegistry.fleetLoad().at("a").unreadTokens()).isEqualTo(20_000);
     }
 
     @Test
-    void sharedPart_isReadAtItsHomeOnlyOnce() {
-        mBoard.onEntry(0, entry("a", false));
-        mBoard.onEntry(0, entry("b", false));
-        UpstreamChoice choice = mBoard.choose(0, MODEL, SHARED, Set.of()).orElseThrow();
-        UpstreamInstance home = choice.instance();
+    void sharedPart_isReadOnlyOnceAtItsCacheHolder() {
+        mRegistry.onEntry(0, entry("a", false));
+        mRegistry.onEntry(0, entry("b", false));
+        UpstreamChoice choice = mRegistry.choose(0, MODEL, SHARED, Set.of()).orElseThrow();
+        UpstreamInstance holder = choice.instance();
         assertThat(choice.tokensToRead()).isEqualTo(1_000);
-        assertThat(mBoard.choose(0, MODEL, SHARED, Set.of(home.id())).orElseThrow().tokensToRead())
+        assertThat(
+                        mRegistry
+                                .choose(0, MODEL, SHARED, Set.of(holder.id()))
+                                .orElseThrow()
+                                .tokensToRead())
                 .isEqualTo(6_000);
-        home.onSent(1_000, t -> {});
-        assertThat(mBoard.inFlight().items())
-                .containsExactly(new InFlightReport.Item(home.id(), 1_000, 1));
+        holder.onSent(1_000, t -> {});
+        assertThat(mRegistry.inFlight().items())
+                .containsExactly(new InFlightReport.Item(holder.id(), 1_000, 1));
     }
 
     @Test
-    void strangerThatTellsAnIncarnationWhereOthersDoNot_takesNobodyOutOfUse() {
-        mBoard.onEntry(0, entry("a", true));
-        mBoard.onEntry(0, entry("b", false));
-        mBoard.onEntry(0, born("stranger", 100, true));
+    void foreignEntryWithIncarnationWhereOthersHaveNone_excludesNoUpstream() {
+        mRegistry.onEntry(0, entry("a", true));
+        mRegistry.onEntry(0, entry("b", false));
+        mRegistry.onEntry(0, entryOf("stranger", 100, true));
         assertThat(choose(0, PLAIN, Prompt.NONE)).contains("b");
     }
 }
--- a/coordination/src/test/java/org/hornbeampass/coordination/upstream/IncarnationTrackerTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/upstream/IncarnationTrackerTest.java
@@ -10,13 +10,13 @@
     private final IncarnationTracker mTracker = new IncarnationTracker(0);
 
     @Test
-    void newUpstream_thatNoListShowsYet_isLive() {
+    void newUpstreamThatIsNotListedYet_isLive() {
         assertThat(mTracker.onNotListed(1)).isFalse();
         assertThat(mTracker.isLive()).isTrue();
     }
 
     @Test
-    void endedLife_isNotRevivedByListThatStillShowsIt() {
+    void endedIncarnation_isNotRevivedByListThatStillContainsIt() {
         mTracker.onListed(1, 4);
         assertThat(mTracker.onEnded(2, 4, Evidence.UPSTREAM_WORD)).isTrue();
         mTracker.onListed(3, 4);
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void newsOfEarlierLife_isToBeIgnored() {
+    void reportOfEarlierIncarnation_isIgnored() {
         mTracker.onSeen(1, 5);
 
         assertThat(mTracker.onSeen(2, 4)).isFalse();
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void lifeThatWasListed_endsWhenListShowsItNoMore() {
+    void listedIncarnation_endsWhenListNoLongerContainsIt() {
         mTracker.onListed(1, 4);
 
         assertThat(mTracker.onNotListed(2)).isTrue();
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void lifeThatBeganAfterTheListedOne_staysWhenTheListedOneGoes() {
+    void incarnationNewerThanTheListedOne_staysLiveWhenTheListedOneIsRemoved() {
         mTracker.onListed(1, 4);
         mTracker.onSeen(2, 5);
 
--- a/coordination/src/test/java/org/hornbeampass/coordination/upstream/PrefixCacheEstimateTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/upstream/PrefixCacheEstimateTest.java
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void gapInEvents_dropsAllBelief() {
+    void gapInEvents_clearsTheEstimate() {
         mEstimate.apply(stored(0, 11, 12));
         mEstimate.apply(stored(3, 13));
 
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void clearedCache_holdsNothing() {
+    void clearedCache_matchesNoBlocks() {
         mEstimate.onServed(PROMPT);
         mEstimate.apply(event(0, new CacheEvent(Kind.CLEARED, 0)));
 
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void fullBelief_dropsTheEndOfTheOldestPromptFirst() {
+    void fullEstimate_dropsTheEndOfTheOldestPromptFirst() {
         mEstimate.onServed(PROMPT);
         mEstimate.onServed(PrefixDigests.of(21));
 
