--- a/coordination/src/main/java/org/hornbeampass/coordination/routing/PredictedWait.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/routing/PredictedWait.java
@@ -8,34 +8,35 @@
 import java.util.SplittableRandom;
 
 /**
- * Predicts the time to first token at each candidate and chooses among the best.
+ * Predicts the time to first token at each candidate and chooses among those with the lowest.
  *
- * <p>The prediction is the round trip plus the upstream's smoothed time per unit of load, times the
- * estimated load, less what a cached prefix saves. The load is this VM's own, at once, plus that of
- * others by the last report; as the report ages, the others' load moves to the group's mean. Among
- * candidates whose predictions are too close to tell apart, chance decides, so that VMs with the
- * same news don't all choose the same one. Stateless; runs under the table's lock.
+ * <p>The prediction is the round-trip time plus the product of the upstream's smoothed time per
+ * request in progress and its estimated load, reduced by the saving of a cached prefix. The load
+ * consists of this VM's own requests, which count at once, and the load of others in the last
+ * report; as the report ages, the latter approaches the mean of the candidates. Among candidates
+ * with nearly equal predictions the choice is random, so that VMs with the same information don't
+ * all choose the same upstream. Stateless; the caller holds {@code UpstreamTable#lock()}.
  */
 final class PredictedWait {
-    private static final double DEFAULT_UNIT_MS = 10;
+    private static final double DEFAULT_MS_PER_REQUEST = 10;
     private static final double CACHED_SAVING = 0.6;
-    private static final double HOME_SAVING = 0.15;
-    private static final int HOME_BLOCKS = 4;
+    private static final double PREFERRED_SAVING = 0.15;
+    private static final int AFFINITY_BLOCKS = 4;
     private static final double CLOSE_RATIO = 1.1;
     private static final double ERROR_PENALTY = 8;
 
     private PredictedWait() {}
 
     static int pick(long nowMs, Candidates candidates, SplittableRandom random) {
-        double meanOthers = meanOthers(candidates);
-        double groupUnitMs = groupUnitMs(candidates);
-        double fullWeight = fullWeight(nowMs, candidates);
-        int home = home(candidates);
+        double meanOthers = meanOthersLoad(candidates);
+        double groupUnitMs = meanMsPerRequest(candidates);
+        double fullWeight = maxSlowStartWeight(nowMs, candidates);
+        int home = preferred(candidates);
         double best = Double.MAX_VALUE;
         int chosen = 0;
         int close = 0;
         for (int i = 0; i < candidates.size(); i++) {
-            double saving = saving(candidates, i, i == home);
+            double saving = cacheSaving(candidates, i, i == home);
             UpstreamState state = candidates.state(i);
             double weight = state.slowStartWeight(nowMs) / fullWeight;
             double ms =
@@ -55,19 +56,19 @@
     }
 
     /** Returns the estimated load of an upstream, in requests. */
-    static double load(long nowMs, LoadEstimate load, double meanOthers) {
+    static double estimateLoad(long nowMs, LoadEstimate load, double meanOthers) {
         double weight = load.reportWeight(nowMs);
-        return load.inFlight() + weight * load.others() + (1 - weight) * meanOthers;
+        return load.inFlight() + weight * load.othersLoad() + (1 - weight) * meanOthers;
     }
 
-    /** Returns the mean load by others over the candidates that reported; 0 without any report. */
-    static double meanOthers(Candidates candidates) {
+    /** Returns the mean load of others over the candidates with a report; 0 without any report. */
+    static double meanOthersLoad(Candidates candidates) {
         double sum = 0;
         int known = 0;
         for (int i = 0; i < candidates.size(); i++) {
             LoadEstimate load = candidates.state(i).load();
             if (load.hasReport()) {
-                sum += load.others();
+                sum += load.othersLoad();
                 known++;
             }
         }
@@ -77,14 +78,17 @@
     private static double predictMs(
             long nowMs, UpstreamState state, double meanOthers, double groupUnitMs) {
         LoadEstimate load = state.load();
-        double unitMs = load.unitMs() == 0 ? groupUnitMs : load.unitMs();
-        double waitMs = unitMs * (load(nowMs, load, meanOthers) + 1);
+        double unitMs = load.msPerRequest() == 0 ? groupUnitMs : load.msPerRequest();
+        double waitMs = unitMs * (estimateLoad(nowMs, load, meanOthers) + 1);
         double penalty = 1 + ERROR_PENALTY * state.health().errorShare();
         return Math.max(waitMs, (double) load.silentMs(nowMs)) * penalty;
     }
 
-    /** Returns the greatest slow-start weight: where all are new, none is held back. */
-    private static double fullWeight(long nowMs, Candidates candidates) {
+    /**
+     * Returns the greatest slow-start weight of the candidates; weights are relative to it, so that
+     * no upstream is held back if all are new.
+     */
+    private static double maxSlowStartWeight(long nowMs, Candidates candidates) {
         double most = 0;
         for (int i = 0; i < candidates.size(); i++) {
             most = Math.max(most, candidates.state(i).slowStartWeight(nowMs));
@@ -92,39 +96,45 @@
         return most;
     }
 
-    private static double groupUnitMs(Candidates candidates) {
+    private static double meanMsPerRequest(Candidates candidates) {
         double sum = 0;
         int known = 0;
         for (int i = 0; i < candidates.size(); i++) {
-            double unitMs = candidates.state(i).load().unitMs();
+            double unitMs = candidates.state(i).load().msPerRequest();
             sum += unitMs;
             known += unitMs > 0 ? 1 : 0;
         }
-        return known == 0 ? DEFAULT_UNIT_MS : sum / known;
+        return known == 0 ? DEFAULT_MS_PER_REQUEST : sum / known;
     }
 
-    private static double saving(Candidates candidates, int index, boolean home) {
+    private static double cacheSaving(Candidates candidates, int index, boolean preferred) {
         PrefixDigests prefix = candidates.prefix();
         if (prefix.size() == 0) {
             return 0;
         }
         int matching = candidates.state(index).matchingBlocks(prefix);
         double share = (double) matching / prefix.size();
-        return CACHED_SAVING * share + (home ? HOME_SAVING * (1 - share) : 0);
+        return CACHED_SAVING * share + (preferred ? PREFERRED_SAVING * (1 - share) : 0);
     }
 
-    /** Returns the digest by which a prompt finds its home; the prompt has a block at least. */
-    static long head(PrefixDigests prefix) {
-        return prefix.at(Math.min(HOME_BLOCKS, prefix.size()) - 1);
+    /**
+     * Returns the digest that determines a prompt's preferred upstream; the prompt must have at
+     * least one block.
+     */
+    static long affinityKey(PrefixDigests prefix) {
+        return prefix.at(Math.min(AFFINITY_BLOCKS, prefix.size()) - 1);
     }
 
-    /** Returns the candidate to which all VMs send a prompt that no one is known to hold. */
-    private static int home(Candidates candidates) {
+    /**
+     * Returns the index of the candidate to which all VMs prefer to send a prompt that no upstream
+     * is known to have cached; -1 for an empty prompt.
+     */
+    private static int preferred(Candidates candidates) {
         PrefixDigests prefix = candidates.prefix();
         if (prefix.size() == 0) {
             return -1;
         }
-        long head = head(prefix);
+        long head = affinityKey(prefix);
         int home = 0;
         long best = Long.MIN_VALUE;
         for (int i = 0; i < candidates.size(); i++) {
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/BroadcastQueue.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/BroadcastQueue.java
@@ -9,103 +9,103 @@
 import java.util.function.Supplier;
 
 /**
- * Spreads news over the fleet along the paths of the load reports.
+ * Broadcasts updates to all VMs along the {@link BroadcastPaths}, which load reports use too.
  *
- * <p>Each VM tells what it found out; relays pass on what is new to them, so that no item goes in a
- * circle. All is told {@link #TIMES} times, since a message may be lost. Nothing is sent where
- * there is no news. Confined to one thread.
+ * <p>Each VM sends its own updates; a relay forwards only items that are new to it, so that no item
+ * circulates forever. Each item is sent {@link #SENDS_PER_ITEM} times, since messages may be lost.
+ * Nothing is sent while there are no updates. Confined to one thread.
  *
- * @param <T> an item of news, which names what is told
+ * @param <T> an item, which identifies what was updated
  */
 public final class BroadcastQueue<T> {
-    /** Sends news to other VMs. */
+    /** Sends items to other VMs. */
     @FunctionalInterface
     public interface Sender<T> {
         /**
-         * Tells some VMs.
+         * Sends items to the given VMs.
          *
          * @param nowMs the present time in milliseconds
          * @param vms their names
-         * @param items the news
+         * @param items the items
          */
         void send(long nowMs, List<String> vms, List<T> items);
     }
 
-    /** After what time news are told again, in milliseconds. */
-    private static final long REPEAT_MS = 500;
+    /** The interval between repeated sends, in milliseconds. */
+    private static final long REPEAT_INTERVAL_MS = 500;
 
-    /** How often each item is told. */
-    private static final int TIMES = 6;
+    /** How many times each item is sent, the first send included. */
+    private static final int SENDS_PER_ITEM = 6;
 
     private final Supplier<BroadcastPaths> mPaths;
-    private final Sender<T> mTeller;
+    private final Sender<T> mSender;
 
-    /** News of this VM or its failure domain, for all others. */
-    private final Set<T> mNews = new LinkedHashSet<>();
+    /** New items of this VM or its failure domain, for all other VMs. */
+    private final Set<T> mNewForAll = new LinkedHashSet<>();
 
-    /** News of other failure domains, for this VM's own. */
-    private final Set<T> mFarNews = new LinkedHashSet<>();
+    /** New items of other failure domains, for the VMs of this failure domain. */
+    private final Set<T> mNewForOwnDomain = new LinkedHashSet<>();
 
-    /** How often each item is to be told still. */
-    private final Map<T, Integer> mToRepeat = new LinkedHashMap<>();
+    /** The number of sends that remain for each item. */
+    private final Map<T, Integer> mRemainingSends = new LinkedHashMap<>();
 
     private long mNextRepeatMs;
 
     /**
-     * Makes an empty list of news.
+     * Creates an empty queue.
      *
-     * @param paths gives whom to tell now
-     * @param teller sends the messages
+     * @param paths provides the current recipients
+     * @param sender sends the messages
      */
-    public BroadcastQueue(Supplier<BroadcastPaths> paths, Sender<T> teller) {
+    public BroadcastQueue(Supplier<BroadcastPaths> paths, Sender<T> sender) {
         mPaths = paths;
-        mTeller = teller;
+        mSender = sender;
     }
 
-    /** Adds what this VM found out. */
+    /** Adds an item that originates on this VM. */
     public void add(T item) {
-        mNews.add(item);
+        mNewForAll.add(item);
     }
 
     /**
-     * Adds what another VM told.
+     * Adds items received from another VM; only a relay forwards them.
      *
      * @param from its name
-     * @param items what was new to this VM
+     * @param items the items that were new to this VM
      */
     public void onReceived(String from, Collection<T> items) {
         BroadcastPaths paths = mPaths.get();
         if (paths.isRelay()) {
-            (paths.otherRelays().contains(from) ? mFarNews : mNews).addAll(items);
+            (paths.otherRelays().contains(from) ? mNewForOwnDomain : mNewForAll).addAll(items);
         }
     }
 
     /**
-     * Returns whether the next {@link #tick} tells news again; then is the time to add lasting
-     * ones.
+     * Returns whether the next {@link #tick} repeats items; callers then add those that must be
+     * sent for as long as they hold.
      */
     public boolean isRepeatDue(long nowMs) {
         return nowMs >= mNextRepeatMs;
     }
 
-    /** Tells what is new. */
+    /** Sends new items, and repeats earlier ones when that is due. */
     public void tick(long nowMs) {
-        Set<T> toAll = new LinkedHashSet<>(mNews);
+        Set<T> toAll = new LinkedHashSet<>(mNewForAll);
         if (isRepeatDue(nowMs)) {
-            mNextRepeatMs = nowMs + REPEAT_MS;
-            toAll.addAll(mToRepeat.keySet());
-            mToRepeat.replaceAll((item, left) -> left - 1);
-            mToRepeat.values().removeIf(left -> left <= 0);
+            mNextRepeatMs = nowMs + REPEAT_INTERVAL_MS;
+            toAll.addAll(mRemainingSends.keySet());
+            mRemainingSends.replaceAll((item, left) -> left - 1);
+            mRemainingSends.values().removeIf(left -> left <= 0);
         }
-        mNews.forEach(item -> mToRepeat.put(item, TIMES - 1));
-        mFarNews.forEach(item -> mToRepeat.put(item, TIMES - 1));
+        mNewForAll.forEach(item -> mRemainingSends.put(item, SENDS_PER_ITEM - 1));
+        mNewForOwnDomain.forEach(item -> mRemainingSends.put(item, SENDS_PER_ITEM - 1));
         if (!toAll.isEmpty()) {
-            mTeller.send(nowMs, mPaths.get().broadcastTargets(), List.copyOf(toAll));
+            mSender.send(nowMs, mPaths.get().broadcastTargets(), List.copyOf(toAll));
         }
-        if (!mFarNews.isEmpty()) {
-            mTeller.send(nowMs, mPaths.get().directPeers(), List.copyOf(mFarNews));
+        if (!mNewForOwnDomain.isEmpty()) {
+            mSender.send(nowMs, mPaths.get().directPeers(), List.copyOf(mNewForOwnDomain));
         }
-        mNews.clear();
-        mFarNews.clear();
+        mNewForAll.clear();
+        mNewForOwnDomain.clear();
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/FleetLoad.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/FleetLoad.java
@@ -7,26 +7,28 @@
 import java.util.Optional;
 
 /**
- * What the other VMs have in progress at each upstream, as they last told.
+ * The load that the other VMs last reported for each upstream.
  *
- * <p>Invariant: a report counts until the next one of the same VM, or until it is {@link #FRESH_MS}
- * old; the sums are those of all reports that count, kept by difference. Confined to one thread.
+ * <p>Invariant: a report counts until the next one of the same VM arrives or until it is {@link
+ * #REPORT_TTL_MS} old. The sums per upstream cover all reports that count and are updated
+ * incrementally. Confined to one thread.
  */
 public final class FleetLoad {
     /**
-     * How long a report counts, in milliseconds. Prompts are read within some hundred; a VM that is
-     * not heard for longer is cut off or gone, and its share is unknown.
+     * How long a report counts, in milliseconds. Engines read a prompt within a few hundred
+     * milliseconds; a VM that sends no report for longer is unreachable or has stopped, and its
+     * load is unknown.
      */
-    static final long FRESH_MS = 1_000;
+    static final long REPORT_TTL_MS = 1_000;
 
     /** No work of other VMs. */
-    private static final Work NONE = new Work(0, 0);
+    private static final Work NO_WORK = new Work(0, 0);
 
     /**
      * Work in progress at one upstream.
      *
-     * @param unreadTokens prompt tokens that are still to be read
-     * @param requests requests that are worked on
+     * @param unreadTokens prompt tokens that the upstream has not read yet
+     * @param requests requests in progress
      */
     record Work(long unreadTokens, int requests) {
         Work plus(InFlightReport.Item item, int sign) {
@@ -38,79 +40,81 @@
     /**
      * The last report of one VM.
      *
-     * @param atMs when it came, in milliseconds
-     * @param report what it said
+     * @param receivedAtMs when it was received, in milliseconds
+     * @param report the report
      */
-    private record Told(long atMs, InFlightReport report) {}
+    private record LastReport(long receivedAtMs, InFlightReport report) {}
 
-    private final Map<String, Told> mByVm = new HashMap<>();
-    private final Map<String, Work> mByUpstream = new HashMap<>();
+    private final Map<String, LastReport> mReportsByVm = new HashMap<>();
+    private final Map<String, Work> mWorkByUpstream = new HashMap<>();
 
-    /** Takes a VM's report. */
+    /** Replaces the last report of a VM by a new one. */
     public void onReport(long nowMs, String vm, InFlightReport report) {
-        Told before = mByVm.put(vm, new Told(nowMs, report));
-        if (before != null) {
-            count(mByUpstream, before.report(), -1);
+        LastReport previous = mReportsByVm.put(vm, new LastReport(nowMs, report));
+        if (previous != null) {
+            accumulate(mWorkByUpstream, previous.report(), -1);
         }
-        count(mByUpstream, report, 1);
+        accumulate(mWorkByUpstream, report, 1);
     }
 
-    /** Forgets reports that no longer count. */
+    /** Removes expired reports. */
     void tick(long nowMs) {
-        Iterator<Told> told = mByVm.values().iterator();
-        while (told.hasNext()) {
-            Told each = told.next();
-            if (nowMs - each.atMs() >= FRESH_MS) {
-                told.remove();
-                count(mByUpstream, each.report(), -1);
+        Iterator<LastReport> reports = mReportsByVm.values().iterator();
+        while (reports.hasNext()) {
+            LastReport report = reports.next();
+            if (nowMs - report.receivedAtMs() >= REPORT_TTL_MS) {
+                reports.remove();
+                accumulate(mWorkByUpstream, report.report(), -1);
             }
         }
     }
 
-    /** Returns how many VMs' work is counted. */
-    int vmsHeard() {
-        return mByVm.values().stream().mapToInt(t -> t.report().vms()).sum();
+    /** Returns how many VMs the current reports cover. */
+    int reportingVms() {
+        return mReportsByVm.values().stream().mapToInt(t -> t.report().vms()).sum();
     }
 
-    /** Returns whether anything is in progress elsewhere. */
-    boolean any() {
-        return !mByUpstream.isEmpty();
+    /** Returns whether any other VM has requests in progress. */
+    boolean hasWork() {
+        return !mWorkByUpstream.isEmpty();
     }
 
-    /** Returns the other VMs' work at an upstream. */
+    /** Returns the load of all other VMs at an upstream. */
     Work at(String upstream) {
-        return mByUpstream.getOrDefault(upstream, NONE);
+        return mWorkByUpstream.getOrDefault(upstream, NO_WORK);
     }
 
-    /** Returns all work but one VM's, and this VM's own. */
+    /** Returns the sum of this VM's load and of all received reports except that of one VM. */
     InFlightReport sumWithout(String vm, InFlightReport own) {
-        Map<String, Work> sum = new HashMap<>(mByUpstream);
-        Optional<InFlightReport> without = Optional.ofNullable(mByVm.get(vm)).map(Told::report);
-        without.ifPresent(r -> count(sum, r, -1));
-        count(sum, own, 1);
-        int vms = vmsHeard() - without.map(InFlightReport::vms).orElse(0) + own.vms();
-        return report(sum, vms);
+        Map<String, Work> sum = new HashMap<>(mWorkByUpstream);
+        Optional<InFlightReport> excluded =
+                Optional.ofNullable(mReportsByVm.get(vm)).map(LastReport::report);
+        excluded.ifPresent(r -> accumulate(sum, r, -1));
+        accumulate(sum, own, 1);
+        int vms = reportingVms() - excluded.map(InFlightReport::vms).orElse(0) + own.vms();
+        return toReport(sum, vms);
     }
 
     /**
-     * Returns the work of some VMs, and this VM's own. A sum that one of them told, since it takes
-     * itself for a relay, is left out: two relays of one domain would add up each other's sums.
+     * Returns the sum of this VM's load and of the reports of the given VMs. A report that covers
+     * several VMs is left out: its sender also acts as a relay, and two relays of one failure
+     * domain would add each other's sums again and again.
      */
     InFlightReport sumOf(List<String> vms, InFlightReport own) {
         Map<String, Work> sum = new HashMap<>();
-        count(sum, own, 1);
-        int heard = own.vms();
+        accumulate(sum, own, 1);
+        int reportingVms = own.vms();
         for (String vm : vms) {
-            Told told = mByVm.get(vm);
-            if (told != null && told.report().vms() == 1) {
-                count(sum, told.report(), 1);
-                heard++;
+            LastReport last = mReportsByVm.get(vm);
+            if (last != null && last.report().vms() == 1) {
+                accumulate(sum, last.report(), 1);
+                reportingVms++;
             }
         }
-        return report(sum, heard);
+        return toReport(sum, reportingVms);
     }
 
-    private static InFlightReport report(Map<String, Work> sum, int vms) {
+    private static InFlightReport toReport(Map<String, Work> sum, int vms) {
         return new InFlightReport(
                 sum.entrySet().stream()
                         .map(
@@ -123,11 +127,14 @@
                 vms);
     }
 
-    /** Adds a report to sums, or takes it out of them; a sum of nothing is left out. */
-    private static void count(Map<String, Work> sums, InFlightReport report, int sign) {
+    /**
+     * Adds a report to the sums, or subtracts it where {@code sign} is -1; removes sums that become
+     * zero.
+     */
+    private static void accumulate(Map<String, Work> sums, InFlightReport report, int sign) {
         for (InFlightReport.Item item : report.items()) {
-            Work sum = sums.getOrDefault(item.upstream(), NONE).plus(item, sign);
-            if (sum.equals(NONE)) {
+            Work sum = sums.getOrDefault(item.upstream(), NO_WORK).plus(item, sign);
+            if (sum.equals(NO_WORK)) {
                 sums.remove(item.upstream());
             } else {
                 sums.put(item.upstream(), sum);
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/SignalExchange.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/SignalExchange.java
@@ -12,42 +12,42 @@
 import java.util.function.Supplier;
 
 /**
- * Takes what upstreams say of themselves in their answers, and tells the other VMs.
+ * Processes the signals in upstreams' answers and shares them with the other VMs.
  *
- * <p>That an upstream leaves is told until its entry says so too or it is gone, and a rate limit
- * for as long as answers to this VM name it, so that a VM that starts meanwhile hears of both.
- * Confined to one thread.
+ * <p>That an upstream is leaving is repeated until its entry shows it too or the upstream is gone;
+ * a rate limit is repeated for as long as answers to this VM state it. A VM that starts later
+ * therefore receives both. Confined to one thread.
  */
 public final class SignalExchange {
-    private static final String ANSWER = "";
+    private static final String OWN_ANSWER = "";
 
-    private final UpstreamRegistry mBoard;
+    private final UpstreamRegistry mRegistry;
     private final SignalTable mTable;
     private final SignalListener mListener;
-    private final BroadcastQueue<UpstreamIncarnation> mNews;
+    private final BroadcastQueue<UpstreamIncarnation> mBroadcasts;
 
-    /** The incarnations whose limit was named to this VM since news were last repeated. */
-    private final Set<UpstreamIncarnation> mLimitsNamed = new LinkedHashSet<>();
+    /** The incarnations whose answers to this VM stated a rate limit since the last repetition. */
+    private final Set<UpstreamIncarnation> mReportedLimits = new LinkedHashSet<>();
 
     /**
-     * Makes an exchange.
+     * Creates an exchange.
      *
-     * @param board takes upstreams that leave out of use
-     * @param table keeps the signals
+     * @param registry stops the use of upstreams that are leaving
+     * @param table stores the signals
      * @param peers sends messages to other VMs
-     * @param paths gives whom to tell now
-     * @param listener hears what is new
+     * @param paths provides the current recipients
+     * @param listener receives changes of signals
      */
     public SignalExchange(
-            UpstreamRegistry board,
+            UpstreamRegistry registry,
             SignalTable table,
             PeerNetwork peers,
             Supplier<BroadcastPaths> paths,
             SignalListener listener) {
-        mBoard = board;
+        mRegistry = registry;
         mTable = table;
         mListener = listener;
-        mNews =
+        mBroadcasts =
                 new BroadcastQueue<>(
                         paths,
                         (nowMs, vms, upstreams) -> {
@@ -63,7 +63,7 @@
                         .toList());
     }
 
-    /** Takes what an answer said of its upstream. */
+    /** Processes the signals of an answer to this VM. */
     public void onAnswer(long nowMs, UpstreamInstance upstream, UpstreamSignals signals) {
         if (!signals.restricts() && mTable.isEmpty()) {
             return;
@@ -72,55 +72,58 @@
         if (!signals.restricts() && !mTable.contains(incarnation)) {
             return;
         }
-        if (learn(nowMs, incarnation, signals, ANSWER)) {
-            mNews.add(incarnation);
+        if (merge(nowMs, incarnation, signals, OWN_ANSWER)) {
+            mBroadcasts.add(incarnation);
         }
         if (signals.rateLimit().hasLimit()) {
-            mLimitsNamed.add(incarnation);
+            mReportedLimits.add(incarnation);
         }
     }
 
-    /** Takes what another VM was told. */
+    /** Processes the signals that another VM reports. */
     public void onReport(long nowMs, VmId from, SignalReport report, Consumer<PeerMessage> reply) {
-        List<UpstreamIncarnation> learnt = new ArrayList<>();
+        List<UpstreamIncarnation> changed = new ArrayList<>();
         for (SignalReport.Item item : report.items()) {
             if (onItem(nowMs, from, item)) {
-                learnt.add(item.upstream());
+                changed.add(item.upstream());
             }
         }
-        mNews.onReceived(from.name(), learnt);
+        mBroadcasts.onReceived(from.name(), changed);
     }
 
-    /** Takes what another VM knows of one upstream; returns whether any of it is new. */
+    /**
+     * Processes what another VM reports about one upstream; returns whether it changed the known
+     * signals.
+     */
     public boolean onItem(long nowMs, VmId from, SignalReport.Item item) {
-        return learn(nowMs, item.upstream(), item.signals(nowMs), from.name());
+        return merge(nowMs, item.upstream(), item.signals(nowMs), from.name());
     }
 
-    private boolean learn(
-            long nowMs, UpstreamIncarnation upstream, UpstreamSignals signals, String toldBy) {
+    private boolean merge(
+            long nowMs, UpstreamIncarnation upstream, UpstreamSignals signals, String source) {
         UpstreamSignals before = mTable.merge(nowMs, upstream, signals);
         UpstreamSignals after = mTable.get(upstream);
-        boolean leaves = after.leaving() && !before.leaving();
-        if (leaves) {
-            mBoard.markLeaving(upstream);
-            mListener.onLeaving(nowMs, upstream, toldBy);
+        boolean startsLeaving = after.leaving() && !before.leaving();
+        if (startsLeaving) {
+            mRegistry.markLeaving(upstream);
+            mListener.onLeaving(nowMs, upstream, source);
         }
         boolean limitChanged =
                 !after.rateLimit().perSecond().equals(before.rateLimit().perSecond());
         if (limitChanged) {
-            mListener.onRateLimit(nowMs, upstream, after.rateLimit().perSecond(), toldBy);
+            mListener.onRateLimit(nowMs, upstream, after.rateLimit().perSecond(), source);
         }
-        return leaves || limitChanged;
+        return startsLeaving || limitChanged;
     }
 
-    /** Tells the other VMs. */
+    /** Sends changed signals, and repeats those that still hold, to the other VMs. */
     public void tick(long nowMs) {
         mTable.tick(nowMs);
-        if (mNews.isRepeatDue(nowMs)) {
-            mBoard.leavingByAnswerAlone(nowMs).forEach(mNews::add);
-            mLimitsNamed.forEach(mNews::add);
-            mLimitsNamed.clear();
+        if (mBroadcasts.isRepeatDue(nowMs)) {
+            mRegistry.leavingByAnswerOnly(nowMs).forEach(mBroadcasts::add);
+            mReportedLimits.forEach(mBroadcasts::add);
+            mReportedLimits.clear();
         }
-        mNews.tick(nowMs);
+        mBroadcasts.tick(nowMs);
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/service/UpstreamRegistry.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/service/UpstreamRegistry.java
@@ -17,40 +17,44 @@
 import java.util.stream.Collectors;
 
 /**
- * All registered upstreams, and the choice of one for each request.
+ * Holds all registered upstreams and chooses one for each request.
  *
- * <p>Invariants: an upstream that is leaving or gone is never chosen; what is known of one belongs
- * to one incarnation, and an older incarnation never comes back; one that is paused after failures
- * is chosen only where all usable ones of its service are; one whose rate limit the fleet has used
- * up is not chosen. Confined to one thread.
+ * <p>Invariants: an upstream that is leaving or gone is never chosen; the state of an upstream
+ * belongs to one incarnation, and an older incarnation never replaces a newer one; an upstream that
+ * is paused after failures is chosen only if all usable upstreams of its service are paused; an
+ * upstream whose rate limit the fleet has used up is not chosen. Confined to one thread.
  */
 public final class UpstreamRegistry {
     /**
-     * How long an entry that is missing after an outage of the platform may still come back, in
-     * milliseconds; the platform's own entries are back within two seconds.
+     * How long an upstream stays in use after its entry went missing in an outage of the platform,
+     * in milliseconds. Entries are back within two seconds after an outage.
      */
     static final long MISSING_GRACE_MS = 1_900;
 
     /**
-     * By how much this VM's own load stands for that of the other VMs where none of them is heard:
-     * callers choose VMs at random, so that loads are alike.
+     * The factor by which this VM's own load is multiplied to stand for that of the other VMs when
+     * no reports arrive from them. Callers choose VMs at random, so that their loads are similar.
      */
-    private static final double UNSEEN_LOAD = 2.0;
+    private static final double UNREPORTED_LOAD_FACTOR = 2.0;
 
-    /** What one running request adds to another's wait at an engine, in milliseconds. */
-    private static final double RUNNING_COST_MS = 0.5;
+    /** How much each running request adds to the wait of another at an engine, in milliseconds. */
+    private static final double COST_PER_RUNNING_REQUEST_MS = 0.5;
 
     /**
-     * How much more a token counts that is read a second time in the fleet than one that must be
-     * read: it delays the requests of all others at its upstream, and is charged for.
+     * The weight of a token that is cached at another upstream and would be read a second time,
+     * compared to a token that has to be read anyway. Reading it again delays all other requests at
+     * the upstream and is billed.
      */
-    private static final double READ_AGAIN_WEIGHT = 3.0;
+    private static final double REPEATED_PREFILL_WEIGHT = 3.0;
 
-    /** What a certain failure costs in the comparison, in milliseconds: about a repeated wait. */
+    /**
+     * The cost of a certain failure when upstreams are compared, in milliseconds: about the wait of
+     * a second attempt.
+     */
     private static final double FAILURE_COST_MS = 3_000;
 
-    /** Breaks ties between upstreams at random, in milliseconds. */
-    private static final double TIE_MS = 4.0;
+    /** The upper bound of the random cost that breaks ties between upstreams, in milliseconds. */
+    private static final double MAX_TIE_BREAK_MS = 4.0;
 
     private final Map<String, UpstreamInstance> mById = new HashMap<>();
     private final Map<String, List<UpstreamInstance>> mByService = new HashMap<>();
@@ -61,18 +65,18 @@
     private final RandomGenerator mRandom;
     private final IntSupplier mVms;
 
-    /** Makes an empty board for upstreams of which nothing is known but their entries. */
+    /** Creates an empty registry for upstreams without signals and rate limits. */
     public UpstreamRegistry(RandomGenerator random, IntSupplier vms) {
         this(random, vms, new SignalTable(), SendGate.OPEN);
     }
 
     /**
-     * Makes an empty board.
+     * Creates an empty registry.
      *
-     * @param random spreads ties
+     * @param random breaks ties
      * @param vms how many VMs send requests to the upstreams
-     * @param signals what upstreams have said of themselves
-     * @param gate tells which upstreams take no more requests for now
+     * @param signals the signals of upstreams' answers
+     * @param gate decides which upstreams get no requests because of their rate limits
      */
     public UpstreamRegistry(
             RandomGenerator random, IntSupplier vms, SignalTable signals, SendGate gate) {
@@ -82,12 +86,12 @@
         mGate = gate;
     }
 
-    /** Returns what the other VMs have in progress. */
+    /** Returns the load that the other VMs reported. */
     FleetLoad fleetLoad() {
         return mFleetLoad;
     }
 
-    /** Returns what this VM has in progress. */
+    /** Returns this VM's own load, for the other VMs. */
     InFlightReport inFlight() {
         return new InFlightReport(
                 mById.values().stream()
@@ -98,41 +102,41 @@
     }
 
     /**
-     * Takes an entry as the platform shows it.
+     * Applies an upstream's entry as read from the platform.
      *
      * @param nowMs the present time in milliseconds
      * @param entry the entry
-     * @return what became of it
+     * @return how the entry was handled
      */
     public EntryResult onEntry(long nowMs, UpstreamEntry entry) {
-        UpstreamInstance known = mById.get(entry.id());
-        if (known == null) {
-            if (mFormer.ended(entry)) {
+        UpstreamInstance current = mById.get(entry.id());
+        if (current == null) {
+            if (mFormer.hasEnded(entry)) {
                 return EntryResult.FORMER_INCARNATION;
             }
             add(entry);
             return EntryResult.ADDED;
         }
-        if (known.entry().startedAfter(entry)) {
+        if (current.entry().startedAfter(entry)) {
             return EntryResult.FORMER_INCARNATION;
         }
-        if (!entry.startedAfter(known.entry())) {
-            update(known, entry);
+        if (!entry.startedAfter(current.entry())) {
+            update(current, entry);
             return EntryResult.UPDATED;
         }
-        mByService.get(known.entry().service()).remove(known);
+        mByService.get(current.entry().service()).remove(current);
         add(entry);
-        known.end(nowMs);
+        current.end(nowMs);
         return EntryResult.STARTED_AGAIN;
     }
 
-    private void update(UpstreamInstance known, UpstreamEntry entry) {
-        boolean moves = !known.entry().service().equals(entry.service());
-        if (moves) {
-            mByService.get(known.entry().service()).remove(known);
-            mByService.computeIfAbsent(entry.service(), s -> new ArrayList<>()).add(known);
+    private void update(UpstreamInstance current, UpstreamEntry entry) {
+        boolean serviceChanged = !current.entry().service().equals(entry.service());
+        if (serviceChanged) {
+            mByService.get(current.entry().service()).remove(current);
+            mByService.computeIfAbsent(entry.service(), s -> new ArrayList<>()).add(current);
         }
-        known.update(entry);
+        current.update(entry);
     }
 
     private void add(UpstreamEntry entry) {
@@ -144,43 +148,47 @@
         mByService.computeIfAbsent(entry.service(), s -> new ArrayList<>()).add(added);
     }
 
-    /** Takes an entry that can't be understood: it names no upstream, whatever it named before. */
+    /** Handles an entry that can't be parsed, like the removal of the entry. */
     public void onUnreadableEntry(long nowMs, String id) {
         onRemoved(nowMs, id, false);
     }
 
     /**
-     * Takes the removal of an entry.
+     * Handles the removal of an entry.
      *
      * @param nowMs the present time in milliseconds
      * @param id the upstream's identity
-     * @param afterOutage whether the platform was out of reach a moment ago, so that entries may
-     *     have lapsed which will be back
+     * @param afterOutage whether the platform was unreachable shortly before, so that the entry may
+     *     have expired and will be written again
      */
     public void onRemoved(long nowMs, String id, boolean afterOutage) {
-        UpstreamInstance known = mById.get(id);
-        if (known != null) {
-            known.markGoneAt(afterOutage ? nowMs + MISSING_GRACE_MS : nowMs);
+        UpstreamInstance current = mById.get(id);
+        if (current != null) {
+            current.markGoneAt(afterOutage ? nowMs + MISSING_GRACE_MS : nowMs);
         }
     }
 
-    /** Takes an incarnation out of use for new requests, for good, if it is listed. */
+    /**
+     * Permanently stops new requests to an incarnation, if it is the current one of its upstream.
+     */
     void markLeaving(UpstreamIncarnation upstream) {
-        UpstreamInstance known = mById.get(upstream.upstream());
-        if (known != null && known.incarnation().equals(upstream)) {
-            known.markLeaving();
+        UpstreamInstance current = mById.get(upstream.upstream());
+        if (current != null && current.incarnation().equals(upstream)) {
+            current.markLeaving();
         }
     }
 
-    /** Returns the upstreams that leave, and whose entries don't say so. */
-    List<UpstreamIncarnation> leavingByAnswerAlone(long nowMs) {
+    /**
+     * Returns the upstreams that are leaving according to their answers but not to their entries.
+     */
+    List<UpstreamIncarnation> leavingByAnswerOnly(long nowMs) {
         return mById.values().stream()
                 .filter(i -> i.isLeaving() && !i.entry().leaving() && !i.isGone(nowMs))
                 .map(UpstreamInstance::incarnation)
                 .toList();
     }
 
-    /** Returns the listed upstreams that have named a rate limit. */
+    /** Returns the registered upstreams that have a rate limit. */
     public Set<String> rateLimited() {
         return mById.values().stream()
                 .filter(i -> mSignals.get(i.incarnation()).rateLimit().hasLimit())
@@ -188,49 +196,54 @@
                 .collect(Collectors.toSet());
     }
 
-    /** Takes the word of whoever listens at an address that it is not this upstream. */
+    /**
+     * Marks an upstream as gone because the server at its address answered that it is another one.
+     */
     public void onIdentityMismatch(long nowMs, UpstreamInstance instance) {
         instance.markGoneAt(nowMs);
     }
 
-    /** Forgets upstreams that are gone and have no request in progress. */
+    /**
+     * Removes upstreams that are gone and have no request in progress, and discards expired state.
+     */
     public void tick(long nowMs) {
         mFormer.tick(nowMs);
         mFleetLoad.tick(nowMs);
-        mById.values().removeIf(i -> forget(nowMs, i));
+        mById.values().removeIf(i -> forgetIfGone(nowMs, i));
         for (List<UpstreamInstance> instances : mByService.values()) {
             instances.removeIf(i -> i.isGone(nowMs) && i.inFlight() == 0);
         }
     }
 
-    private boolean forget(long nowMs, UpstreamInstance instance) {
-        boolean over = instance.isGone(nowMs) && instance.inFlight() == 0;
-        if (over) {
+    private boolean forgetIfGone(long nowMs, UpstreamInstance instance) {
+        boolean removable = instance.isGone(nowMs) && instance.inFlight() == 0;
+        if (removable) {
             mFormer.add(nowMs, instance.entry(), instance.isLeaving());
         }
-        return over;
+        return removable;
     }
 
     /**
-     * Returns the upstreams of a service that may get requests. Where half of them tell their
-     * incarnation, an entry that does not is not an upstream's own; where few do, those few may be
-     * another writer's, and take nobody else out of use.
+     * Returns the upstreams of a service that may get requests. If at least half of them state
+     * their incarnation, entries without one are left out, since upstreams did not write them. If
+     * fewer do, those entries may come from another writer and must not exclude the rest.
      */
-    private List<UpstreamInstance> usable(long nowMs, String service) {
+    private List<UpstreamInstance> selectable(long nowMs, String service) {
         List<UpstreamInstance> all = mByService.getOrDefault(service, List.of());
-        int telling = 0;
+        int identified = 0;
         for (UpstreamInstance each : all) {
-            telling += each.tellsIncarnation() ? 1 : 0;
+            identified += each.hasIncarnation() ? 1 : 0;
         }
-        boolean mustTell = telling > 0 && 2 * telling >= all.size();
-        List<UpstreamInstance> usable = new ArrayList<>(all.size());
+        boolean requireIncarnation = identified > 0 && 2 * identified >= all.size();
+        List<UpstreamInstance> selectable = new ArrayList<>(all.size());
         for (UpstreamInstance each : all) {
-            boolean may = each.isUsable(nowMs) && (!mustTell || each.tellsIncarnation());
-            if (may && mGate.waitMs(nowMs, each.incarnation()) == 0) {
-                usable.add(each);
+            boolean eligible =
+                    each.isUsable(nowMs) && (!requireIncarnation || each.hasIncarnation());
+            if (eligible && mGate.waitMs(nowMs, each.incarnation()) == 0) {
+                selectable.add(each);
             }
         }
-        return usable;
+        return selectable;
     }
 
     /**
@@ -238,45 +251,47 @@
      *
      * @param nowMs the present time in milliseconds
      * @param service the service
-     * @param prompt what the request reads
-     * @param tried upstreams that may not be chosen, since the request was sent to them before
+     * @param prompt the request's prompt
+     * @param tried upstreams to which the request was sent before, which are not chosen again
      */
     public Optional<UpstreamChoice> choose(
             long nowMs, ServiceSpec service, Prompt prompt, Set<String> tried) {
-        List<UpstreamInstance> instances = usable(nowMs, service.name());
-        Optional<UpstreamInstance> home = home(prompt, instances);
-        Optional<UpstreamInstance> best = best(nowMs, service, prompt, tried, home, instances);
-        return best.map(b -> new UpstreamChoice(b, tokensToRead(b, prompt, home)));
+        List<UpstreamInstance> instances = selectable(nowMs, service.name());
+        Optional<UpstreamInstance> cacheHolder = cacheHolder(prompt, instances);
+        Optional<UpstreamInstance> cheapest =
+                cheapest(nowMs, service, prompt, tried, cacheHolder, instances);
+        return cheapest.map(b -> new UpstreamChoice(b, tokensToRead(b, prompt, cacheHolder)));
     }
 
     /**
-     * Returns when the first upstream of a service wants requests again, where all have asked for a
-     * pause.
+     * Returns the time until the first upstream of a service accepts requests again, if all of them
+     * have requested a pause.
      *
      * @param nowMs the present time in milliseconds
      * @param service the service's name
-     * @return the time in milliseconds from now on; empty where no pause keeps requests from it
+     * @return the time in milliseconds from now; empty if at least one upstream has requested no
+     *     pause
      */
     public OptionalLong requestedPauseLeftMs(long nowMs, String service) {
-        return shortest(nowMs, service, i -> i.requestedPauseLeftMs(nowMs));
+        return shortestWait(nowMs, service, i -> i.requestedPauseLeftMs(nowMs));
     }
 
     /**
-     * Returns when the first upstream of a service takes requests again, where pauses and used-up
-     * rate limits keep requests from all.
+     * Returns the time until the first upstream of a service may get requests again, if requested
+     * pauses and used-up rate limits block all of them.
      *
      * @param nowMs the present time in milliseconds
      * @param service the service's name
-     * @return the time in milliseconds from now on; empty where one takes requests now
+     * @return the time in milliseconds from now; empty if at least one upstream is not blocked
      */
     public OptionalLong unavailableForMs(long nowMs, String service) {
-        return shortest(
+        return shortestWait(
                 nowMs,
                 service,
                 i -> Math.max(i.requestedPauseLeftMs(nowMs), mGate.waitMs(nowMs, i.incarnation())));
     }
 
-    private OptionalLong shortest(
+    private OptionalLong shortestWait(
             long nowMs, String service, ToLongFunction<UpstreamInstance> waitMs) {
         return mByService.getOrDefault(service, List.of()).stream()
                 .filter(i -> !i.isLeaving() && !i.isGone(nowMs))
@@ -287,17 +302,20 @@
                 .findFirst();
     }
 
-    /** Returns the cheapest that is not paused; where all are, the cheapest of them. */
-    private Optional<UpstreamInstance> best(
+    /**
+     * Returns the upstream with the lowest cost that is not paused; if all are paused, the one with
+     * the lowest cost.
+     */
+    private Optional<UpstreamInstance> cheapest(
             long nowMs,
             ServiceSpec service,
             Prompt prompt,
             Set<String> tried,
-            Optional<UpstreamInstance> home,
+            Optional<UpstreamInstance> cacheHolder,
             List<UpstreamInstance> instances) {
         double lowest = Double.MAX_VALUE;
         boolean lowestPaused = true;
-        UpstreamInstance best = null;
+        UpstreamInstance cheapest = null;
         for (UpstreamInstance each : instances) {
             boolean paused = each.isPaused(nowMs);
             if (tried.contains(each.id()) || (paused && !lowestPaused)) {
@@ -305,35 +323,38 @@
             }
             double cost =
                     service.engine().isPresent()
-                            ? engineCost(nowMs, each, prompt, home)
-                            : plainCost(nowMs, each);
-            boolean firstOpen = lowestPaused && !paused;
-            if (firstOpen || cost < lowest) {
+                            ? engineCost(nowMs, each, prompt, cacheHolder)
+                            : serviceCost(nowMs, each);
+            boolean firstUnpaused = lowestPaused && !paused;
+            if (firstUnpaused || cost < lowest) {
                 lowest = cost;
                 lowestPaused = paused;
-                best = each;
+                cheapest = each;
             }
         }
-        return Optional.ofNullable(best);
+        return Optional.ofNullable(cheapest);
     }
 
-    /** Returns where the shared parts of a prompt most likely lie: the same upstream on all VMs. */
-    private static Optional<UpstreamInstance> home(
+    /**
+     * Returns the upstream that most likely has the shared parts of a prompt cached. Rendezvous
+     * hashing makes all VMs choose the same one.
+     */
+    private static Optional<UpstreamInstance> cacheHolder(
             Prompt prompt, List<UpstreamInstance> instances) {
         long key = prompt.sharedHash();
         if (key == 0) {
             return Optional.empty();
         }
         long highest = Long.MIN_VALUE;
-        UpstreamInstance home = null;
+        UpstreamInstance holder = null;
         for (UpstreamInstance each : instances) {
             long rank = mix(key ^ (each.id().hashCode() * 0x9E3779B97F4A7C15L));
             if (rank > highest) {
                 highest = rank;
-                home = each;
+                holder = each;
             }
         }
-        return Optional.ofNullable(home);
+        return Optional.ofNullable(holder);
     }
 
     private static long mix(long value) {
@@ -343,38 +364,44 @@
     }
 
     private double engineCost(
-            long nowMs, UpstreamInstance each, Prompt prompt, Optional<UpstreamInstance> home) {
-        boolean cached = home.isPresent() && home.get() == each;
+            long nowMs,
+            UpstreamInstance each,
+            Prompt prompt,
+            Optional<UpstreamInstance> cacheHolder) {
+        boolean cached = cacheHolder.isPresent() && cacheHolder.get() == each;
         long own = prompt.promptTokens() - prompt.sharedTokens();
-        double toRead = own + (cached ? 0 : READ_AGAIN_WEIGHT * prompt.sharedTokens());
+        double toRead = own + (cached ? 0 : REPEATED_PREFILL_WEIGHT * prompt.sharedTokens());
         FleetLoad.Work others = mFleetLoad.at(each.id());
         double ownWeight = ownWeight();
         double unread = ownWeight * each.unreadTokens() + others.unreadTokens();
         double requests = ownWeight * each.inFlight() + others.requests();
-        return (toRead + unread) / UpstreamInstance.TOKENS_PER_MS
-                + RUNNING_COST_MS * requests
+        return (toRead + unread) / UpstreamInstance.PREFILL_TOKENS_PER_MS
+                + COST_PER_RUNNING_REQUEST_MS * requests
                 + each.delayMs(nowMs)
-                + common(nowMs, each);
+                + commonCost(nowMs, each);
     }
 
-    /** Returns by how much the own load is multiplied, for the VMs that are not heard. */
+    /**
+     * Returns the factor for this VM's own load, which also stands for the VMs whose reports are
+     * missing.
+     */
     private double ownWeight() {
         int others = Math.max(1, mVms.getAsInt() - 1);
-        double unheard = Math.max(0, 1 - (double) mFleetLoad.vmsHeard() / others);
-        return 1 + unheard * (UNSEEN_LOAD - 1);
+        double unreportedShare = Math.max(0, 1 - (double) mFleetLoad.reportingVms() / others);
+        return 1 + unreportedShare * (UNREPORTED_LOAD_FACTOR - 1);
     }
 
     private static long tokensToRead(
-            UpstreamInstance each, Prompt prompt, Optional<UpstreamInstance> home) {
-        boolean cached = home.isPresent() && home.get() == each;
+            UpstreamInstance each, Prompt prompt, Optional<UpstreamInstance> cacheHolder) {
+        boolean cached = cacheHolder.isPresent() && cacheHolder.get() == each;
         return prompt.promptTokens() - (cached ? prompt.sharedTokens() : 0);
     }
 
-    private double plainCost(long nowMs, UpstreamInstance each) {
-        return (each.inFlight() + 0.5) * Math.max(1, each.latencyMs()) + common(nowMs, each);
+    private double serviceCost(long nowMs, UpstreamInstance each) {
+        return (each.inFlight() + 0.5) * Math.max(1, each.latencyMs()) + commonCost(nowMs, each);
     }
 
-    private double common(long nowMs, UpstreamInstance each) {
-        return each.failureShare(nowMs) * FAILURE_COST_MS + mRandom.nextDouble() * TIE_MS;
+    private double commonCost(long nowMs, UpstreamInstance each) {
+        return each.failureShare(nowMs) * FAILURE_COST_MS + mRandom.nextDouble() * MAX_TIE_BREAK_MS;
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/upstream/IncarnationTracker.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/upstream/IncarnationTracker.java
@@ -5,51 +5,53 @@
 import java.util.Optional;
 
 /**
- * Decides whether an upstream may get new work, from evidence about its lives.
+ * Decides whether an upstream may get new work, based on evidence about its incarnations.
  *
- * <p>Invariants: the known incarnation and the last ended incarnation only grow; an ended life
- * never gets new work again, so only a greater incarnation brings the upstream back. Guarded by the
- * table's lock.
+ * <p>Invariants: the newest known and the last ended incarnation number never decrease; an ended
+ * incarnation never gets new work again, so that only a greater incarnation makes the upstream live
+ * again. Guarded by {@link UpstreamTable#lock()}.
  */
 final class IncarnationTracker {
     private static final long NONE = -1;
 
     private long mIncarnation;
-    private long mEndedUpTo = NONE;
-    private long mListed = NONE;
+    private long mLastEnded = NONE;
+    private long mLastListed = NONE;
     private long mLiveSinceMs;
-    private Optional<Evidence> mEvidence = Optional.empty();
+    private Optional<Evidence> mEndEvidence = Optional.empty();
 
     IncarnationTracker(long nowMs) {
         mLiveSinceMs = nowMs;
     }
 
-    /** Returns whether this life may get new work. */
-    boolean live() {
-        return mIncarnation > mEndedUpTo;
+    /** Returns whether the newest known incarnation may get new work. */
+    boolean isLive() {
+        return mIncarnation > mLastEnded;
     }
 
-    /** Returns the greatest incarnation that was heard of. */
+    /** Returns the newest known incarnation. */
     long incarnation() {
         return mIncarnation;
     }
 
-    /** Returns when this life began as far as this VM knows, in milliseconds. */
+    /** Returns when this VM first learned of the newest incarnation, in milliseconds. */
     long liveSinceMs() {
         return mLiveSinceMs;
     }
 
-    /** Returns what ended the last life that ended; empty where none did. */
+    /**
+     * Returns the evidence for the end of the last ended incarnation; empty where none has ended.
+     */
     Optional<Evidence> endEvidence() {
-        return mEvidence;
+        return mEndEvidence;
     }
 
     /**
-     * Notes that a life was seen.
+     * Records that an incarnation was seen.
      *
-     * @return whether it is the newest life; news of an earlier one is to be ignored
+     * @return whether it is the newest known incarnation; state of an earlier one must be ignored
      */
-    boolean seen(long nowMs, long incarnation) {
+    boolean onSeen(long nowMs, long incarnation) {
         if (incarnation < mIncarnation) {
             return false;
         }
@@ -60,28 +62,32 @@
         return true;
     }
 
-    /** Ends a life and all earlier ones. Returns whether the present life ended just now. */
-    boolean ended(long nowMs, long incarnation, Evidence evidence) {
-        boolean wasLive = live();
-        seen(nowMs, incarnation);
-        if (incarnation > mEndedUpTo) {
-            mEndedUpTo = incarnation;
-            mEvidence = Optional.of(evidence);
+    /**
+     * Ends an incarnation and all earlier ones. Returns whether the upstream stopped being live by
+     * this call.
+     */
+    boolean onEnded(long nowMs, long incarnation, Evidence evidence) {
+        boolean wasLive = isLive();
+        onSeen(nowMs, incarnation);
+        if (incarnation > mLastEnded) {
+            mLastEnded = incarnation;
+            mEndEvidence = Optional.of(evidence);
         }
-        return wasLive && !live();
+        return wasLive && !isLive();
     }
 
-    /** Notes that a list newer than all before shows a life. */
-    void listed(long nowMs, long incarnation) {
-        mListed = Math.max(mListed, incarnation);
-        seen(nowMs, incarnation);
+    /** Records that a list newer than all previous ones contains an incarnation. */
+    void onListed(long nowMs, long incarnation) {
+        mLastListed = Math.max(mLastListed, incarnation);
+        onSeen(nowMs, incarnation);
     }
 
     /**
-     * Notes that a list newer than all before does not show the upstream: the life that an earlier
-     * list showed has ended; one that no list ever showed may be too new for it.
+     * Records that a list newer than all previous ones does not contain the upstream. This ends the
+     * incarnation that an earlier list contained; an incarnation that no list has contained yet may
+     * be newer than this list. Returns whether the upstream stopped being live by this call.
      */
-    boolean notListed(long nowMs) {
-        return mListed != NONE && ended(nowMs, mListed, Evidence.LIST);
+    boolean onNotListed(long nowMs) {
+        return mLastListed != NONE && onEnded(nowMs, mLastListed, Evidence.LIST);
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/upstream/PrefixCacheEstimate.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/upstream/PrefixCacheEstimate.java
@@ -6,27 +6,27 @@
 import org.hornbeampass.state.upstream.PrefixDigests;
 
 /**
- * Holds which prefixes an upstream is believed to have cached.
+ * Estimates which prompt prefixes an upstream has cached.
  *
- * <p>Belief comes from the upstream's late cache events and from this VM's own requests. A gap in
- * the events drops all belief, since an eviction may have been missed. Invariant: at most a fixed
- * number of blocks is held; the oldest belief is dropped first, and of one prompt its end. Guarded
- * by the table's lock.
+ * <p>The estimate is based on the upstream's delayed cache events and on this VM's own requests. A
+ * gap in the events clears it, since an eviction may have been missed. Invariant: it holds at most
+ * a fixed number of blocks; the oldest are removed first, and within one prompt the last ones.
+ * Guarded by {@link UpstreamTable#lock()}.
  */
 final class PrefixCacheEstimate {
-    private static final long UNKNOWN = -1;
+    private static final long UNKNOWN_SEQUENCE = -1;
 
     private final LongHashSet mDigests = new LongHashSet();
-    private final long[] mOrder;
-    private int mNext;
-    private long mNextSequence = UNKNOWN;
+    private final long[] mInsertionOrder;
+    private int mNextSlot;
+    private long mNextSequence = UNKNOWN_SEQUENCE;
     private long mGaps;
 
     PrefixCacheEstimate(int maxBlocks) {
-        mOrder = new long[maxBlocks];
+        mInsertionOrder = new long[maxBlocks];
     }
 
-    /** Returns how many leading blocks of a prompt are believed to be cached. */
+    /** Returns the estimated number of leading blocks of a prompt that are cached. */
     int matchingBlocks(PrefixDigests prefix) {
         int low = 0;
         int high = prefix.size();
@@ -44,22 +44,25 @@
         return low + 1;
     }
 
-    /** Believes the whole of a prompt to be cached, since a request of this VM just ran there. */
-    void ran(PrefixDigests prefix) {
+    /** Assumes that a whole prompt is cached, since a request of this VM has just run there. */
+    void onServed(PrefixDigests prefix) {
         for (int i = prefix.size() - 1; i >= 0; i--) {
             add(prefix.at(i));
         }
     }
 
-    /** Applies events; those before the next expected number are repeats and are skipped. */
+    /**
+     * Applies events; events before the next expected sequence number are duplicates and are
+     * skipped.
+     */
     void apply(CacheEvents batch) {
         long sequence = batch.firstSequence();
-        if (mNextSequence != UNKNOWN && sequence > mNextSequence) {
+        if (mNextSequence != UNKNOWN_SEQUENCE && sequence > mNextSequence) {
             mGaps++;
             clear();
         }
         for (CacheEvent event : batch.events()) {
-            if (mNextSequence == UNKNOWN || sequence >= mNextSequence) {
+            if (mNextSequence == UNKNOWN_SEQUENCE || sequence >= mNextSequence) {
                 apply(event);
             }
             sequence++;
@@ -67,13 +70,13 @@
         mNextSequence = Math.max(mNextSequence, sequence);
     }
 
-    /** Drops all belief and the place in the events, since another life began. */
-    void restart() {
+    /** Clears the estimate and the sequence number because a new incarnation has started. */
+    void reset() {
         clear();
-        mNextSequence = UNKNOWN;
+        mNextSequence = UNKNOWN_SEQUENCE;
     }
 
-    /** Returns how many gaps were met. */
+    /** Returns the number of gaps in the events so far. */
     long gaps() {
         return mGaps;
     }
@@ -92,10 +95,10 @@
         if (!mDigests.add(digest)) {
             return;
         }
-        mDigests.remove(mOrder[mNext]);
+        mDigests.remove(mInsertionOrder[mNextSlot]);
         mDigests.add(digest);
-        mOrder[mNext] = digest;
-        mNext = (mNext + 1) % mOrder.length;
+        mInsertionOrder[mNextSlot] = digest;
+        mNextSlot = (mNextSlot + 1) % mInsertionOrder.length;
     }
 
     private void clear() {
--- a/coordination/src/main/java/org/hornbeampass/coordination/upstream/UpstreamHealth.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/upstream/UpstreamHealth.java
@@ -3,11 +3,11 @@
 import org.hornbeampass.coordination.limit.AttemptOutcome;
 
 /**
- * Holds one upstream's failures, ejection and recovery as this VM sees them.
+ * Tracks one upstream's failures, ejection and recovery as this VM sees them.
  *
- * <p>Invariants: an ejected upstream gets nothing until its time is up, then one request at a time
- * until enough of them succeed; each ejection that follows without recovery lasts twice as long, up
- * to a bound. Guarded by the table's lock.
+ * <p>Invariants: an ejected upstream gets no requests until the ejection expires, and then one
+ * request at a time until enough of them have succeeded; each further ejection without a recovery
+ * in between lasts twice as long, up to a bound. Guarded by {@link UpstreamTable#lock()}.
  */
 public final class UpstreamHealth {
     private static final int WINDOW_MS = 10_000;
@@ -16,13 +16,13 @@
     private static final int MAX_DOUBLINGS = 4;
     private static final double ERROR_SMOOTHING = 0.1;
 
-    /** Whether an upstream gets work. */
+    /** Whether an upstream gets requests. */
     public enum State {
-        /** It gets work. */
+        /** It gets requests. */
         HEALTHY,
-        /** It gets none. */
+        /** It gets no requests. */
         EJECTED,
-        /** It gets one request at a time. */
+        /** It gets one request at a time, to find out whether it has recovered. */
         PROBING
     }
 
@@ -33,14 +33,14 @@
     private int mEjections;
     private long mEjectedUntilMs;
     private long mRecoveredAtMs = Long.MIN_VALUE;
-    private long mWindowFromMs;
-    private int mSeen;
-    private int mFailed;
-    private int mLastSeen;
-    private int mLastFailed;
+    private long mWindowStartMs;
+    private int mOutcomes;
+    private int mFailures;
+    private int mPreviousOutcomes;
+    private int mPreviousFailures;
     private double mErrorShare;
 
-    /** Returns the state; an ejection whose time is up turns into probing. */
+    /** Returns the state; an expired ejection changes to probing. */
     public State state(long nowMs) {
         if (mState == State.EJECTED && nowMs >= mEjectedUntilMs) {
             mState = State.PROBING;
@@ -49,18 +49,18 @@
         return mState;
     }
 
-    /** Returns whether a further request may be sent. */
+    /** Returns whether another request may be sent while {@code inFlight} are in progress. */
     public boolean admits(long nowMs, int inFlight) {
         State state = state(nowMs);
         return state == State.HEALTHY || (state == State.PROBING && inFlight == 0);
     }
 
-    /** Returns failures in a row. */
+    /** Returns the number of consecutive failures. */
     public int consecutiveFailures() {
         return mConsecutiveFailures;
     }
 
-    /** Returns failures in a row in which no connection could be made. */
+    /** Returns the number of consecutive failures in which the upstream was unreachable. */
     public int consecutiveUnreachable() {
         return mConsecutiveUnreachable;
     }
@@ -75,25 +75,25 @@
         return mRecoveredAtMs;
     }
 
-    /** Returns outcomes seen in the last {@value #WINDOW_MS} to twice as many milliseconds. */
-    int seen(long nowMs) {
-        roll(nowMs);
-        return mSeen + mLastSeen;
+    /** Returns the number of outcomes in this and the previous window of {@value #WINDOW_MS} ms. */
+    int recentOutcomes(long nowMs) {
+        rotateWindow(nowMs);
+        return mOutcomes + mPreviousOutcomes;
     }
 
-    /** Returns failures in the same time. */
-    int failed(long nowMs) {
-        roll(nowMs);
-        return mFailed + mLastFailed;
+    /** Returns the number of failures in the same time. */
+    int recentFailures(long nowMs) {
+        rotateWindow(nowMs);
+        return mFailures + mPreviousFailures;
     }
 
-    /** Counts an outcome. */
+    /** Records an outcome. */
     void record(long nowMs, AttemptOutcome outcome) {
-        roll(nowMs);
+        rotateWindow(nowMs);
         if (outcome.upstreamFailed()) {
-            failure(outcome);
+            onFailure(outcome);
         } else if (outcome.showsUpstreamHealthy()) {
-            success(nowMs);
+            onSuccess(nowMs);
         }
     }
 
@@ -103,14 +103,14 @@
         mEjections++;
         mState = State.EJECTED;
         mEjectedUntilMs = nowMs + (FIRST_EJECTION_MS << doublings);
-        mSeen = 0;
-        mFailed = 0;
-        mLastSeen = 0;
-        mLastFailed = 0;
+        mOutcomes = 0;
+        mFailures = 0;
+        mPreviousOutcomes = 0;
+        mPreviousFailures = 0;
     }
 
-    /** Forgets all failures, since another life began. */
-    void restart(long nowMs) {
+    /** Discards all failures because a new incarnation has started. */
+    void reset(long nowMs) {
         mState = State.HEALTHY;
         mEjections = 0;
         mConsecutiveFailures = 0;
@@ -119,9 +119,9 @@
         mRecoveredAtMs = nowMs;
     }
 
-    private void failure(AttemptOutcome outcome) {
-        mSeen++;
-        mFailed++;
+    private void onFailure(AttemptOutcome outcome) {
+        mOutcomes++;
+        mFailures++;
         mConsecutiveFailures++;
         boolean unreachable =
                 outcome.upstreamProblem() == AttemptOutcome.UpstreamProblem.UNREACHABLE;
@@ -129,8 +129,8 @@
         mErrorShare += ERROR_SMOOTHING * (1 - mErrorShare);
     }
 
-    private void success(long nowMs) {
-        mSeen++;
+    private void onSuccess(long nowMs) {
+        mOutcomes++;
         mConsecutiveFailures = 0;
         mConsecutiveUnreachable = 0;
         mErrorShare -= ERROR_SMOOTHING * mErrorShare;
@@ -146,15 +146,15 @@
         }
     }
 
-    private void roll(long nowMs) {
-        if (nowMs - mWindowFromMs < WINDOW_MS) {
+    private void rotateWindow(long nowMs) {
+        if (nowMs - mWindowStartMs < WINDOW_MS) {
             return;
         }
-        boolean adjoining = nowMs - mWindowFromMs < 2 * WINDOW_MS;
-        mLastSeen = adjoining ? mSeen : 0;
-        mLastFailed = adjoining ? mFailed : 0;
-        mSeen = 0;
-        mFailed = 0;
-        mWindowFromMs = nowMs;
+        boolean adjacent = nowMs - mWindowStartMs < 2 * WINDOW_MS;
+        mPreviousOutcomes = adjacent ? mOutcomes : 0;
+        mPreviousFailures = adjacent ? mFailures : 0;
+        mOutcomes = 0;
+        mFailures = 0;
+        mWindowStartMs = nowMs;
     }
 }
--- a/coordination/src/test/java/org/hornbeampass/coordination/routing/IncarnationProperties.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/routing/IncarnationProperties.java
@@ -19,23 +19,26 @@
 import java.util.SplittableRandom;
 import java.util.stream.LongStream;
 
-/** Schedules of late news: an upstream whose life ended gets no new work, whatever comes later. */
+/**
+ * Tests with random schedules of delayed and reordered reports and lists that an upstream whose
+ * incarnation has ended gets no new work.
+ */
 class IncarnationProperties {
     private static final int RUNNERS = 4;
     private static final int EVENTS = 60;
 
-    /** How the news reach the table; mutants distort them. */
+    /** How events are delivered to the table; the mutants distort them. */
     private enum Delivery {
         CORRECT,
         /** As if the version of a list were not checked. */
-        EACH_LIST_IS_NEW,
-        /** As if a list that shows an upstream revived it. */
-        LIST_REVIVES,
-        /** As if an upstream's own word were not heard. */
-        WORD_IS_IGNORED
+        LIST_VERSION_IGNORED,
+        /** As if a list that contains an upstream made it live again. */
+        LISTED_UPSTREAM_REVIVED,
+        /** As if an upstream's own report that it is leaving were lost. */
+        LEAVING_REPORT_IGNORED
     }
 
-    /** One schedule with a plain model of which lives have ended. */
+    /** One schedule with a simple model of which incarnations have ended. */
     private static final class Schedule {
         private final SplittableRandom mRandom;
         private final Delivery mDelivery;
@@ -83,7 +86,7 @@
                             UpstreamFixtures.report(nowMs, incarnation, 0));
                     see(runner, incarnation);
                 }
-                case 1 -> word(nowMs, runner, incarnation);
+                case 1 -> leavingReport(nowMs, runner, incarnation);
                 case 2 -> {
                     mTable.onLeaving(
                             nowMs, UpstreamFixtures.runner(runner), Evidence.OWN, incarnation);
@@ -93,8 +96,8 @@
             }
         }
 
-        private void word(long nowMs, int runner, long incarnation) {
-            if (mDelivery != Delivery.WORD_IS_IGNORED) {
+        private void leavingReport(long nowMs, int runner, long incarnation) {
+            if (mDelivery != Delivery.LEAVING_REPORT_IGNORED) {
                 mTable.onLoadReport(
                         nowMs,
                         UpstreamFixtures.runner(runner),
@@ -131,13 +134,13 @@
 
         private void deliver(long nowMs, long version, List<ListedUpstream> lines) {
             mDelivered++;
-            if (mDelivery == Delivery.LIST_REVIVES) {
+            if (mDelivery == Delivery.LISTED_UPSTREAM_REVIVED) {
                 for (ListedUpstream each : lines) {
                     mTable.onLoadReport(
                             nowMs, each.id(), UpstreamFixtures.report(nowMs, 1_000 + nowMs, 0));
                 }
             }
-            boolean distorted = mDelivery == Delivery.EACH_LIST_IS_NEW;
+            boolean distorted = mDelivery == Delivery.LIST_VERSION_IGNORED;
             mTable.onListed(nowMs, new UpstreamList(distorted ? mDelivered : version, lines));
         }
 
@@ -156,17 +159,17 @@
     }
 
     @Property(seed = "11", tries = 300)
-    void endedLife_neverGetsWork(@ForAll long seed) {
+    void endedIncarnation_neverGetsWork(@ForAll long seed) {
         assertThat(new Schedule(seed, Delivery.CORRECT).run()).isEmpty();
     }
 
     @Test
-    void mutants_areCaught() {
+    void mutants_areDetected() {
         for (Delivery mutant : Delivery.values()) {
-            boolean caught =
+            boolean detected =
                     LongStream.range(0, 300)
                             .anyMatch(seed -> new Schedule(seed, mutant).run().isPresent());
-            assertThat(caught).as(mutant.name()).isEqualTo(mutant != Delivery.CORRECT);
+            assertThat(detected).as(mutant.name()).isEqualTo(mutant != Delivery.CORRECT);
         }
     }
 }
