--- a/coordination/src/main/java/org/hornbeampass/coordination/escrow/Admission.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/escrow/Admission.java
@@ -13,5 +13,5 @@
     /** The budget is proved to be used up: what all VMs report as spent leaves no room. */
     EXHAUSTED,
     /** This VM holds too few, but others may hold some, or the store can't be asked. */
-    SHORT
+    INSUFFICIENT_HERE
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/escrow/EscrowBook.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/escrow/EscrowBook.java
@@ -106,12 +106,12 @@
      * @param organisation the organisation's name
      * @param tokens what a request lacks that was just not admitted
      */
-    public boolean mayGetMore(long nowMs, String organisation, long tokens) {
+    public boolean mayObtainTokens(long nowMs, String organisation, long tokens) {
         return shard(organisation).mayGet(nowMs, organisation, tokens);
     }
 
     /** Returns whether the store can't be reached about an organisation's budget. */
-    public boolean outOfReach(long nowMs, String organisation) {
+    public boolean isStoreUnreachable(long nowMs, String organisation) {
         return shard(organisation).lostFor(nowMs, organisation);
     }
 
@@ -185,8 +185,8 @@
     }
 
     /** Takes out what this VM hands to the homes, by the number of the pool. */
-    Map<Integer, List<LoanGift>> takeGifts(long nowMs) {
-        Map<Integer, List<LoanGift>> gifts = new HashMap<>();
+    Map<Integer, List<TokenTransfer>> takeGifts(long nowMs) {
+        Map<Integer, List<TokenTransfer>> gifts = new HashMap<>();
         for (int i = 0; i < mShards.size(); i++) {
             gifts.put(i, mShards.get(i).takeGifts(nowMs));
         }
@@ -205,7 +205,7 @@
     }
 
     /** Takes in what another VM hands over, where the organisation is known. */
-    void accept(long nowMs, LoanGift gift) {
+    void accept(long nowMs, TokenTransfer gift) {
         if (mPrepaid.containsKey(gift.organisation())) {
             shard(gift.organisation()).takeOver(nowMs, gift);
         }
@@ -220,12 +220,12 @@
      * Gives back all that is not in use, now and, as requests in progress end, at each tick from
      * now on; nothing new is granted.
      */
-    public void giveBack(long nowMs) {
+    public void startReturningTokens(long nowMs) {
         mShards.forEach(s -> s.giveBack(nowMs));
     }
 
     /** Returns whether nothing is left to give back. */
-    public boolean givenBack() {
+    public boolean hasReturnedAllTokens() {
         return mShards.stream().allMatch(EscrowShard::givenBack);
     }
 
@@ -237,7 +237,7 @@
     }
 
     /** Returns what decides on requests of an organisation now, for logs. */
-    public Standing standing(long nowMs, String organisation) {
+    public AdmissionState admissionState(long nowMs, String organisation) {
         return shard(organisation).standing(nowMs, organisation);
     }
 
@@ -247,15 +247,15 @@
      * @param free the tokens that can be reserved here
      * @param unallocated the tokens that nobody holds, as last heard from the store
      * @param unspent the tokens that nobody is known to have spent, as last heard
-     * @param heardAgoMs how long ago that was, in milliseconds; empty where never
-     * @param outOfReach whether the store can't be reached now
+     * @param storeReplyAgeMs how long ago that was, in milliseconds; empty where never
+     * @param storeUnreachable whether the store can't be reached now
      */
-    public record Standing(
+    public record AdmissionState(
             long free,
             long unallocated,
             long unspent,
-            OptionalLong heardAgoMs,
-            boolean outOfReach) {}
+            OptionalLong storeReplyAgeMs,
+            boolean storeUnreachable) {}
 
     /**
      * What this VM holds of one budget.
--- a/coordination/src/main/java/org/hornbeampass/coordination/escrow/EscrowLoans.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/escrow/EscrowLoans.java
@@ -97,7 +97,10 @@
         List<String> homes = homes(nowMs, mBook.pool(organisation));
         List<String> order =
                 LoanSearch.order(
-                        homes, mHomes.vms(), mLastLender.getOrDefault(organisation, ""), mRandom);
+                        homes,
+                        mHomes.otherVms(),
+                        mLastLender.getOrDefault(organisation, ""),
+                        mRandom);
         if (order.isEmpty()) {
             return waitForStore(nowMs, organisation, done);
         }
@@ -127,7 +130,7 @@
     private List<String> homes(long nowMs, int pool) {
         List<String> homes = new ArrayList<>();
         List<String> silent = new ArrayList<>();
-        for (String each : mHomes.others(pool)) {
+        for (String each : mHomes.otherHomes(pool)) {
             boolean answers = nowMs >= mSilentUntilMs.getOrDefault(each, Long.MIN_VALUE);
             (answers ? homes : silent).add(each);
         }
@@ -143,7 +146,7 @@
             return;
         }
         mNotBeforeMs.put(organisation, nowMs + FRUITLESS_PAUSE_MS);
-        if (search.silent().containsAll(mHomes.others(mBook.pool(organisation)))) {
+        if (search.silent().containsAll(mHomes.otherHomes(mBook.pool(organisation)))) {
             mBook.serveItself(nowMs, organisation);
         }
     }
@@ -157,7 +160,7 @@
             return;
         }
         mNextMs = nowMs + PAUSE_MS;
-        if (mHomes.vms().isEmpty()) {
+        if (mHomes.otherVms().isEmpty()) {
             return;
         }
         mBook.organisationOfEachPool().forEach((pool, name) -> connect(nowMs, pool, name));
@@ -171,7 +174,7 @@
      * know of a budget is known, before a request waits for their tokens.
      */
     private void connect(long nowMs, int pool, String organisation) {
-        List<String> homes = mHomes.others(pool);
+        List<String> homes = mHomes.otherHomes(pool);
         List<String> before = Optional.ofNullable(mConnected.put(pool, homes)).orElse(List.of());
         for (String home : homes) {
             if (!before.contains(home)) {
@@ -186,9 +189,9 @@
     }
 
     /** Sends to the first home that was not silent of late: what a dead one is sent is lost. */
-    private void give(long nowMs, int pool, List<LoanGift> gifts) {
+    private void give(long nowMs, int pool, List<TokenTransfer> gifts) {
         List<String> homes = homes(nowMs, pool);
-        String home = homes.isEmpty() ? anyOf(mHomes.vms()) : homes.get(0);
+        String home = homes.isEmpty() ? anyOf(mHomes.otherVms()) : homes.get(0);
         gifts.forEach(g -> mPeers.send(home, g));
     }
 
@@ -200,10 +203,10 @@
         if (!mOpen.add(organisation)) {
             return;
         }
-        List<String> homes = mHomes.others(mBook.pool(organisation));
+        List<String> homes = mHomes.otherHomes(mBook.pool(organisation));
         mPeers.request(
                 nowMs,
-                anyOf(homes.isEmpty() ? mHomes.vms() : homes),
+                anyOf(homes.isEmpty() ? mHomes.otherVms() : homes),
                 new LoanRequest(organisation, 0, tokens, false),
                 TIMEOUT_MS,
                 (t, reply) -> take(t, organisation, reply));
@@ -222,7 +225,8 @@
     }
 
     /** Takes what another VM hands over; dropped where the organisation is not known. */
-    public void onGift(long nowMs, VmId from, LoanGift gift, Consumer<PeerMessage> reply) {
-        mBook.accept(nowMs, gift);
+    public void onTransfer(
+            long nowMs, VmId from, TokenTransfer transfer, Consumer<PeerMessage> reply) {
+        mBook.accept(nowMs, transfer);
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/escrow/EscrowShard.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/escrow/EscrowShard.java
@@ -115,7 +115,7 @@
             return Admission.EXHAUSTED;
         }
         account.want(tokens, nowMs + LOOK_MS);
-        return Admission.SHORT;
+        return Admission.INSUFFICIENT_HERE;
     }
 
     private long unspent(String organisation) {
@@ -249,24 +249,24 @@
     }
 
     boolean givenBack() {
-        if (!mHomes.isHome(mNumber) && !mHomes.others(mNumber).isEmpty()) {
+        if (!mHomes.isHome(mNumber) && !mHomes.otherHomes(mNumber).isEmpty()) {
             return mLending.handedOver();
         }
         return mAccounts.values().stream().noneMatch(EscrowAccount::owesStore);
     }
 
     /** Takes out what this VM hands to a home. */
-    List<LoanGift> takeGifts(long nowMs) {
+    List<TokenTransfer> takeGifts(long nowMs) {
         return mLending.takeGifts(nowMs, mGivingBack, () -> !outOfReach(nowMs));
     }
 
-    void takeOver(long nowMs, LoanGift gift) {
+    void takeOver(long nowMs, TokenTransfer gift) {
         mAccounts.get(gift.organisation()).takeOver(nowMs, gift.tokens(), gift.spent());
         runWaiting();
     }
 
-    EscrowBook.Standing standing(long nowMs, String organisation) {
-        return new EscrowBook.Standing(
+    EscrowBook.AdmissionState standing(long nowMs, String organisation) {
+        return new EscrowBook.AdmissionState(
                 free(organisation),
                 mKnown.unallocated(organisation),
                 unspent(organisation),
--- a/coordination/src/main/java/org/hornbeampass/coordination/escrow/GrantPlan.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/escrow/GrantPlan.java
@@ -91,7 +91,7 @@
         if (left <= 0) {
             return 0;
         }
-        int homes = mHomes.count(mPool);
+        int homes = mHomes.homeCount(mPool);
         return mPolicy.target(
                 new GrantPolicy.Inputs(
                         left,
--- a/coordination/src/main/java/org/hornbeampass/coordination/escrow/GrantPolicy.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/escrow/GrantPolicy.java
@@ -9,7 +9,7 @@
     /**
      * An equal part of the whole budget for each VM, taken at once: the baseline of comparisons. A
      * kill of all VMs after 34 s of a day of 50 s took 47 % of all tokens, where the other policy
-     * lost 12 % (EscrowDay, eight seeds).
+     * lost 12 % (EscrowSimulation, eight seeds).
      */
     EQUAL_SHARE {
         @Override
@@ -43,7 +43,7 @@
 
     /**
      * Demand in a cut over that observed before it: bursts, and requests of uneven size. With 1.0 a
-     * cut of 12 s lost 1.0 % of the requests of a day, with 1.25 it lost 0.6 % (EscrowDay).
+     * cut of 12 s lost 1.0 % of the requests of a day, with 1.25 it lost 0.6 % (EscrowSimulation).
      */
     private static final double DEMAND_MARGIN = 1.25;
 
@@ -59,8 +59,8 @@
      * request that is refused in a cut leaves its tokens to a later one. On days with long prompts,
      * two cuts of 8 s and a kill of all VMs after two thirds, a constant quarter served 77.1 % of
      * the worth that was paid for, this 86.2 %; with the kill alone 82.9 and 97.4 %, with the cuts
-     * alone 93.7 and 90.4 % (EscrowDay, ten seeds). An exponent of 1 served 83.7 % of the first,
-     * one of 1.25 84.7 %.
+     * alone 93.7 and 90.4 % (EscrowSimulation, ten seeds). An exponent of 1 served 83.7 % of the
+     * first, one of 1.25 84.7 %.
      */
     private static final double HELD_EXPONENT = 1.5;
 
@@ -75,7 +75,8 @@
      * Into how many parts a fair share is divided, of which one is kept without any demand, so that
      * a first burst fits, and a cut that comes before the demand is known. With 15 parts, cuts of 8
      * and 7 s lost 0.09 % of a day's requests, with 8 parts 0.01 % at 4 % fewer calls to the store
-     * (EscrowDay, six seeds); with 4 parts an early kill of all VMs took 2 % more of the worth.
+     * (EscrowSimulation, six seeds); with 4 parts an early kill of all VMs took 2 % more of the
+     * worth.
      */
     private static final double FLOOR_PARTS = 8.0;
 
--- a/coordination/src/main/java/org/hornbeampass/coordination/escrow/MemberHomes.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/escrow/MemberHomes.java
@@ -58,13 +58,13 @@
     }
 
     @Override
-    public int count(int pool) {
+    public int homeCount(int pool) {
         return Math.max(1, homes(pool).size());
     }
 
     /** Those of the own failure domain come first, the others in an order of this VM's own. */
     @Override
-    public List<String> others(int pool) {
+    public List<String> otherHomes(int pool) {
         List<String> near = new ArrayList<>();
         List<String> far = new ArrayList<>();
         for (Member each : homes(pool)) {
@@ -79,7 +79,7 @@
     }
 
     @Override
-    public List<String> vms() {
+    public List<String> otherVms() {
         return mMembers.stream().filter(m -> !isSelf(m)).map(Member::name).toList();
     }
 
--- a/coordination/src/main/java/org/hornbeampass/coordination/escrow/PoolHomes.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/escrow/PoolHomes.java
@@ -18,11 +18,11 @@
     boolean isHome(int pool);
 
     /** Returns how many VMs hold a part of a pool; at least 1. */
-    int count(int pool);
+    int homeCount(int pool);
 
     /** Returns the other VMs that hold a part of a pool, in the order in which to ask them. */
-    List<String> others(int pool);
+    List<String> otherHomes(int pool);
 
     /** Returns all other VMs that are up. */
-    List<String> vms();
+    List<String> otherVms();
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/escrow/ShardLending.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/escrow/ShardLending.java
@@ -96,9 +96,9 @@
      * Takes out what this VM does not need and hands to a home, where it is time: its surplus and
      * the reporting of what it spent; all that it has where it shuts down.
      */
-    List<LoanGift> takeGifts(long nowMs, boolean givingBack, BooleanSupplier storeHelps) {
+    List<TokenTransfer> takeGifts(long nowMs, boolean givingBack, BooleanSupplier storeHelps) {
         boolean early = nowMs - mHandedOverMs < HAND_OVER_MS && !givingBack;
-        if (early || mHomes.vms().isEmpty()) {
+        if (early || mHomes.otherVms().isEmpty()) {
             return List.of();
         }
         boolean home = mHomes.isHome(mPool);
@@ -106,9 +106,9 @@
             return List.of();
         }
         mHandedOverMs = nowMs;
-        List<LoanGift> gifts = new ArrayList<>();
+        List<TokenTransfer> gifts = new ArrayList<>();
         for (String organisation : mKnown.organisations()) {
-            LoanGift gift = gift(nowMs, organisation, givingBack);
+            TokenTransfer gift = gift(nowMs, organisation, givingBack);
             if (gift.tokens() > 0 || gift.spent() > 0) {
                 gifts.add(gift);
             }
@@ -116,7 +116,7 @@
         return gifts;
     }
 
-    private LoanGift gift(long nowMs, String organisation, boolean givingBack) {
+    private TokenTransfer gift(long nowMs, String organisation, boolean givingBack) {
         EscrowAccount account = mAccounts.get(organisation);
         long keep = givingBack ? 0 : ahead(nowMs, organisation);
         long surplus = account.free() - keep;
@@ -124,7 +124,7 @@
                 givingBack ? 1 : Math.max(1, mKnown.prepaid(organisation) / LEAST_RETURNED_PART);
         long tokens = surplus >= least ? surplus : 0;
         account.lend(tokens);
-        return new LoanGift(organisation, tokens, account.handOverSpent());
+        return new TokenTransfer(organisation, tokens, account.handOverSpent());
     }
 
     /** Returns whether a VM that is no home has handed over all that it can. */
--- a/coordination/src/main/java/org/hornbeampass/coordination/escrow/LoanGift.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/escrow/TokenTransfer.java
@@ -16,4 +16,4 @@
  * @param spent how many tokens the sender has spent and never reported to the store
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
-public record LoanGift(String organisation, long tokens, long spent) implements PeerMessage {}
+public record TokenTransfer(String organisation, long tokens, long spent) implements PeerMessage {}
--- a/coordination/src/test/java/org/hornbeampass/coordination/escrow/EveryVmHome.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/escrow/AllVmsHomes.java
@@ -9,24 +9,24 @@
  *
  * <p>Not thread-safe.
  */
-record EveryVmHome(IntSupplier vmCount, Supplier<List<String>> otherVms) implements PoolHomes {
+record AllVmsHomes(IntSupplier vmCount, Supplier<List<String>> otherVmNames) implements PoolHomes {
     @Override
     public boolean isHome(int pool) {
         return true;
     }
 
     @Override
-    public int count(int pool) {
+    public int homeCount(int pool) {
         return vmCount.getAsInt();
     }
 
     @Override
-    public List<String> others(int pool) {
+    public List<String> otherHomes(int pool) {
         return List.of();
     }
 
     @Override
-    public List<String> vms() {
-        return otherVms.get();
+    public List<String> otherVms() {
+        return otherVmNames.get();
     }
 }
--- a/coordination/src/test/java/org/hornbeampass/coordination/escrow/EscrowBookTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/escrow/EscrowBookTest.java
@@ -12,7 +12,7 @@
     @Test
     void randomFaults_neverOverspend() {
         for (int seed = 0; seed < SEEDS; seed++) {
-            EscrowWorld world = new EscrowWorld(seed, 1 + seed % 5, 3_000);
+            RandomizedEscrowFleet world = new RandomizedEscrowFleet(seed, 1 + seed % 5, 3_000);
             for (int step = 0; step < STEPS; step++) {
                 world.step();
                 assertThat(world.drawn())
@@ -25,7 +25,7 @@
     @Test
     void homesThatMoveAtRandom_neverOverspendNorProveWhatIsNotSo() {
         for (int seed = 0; seed < SEEDS; seed++) {
-            EscrowWorld world = new EscrowWorld(seed, 1 + seed % 5, 3_000);
+            RandomizedEscrowFleet world = new RandomizedEscrowFleet(seed, 1 + seed % 5, 3_000);
             world.moveHomes();
             for (int step = 0; step < STEPS; step++) {
                 world.step();
@@ -39,15 +39,15 @@
 
     @Test
     void newBook_reservesNothingBeforeItsFirstGrant() {
-        EscrowWorld world = new EscrowWorld(1, 2, 10_000);
-        assertThat(world.request(0, 100)).isEqualTo(Admission.SHORT);
+        RandomizedEscrowFleet world = new RandomizedEscrowFleet(1, 2, 10_000);
+        assertThat(world.request(0, 100)).isEqualTo(Admission.INSUFFICIENT_HERE);
         world.calm(2_000);
         assertThat(world.request(0, 100)).isEqualTo(Admission.RESERVED);
     }
 
     @Test
     void smallBudget_isReservedAlmostWholeAndNeverBeyond() {
-        EscrowWorld world = new EscrowWorld(1, 2, 1_000);
+        RandomizedEscrowFleet world = new RandomizedEscrowFleet(1, 2, 1_000);
         world.calm(2_000);
         int admitted = 0;
         for (int i = 0; i < 400; i++) {
@@ -62,13 +62,13 @@
 
     @Test
     void usedUpBudget_isProvedUsedUpOnAllVms() {
-        EscrowWorld world = usedUp();
+        RandomizedEscrowFleet world = usedUp();
         assertThat(world.request(0, 100)).isEqualTo(Admission.EXHAUSTED);
     }
 
     @Test
     void raisedBudget_isNotProvedUsedUpByOldReports() {
-        EscrowWorld world = usedUp();
+        RandomizedEscrowFleet world = usedUp();
         world.raise(1_000);
         assertThat(world.request(0, 100)).isNotEqualTo(Admission.EXHAUSTED);
         // As long as a request may wait: what it asked for is granted, and not held for later.
@@ -76,8 +76,8 @@
         assertThat(world.request(0, 100)).isEqualTo(Admission.RESERVED);
     }
 
-    private static EscrowWorld usedUp() {
-        EscrowWorld world = new EscrowWorld(1, 2, 1_000);
+    private static RandomizedEscrowFleet usedUp() {
+        RandomizedEscrowFleet world = new RandomizedEscrowFleet(1, 2, 1_000);
         world.calm(2_000);
         for (int i = 0; i < 400; i++) {
             world.request(i % 2, 10);
@@ -91,7 +91,7 @@
 
     @Test
     void killedVm_losesItsUnspentGrantForEver() {
-        EscrowWorld world = new EscrowWorld(1, 2, 10_000);
+        RandomizedEscrowFleet world = new RandomizedEscrowFleet(1, 2, 10_000);
         world.calm(2_000);
         long before = world.free();
         world.kill(0);
@@ -102,7 +102,7 @@
 
     @Test
     void vmThatShutsDown_givesItsGrantBack() {
-        EscrowWorld world = new EscrowWorld(1, 2, 10_000);
+        RandomizedEscrowFleet world = new RandomizedEscrowFleet(1, 2, 10_000);
         world.calm(2_000);
         long before = world.free();
         world.giveBack(0);
@@ -115,7 +115,7 @@
 
     @Test
     void vmThatShutsDown_returnsWhatRunningRequestsLeave() {
-        EscrowWorld world = new EscrowWorld(1, 2, 10_000);
+        RandomizedEscrowFleet world = new RandomizedEscrowFleet(1, 2, 10_000);
         world.calm(2_000);
         assertThat(world.request(0, 200)).isEqualTo(Admission.RESERVED);
         world.giveBack(0);
--- a/coordination/src/test/java/org/hornbeampass/coordination/escrow/EscrowLoansTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/escrow/EscrowLoansTest.java
@@ -54,7 +54,7 @@
     }
 
     private static PoolHomes homes(List<String> others) {
-        return new EveryVmHome(() -> 2, () -> others);
+        return new AllVmsHomes(() -> 2, () -> others);
     }
 
     private static EscrowBook book(String vm, Platform platform) {
@@ -75,7 +75,7 @@
         @Override
         public void send(String vmName, PeerMessage message) {
             mGiftsTo.add(vmName);
-            mLender.accept(0, (LoanGift) message);
+            mLender.accept(0, (TokenTransfer) message);
         }
 
         @Override
@@ -152,17 +152,17 @@
         }
 
         @Override
-        public int count(int pool) {
+        public int homeCount(int pool) {
             return 1;
         }
 
         @Override
-        public List<String> others(int pool) {
+        public List<String> otherHomes(int pool) {
             return mNames;
         }
 
         @Override
-        public List<String> vms() {
+        public List<String> otherVms() {
             return mNames;
         }
     }
@@ -186,7 +186,7 @@
         void admit(long nowMs) {
             if (mBook.admit(nowMs, "org", mTokens) == Admission.RESERVED) {
                 mServed = true;
-            } else if (mBook.mayGetMore(nowMs, "org", mTokens)) {
+            } else if (mBook.mayObtainTokens(nowMs, "org", mTokens)) {
                 mBook.afterNextExchange(nowMs, "org", () -> admit(nowMs));
             } else if (!mLoans.search(nowMs, "org", mTokens, () -> admit(nowMs))) {
                 mRefused = true;
@@ -216,7 +216,7 @@
         runAlone(book, loans, 0, 500);
         assertThat(request.mServed).isTrue();
         assertThat(next.mServed).isTrue();
-        assertThat(book.standing(500, "org").unallocated()).isEqualTo(PREPAID - 1_000);
+        assertThat(book.admissionState(500, "org").unallocated()).isEqualTo(PREPAID - 1_000);
     }
 
     @Test
@@ -265,12 +265,12 @@
         EscrowBook book = bookOfNoHome();
         EscrowLoans loans =
                 new EscrowLoans(book, new ToLender(), new OtherHomes("lender"), new Random(1));
-        assertThat(book.standing(0, "org").unspent()).isGreaterThan(PREPAID);
+        assertThat(book.admissionState(0, "org").unspent()).isGreaterThan(PREPAID);
         for (long t = 0; t < 3_000; t += 100) {
             loans.tick(t);
         }
         assertThat(mRequests).isEqualTo(1);
-        assertThat(book.standing(3_000, "org").unspent()).isEqualTo(PREPAID);
+        assertThat(book.admissionState(3_000, "org").unspent()).isEqualTo(PREPAID);
     }
 
     @Test
@@ -296,7 +296,7 @@
     @Test
     void homeThatWasHandedTokens_doesNotTryToReturnThemAgainAndAgain() {
         run(0, 3_000);
-        mLender.accept(3_000, new LoanGift("org", 3 * mLender.free("org"), 0));
+        mLender.accept(3_000, new TokenTransfer("org", 3 * mLender.free("org"), 0));
         int before = mWrites;
         run(3_000, 20_000);
         // 34 before: what others were granted can't be returned by this VM.
--- a/coordination/src/test/java/org/hornbeampass/coordination/escrow/EscrowDay.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/escrow/EscrowSimulation.java
@@ -31,7 +31,7 @@
  * <p>Organisations differ in size; a caller picks any VM; a request that is refused comes back
  * once. Not thread-safe.
  */
-final class EscrowDay {
+final class EscrowSimulation {
     private static final int VMS = 8;
     private static final int POOLS = 4;
     private static final int DOMAINS = 3;
@@ -125,7 +125,7 @@
                             new Region("r"),
                             new FailureDomain("d" + number % DOMAINS),
                             MemberState.LIVE);
-            mHomes = mSize.allHomes() ? new EveryVmHome(mSize::vms, this::others) : mMembers;
+            mHomes = mSize.allHomes() ? new AllVmsHomes(mSize::vms, this::others) : mMembers;
             start();
         }
 
@@ -133,7 +133,7 @@
             mLives++;
             mBook =
                     new EscrowBook(
-                            EscrowDay.this::submit,
+                            EscrowSimulation.this::submit,
                             new EscrowOwner("vm-" + mNumber, "life-" + mLives),
                             POOLS,
                             mHomes,
@@ -181,7 +181,7 @@
             Vm receiver = mVms.get(Integer.parseInt(vmName));
             mMessages++;
             if (receiver.up()) {
-                after(PEER_MS, () -> receiver.mBook.accept(mNowMs, (LoanGift) message));
+                after(PEER_MS, () -> receiver.mBook.accept(mNowMs, (TokenTransfer) message));
             }
         }
 
@@ -213,7 +213,7 @@
     /** Draws what VMs choose, so that all policies meet the same callers. */
     private final Random mChoices;
 
-    private final EscrowLoad mLoad;
+    private final SimulatedLoad mLoad;
     private final GrantPolicy mPolicy;
     private final Faults mFaults;
     private final MemoryPlatform mStore = new MemoryPlatform();
@@ -238,7 +238,8 @@
     private long mMessages;
     private List<Member> mUpMembers = List.of();
 
-    private EscrowDay(long seed, EscrowLoad load, GrantPolicy policy, Faults faults, Size size) {
+    private EscrowSimulation(
+            long seed, SimulatedLoad load, GrantPolicy policy, Faults faults, Size size) {
         mSize = size;
         mPrepaid = new long[size.organisations()];
         mUsed = new long[size.organisations()];
@@ -264,13 +265,14 @@
     }
 
     /** Plays one day. */
-    static Result play(long seed, EscrowLoad load, GrantPolicy policy, Faults faults) {
+    static Result play(long seed, SimulatedLoad load, GrantPolicy policy, Faults faults) {
         return play(seed, load, policy, faults, Size.SMALL);
     }
 
     /** Plays one day with a fleet of a size; the load grows with the number of VMs. */
-    static Result play(long seed, EscrowLoad load, GrantPolicy policy, Faults faults, Size size) {
-        EscrowDay day = new EscrowDay(seed, load, policy, faults, size);
+    static Result play(
+            long seed, SimulatedLoad load, GrantPolicy policy, Faults faults, Size size) {
+        EscrowSimulation day = new EscrowSimulation(seed, load, policy, faults, size);
         day.run();
         return day.result();
     }
@@ -342,15 +344,15 @@
         while (organisation < mSize.organisations() - 1 && part >= mShares[organisation]) {
             part -= mShares[organisation++];
         }
-        EscrowLoad.Size size = mLoad.draw(mRandom);
+        SimulatedLoad.Size size = mLoad.draw(mRandom);
         mRequests++;
         long left = (long) (OWED_PART * mPrepaid[organisation]) - mUsedAtMost[organisation];
         double worth = size.most() <= left ? size.worth() : 0;
         mOwedWorth += worth;
-        ask(organisation, new EscrowLoad.Size(size.most(), size.used(), worth), true);
+        ask(organisation, new SimulatedLoad.Size(size.most(), size.used(), worth), true);
     }
 
-    private void ask(int organisation, EscrowLoad.Size size, boolean first) {
+    private void ask(int organisation, SimulatedLoad.Size size, boolean first) {
         Vm vm = mVms.get(mRandom.nextInt(mSize.vms()));
         if (!vm.up()) {
             refuse(organisation, size, first, 300);
@@ -364,12 +366,12 @@
         private final Vm mVm;
         private final EscrowBook mBook;
         private final int mOrganisation;
-        private final EscrowLoad.Size mSize;
+        private final SimulatedLoad.Size mSize;
         private final boolean mFirst;
         private final long mUntilMs;
         private boolean mDone;
 
-        Waiting(Vm vm, int organisation, EscrowLoad.Size size, boolean first, long untilMs) {
+        Waiting(Vm vm, int organisation, SimulatedLoad.Size size, boolean first, long untilMs) {
             mVm = vm;
             mBook = vm.mBook;
             mOrganisation = organisation;
@@ -391,14 +393,16 @@
                 return;
             }
             boolean late = mNowMs >= mUntilMs;
-            if (!late && admission == Admission.SHORT && mBook.mayGetMore(mNowMs, name, tokens)) {
+            if (!late
+                    && admission == Admission.INSUFFICIENT_HERE
+                    && mBook.mayObtainTokens(mNowMs, name, tokens)) {
                 mBook.afterNextExchange(mNowMs, name, this::tryToReserve);
                 after(mUntilMs - mNowMs, this::giveUp);
                 return;
             }
             boolean searching =
                     !late
-                            && admission == Admission.SHORT
+                            && admission == Admission.INSUFFICIENT_HERE
                             && mVm.mLoans.search(mNowMs, name, tokens, this::tryToReserve);
             if (!searching) {
                 giveUp();
@@ -418,11 +422,15 @@
                 return;
             }
             mDone = true;
-            refuse(mOrganisation, mSize, mFirst, mBook.outOfReach(mNowMs, "org-0") ? 2_500 : 200);
+            refuse(
+                    mOrganisation,
+                    mSize,
+                    mFirst,
+                    mBook.isStoreUnreachable(mNowMs, "org-0") ? 2_500 : 200);
         }
     }
 
-    private void refuse(int organisation, EscrowLoad.Size size, boolean first, long backMs) {
+    private void refuse(int organisation, SimulatedLoad.Size size, boolean first, long backMs) {
         mRefusals++;
         if (!first) {
             mLost++;
--- a/coordination/src/test/java/org/hornbeampass/coordination/escrow/GrantPolicyTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/escrow/GrantPolicyTest.java
@@ -2,8 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import org.hornbeampass.coordination.escrow.EscrowDay.Faults;
-import org.hornbeampass.coordination.escrow.EscrowDay.Result;
+import org.hornbeampass.coordination.escrow.EscrowSimulation.Faults;
+import org.hornbeampass.coordination.escrow.EscrowSimulation.Result;
 import org.junit.jupiter.api.Test;
 
 import java.util.List;
@@ -27,13 +27,13 @@
     private static final Faults ALL = new Faults(CUTS, List.of(17_000L, 34_000L));
 
     private static double mean(GrantPolicy policy, Faults faults, ToDoubleFunction<Result> part) {
-        return mean(EscrowLoad.MIXED_PROMPTS, policy, faults, part);
+        return mean(SimulatedLoad.MIXED_PROMPTS, policy, faults, part);
     }
 
     private static double mean(
-            EscrowLoad load, GrantPolicy policy, Faults faults, ToDoubleFunction<Result> part) {
+            SimulatedLoad load, GrantPolicy policy, Faults faults, ToDoubleFunction<Result> part) {
         return IntStream.range(0, SEEDS)
-                .mapToObj(seed -> EscrowDay.play(seed, load, policy, faults))
+                .mapToObj(seed -> EscrowSimulation.play(seed, load, policy, faults))
                 .mapToDouble(part)
                 .average()
                 .orElseThrow();
@@ -42,7 +42,7 @@
     @Test
     void noPolicy_overspendsThroughCutsAndKills() {
         for (GrantPolicy policy : GrantPolicy.values()) {
-            for (EscrowLoad load : EscrowLoad.values()) {
+            for (SimulatedLoad load : SimulatedLoad.values()) {
                 assertThat(mean(load, policy, ALL, r -> r.overspent() ? 1 : 0))
                         .as("%s %s", policy, load)
                         .isZero();
@@ -85,7 +85,10 @@
 
     private static double servedOfLongPrompts(Faults faults) {
         return mean(
-                EscrowLoad.LONG_PROMPTS, GrantPolicy.DEMAND_HORIZON, faults, Result::servedWorth);
+                SimulatedLoad.LONG_PROMPTS,
+                GrantPolicy.DEMAND_HORIZON,
+                faults,
+                Result::servedWorth);
     }
 
     @Test
--- a/coordination/src/test/java/org/hornbeampass/coordination/escrow/LoanSearchTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/escrow/LoanSearchTest.java
@@ -62,7 +62,7 @@
     }
 
     private PoolHomes homes(String vm) {
-        return new EveryVmHome(
+        return new AllVmsHomes(
                 () -> VMS, () -> mBooks.keySet().stream().filter(n -> !n.equals(vm)).toList());
     }
 
@@ -71,7 +71,7 @@
         @Override
         public void send(String vmName, PeerMessage message) {
             mLoans.get(vmName)
-                    .onGift(mNowMs, new VmId("giver", 1), (LoanGift) message, reply -> {});
+                    .onTransfer(mNowMs, new VmId("giver", 1), (TokenTransfer) message, reply -> {});
         }
 
         @Override
@@ -187,7 +187,7 @@
         run(3_000);
         long held = held();
         mStoreGone = true;
-        mBooks.get("vm-0").giveBack(mNowMs);
+        mBooks.get("vm-0").startReturningTokens(mNowMs);
         run(2_000);
         assertThat(mBooks.get("vm-0").free("org")).isZero();
         assertThat(held()).isEqualTo(held);
--- a/coordination/src/test/java/org/hornbeampass/coordination/escrow/MemberHomesTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/escrow/MemberHomesTest.java
@@ -66,7 +66,8 @@
             assertThat(domains).hasSize(MemberHomes.HOMES);
             Member other =
                     members.stream().filter(m -> !homes.contains(m.name())).findFirst().get();
-            assertThat(at(other, members).others(pool)).containsExactlyInAnyOrderElementsOf(homes);
+            assertThat(at(other, members).otherHomes(pool))
+                    .containsExactlyInAnyOrderElementsOf(homes);
         }
     }
 
@@ -93,7 +94,7 @@
         for (int pool = 0; pool < POOLS; pool++) {
             Set<String> homes = homes(pool, members);
             for (Member self : members) {
-                List<String> others = at(self, members).others(pool);
+                List<String> others = at(self, members).otherHomes(pool);
                 boolean near =
                         members.stream()
                                 .filter(m -> homes.contains(m.name()) && !m.equals(self))
@@ -109,13 +110,13 @@
         MemberHomes homes = new MemberHomes();
         homes.update(member(0), List.of(member(0)), false);
         assertThat(homes.isHome(0)).isFalse();
-        assertThat(homes.count(0)).isEqualTo(1);
+        assertThat(homes.homeCount(0)).isEqualTo(1);
     }
 
     @Test
     void fleetOfOne_isItsOwnHome() {
         MemberHomes homes = at(member(0), List.of(member(0)));
         assertThat(homes.isHome(0)).isTrue();
-        assertThat(homes.others(0)).isEmpty();
+        assertThat(homes.otherHomes(0)).isEmpty();
     }
 }
--- a/coordination/src/test/java/org/hornbeampass/coordination/escrow/PoolHomesTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/escrow/PoolHomesTest.java
@@ -2,9 +2,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import org.hornbeampass.coordination.escrow.EscrowDay.Faults;
-import org.hornbeampass.coordination.escrow.EscrowDay.Result;
-import org.hornbeampass.coordination.escrow.EscrowDay.Size;
+import org.hornbeampass.coordination.escrow.EscrowSimulation.Faults;
+import org.hornbeampass.coordination.escrow.EscrowSimulation.Result;
+import org.hornbeampass.coordination.escrow.EscrowSimulation.Size;
 import org.junit.jupiter.api.Test;
 
 import java.util.List;
@@ -26,14 +26,14 @@
     private static final Faults CUTS_AND_KILL = new Faults(CUTS, List.of(34_000L));
     private static final Faults ALL = new Faults(CUTS, List.of(17_000L, 34_000L));
 
-    private static Result play(EscrowLoad load, Faults faults, Size size) {
-        return EscrowDay.play(SEED, load, GrantPolicy.DEMAND_HORIZON, faults, size);
+    private static Result play(SimulatedLoad load, Faults faults, Size size) {
+        return EscrowSimulation.play(SEED, load, GrantPolicy.DEMAND_HORIZON, faults, size);
     }
 
     @Test
     void calmDayOfAHundredVms_makesCallsByOrganisationsNotByVms() {
         // 1,022 calls, 0.00 % refused; 99,930 and 6.98 % where each VM exchanged.
-        Result homes = play(EscrowLoad.MIXED_PROMPTS, NONE, HOMES);
+        Result homes = play(SimulatedLoad.MIXED_PROMPTS, NONE, HOMES);
         assertThat(homes.calls()).isLessThan(1_600);
         assertThat(homes.refusedPart()).isLessThan(0.002);
     }
@@ -42,7 +42,7 @@
     void cutsAndKillsOfAHundredVms_endInNoStormOfCalls() {
         // 1,804 calls; 67,170 where any VM that was asked for tokens became a home, and a write
         // that met another version was repeated at once.
-        Result homes = play(EscrowLoad.MIXED_PROMPTS, ALL, HOMES);
+        Result homes = play(SimulatedLoad.MIXED_PROMPTS, ALL, HOMES);
         assertThat(homes.calls()).isLessThan(2_700);
         assertThat(homes.overspent()).isFalse();
     }
@@ -50,7 +50,7 @@
     @Test
     void longPromptsOfAHundredVms_areServedThroughCutsAndAKillOfAllVms() {
         // 70.8 % where each VM exchanged: a fair share of a budget was less than one request.
-        Result homes = play(EscrowLoad.LONG_PROMPTS, CUTS_AND_KILL, HOMES);
+        Result homes = play(SimulatedLoad.LONG_PROMPTS, CUTS_AND_KILL, HOMES);
         assertThat(homes.servedWorth()).isGreaterThan(0.82);
         assertThat(homes.overspent()).isFalse();
     }
--- a/coordination/src/test/java/org/hornbeampass/coordination/escrow/EscrowWorld.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/escrow/RandomizedEscrowFleet.java
@@ -18,7 +18,7 @@
  * <p>Writes may be carried out without a reply, or long after their caller gave up; VMs are killed
  * and start again with nothing. Not thread-safe.
  */
-final class EscrowWorld {
+final class RandomizedEscrowFleet {
     static final String ORGANISATION = "org";
 
     private final Random mRandom;
@@ -83,17 +83,17 @@
         }
 
         @Override
-        public int count(int pool) {
+        public int homeCount(int pool) {
             return mHomesMove ? 1 + mRandom.nextInt(mVms.size() + 1) : mVms.size() + 1;
         }
 
         @Override
-        public List<String> others(int pool) {
+        public List<String> otherHomes(int pool) {
             return mHomesMove ? List.of("another") : List.of();
         }
 
         @Override
-        public List<String> vms() {
+        public List<String> otherVms() {
             return List.of();
         }
     }
@@ -138,7 +138,7 @@
                 });
     }
 
-    EscrowWorld(long seed, int vms, long prepaid) {
+    RandomizedEscrowFleet(long seed, int vms, long prepaid) {
         mRandom = new Random(seed);
         mPrepaid = prepaid;
         for (int i = 0; i < vms; i++) {
@@ -206,7 +206,7 @@
             mPrepaid += mRandom.nextInt(2_000);
             vm.configure();
         } else if (what == 1) {
-            vm.mBook.giveBack(mNowMs);
+            vm.mBook.startReturningTokens(mNowMs);
             vm.start();
         } else {
             mVms.forEach(Vm::start);
@@ -296,12 +296,12 @@
     }
 
     void giveBack(int vm) {
-        mVms.get(vm).mBook.giveBack(mNowMs);
+        mVms.get(vm).mBook.startReturningTokens(mNowMs);
     }
 
     /** Returns the tokens that can still be spent, as a VM knows it that has just looked. */
     long left(int vm) {
-        return mVms.get(vm).mBook.standing(mNowMs, ORGANISATION).unallocated() + free();
+        return mVms.get(vm).mBook.admissionState(mNowMs, ORGANISATION).unallocated() + free();
     }
 
     long free() {
--- a/coordination/src/test/java/org/hornbeampass/coordination/escrow/EscrowLoad.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/escrow/SimulatedLoad.java
@@ -2,8 +2,8 @@
 
 import java.util.Random;
 
-/** What callers send in an {@link EscrowDay}. */
-enum EscrowLoad {
+/** What callers send in an {@link EscrowSimulation}. */
+enum SimulatedLoad {
     /** Three sizes of requests; the budgets last for 1.3 times the day. */
     MIXED_PROMPTS(0.037, 50_000, 50_000) {
         @Override
@@ -70,7 +70,7 @@
     private final long mDayMs;
     private final long mPaidMs;
 
-    EscrowLoad(double requestsPerMs, long dayMs, long paidMs) {
+    SimulatedLoad(double requestsPerMs, long dayMs, long paidMs) {
         mRequestsPerMs = requestsPerMs;
         mDayMs = dayMs;
         mPaidMs = paidMs;
--- a/router/src/main/java/org/hornbeampass/router/daemon/RelayDaemon.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/RelayDaemon.java
@@ -9,8 +9,8 @@
 import org.hornbeampass.coordination.escrow.EscrowBook;
 import org.hornbeampass.coordination.escrow.EscrowLoans;
 import org.hornbeampass.coordination.escrow.EscrowOwner;
-import org.hornbeampass.coordination.escrow.LoanGift;
 import org.hornbeampass.coordination.escrow.LoanRequest;
+import org.hornbeampass.coordination.escrow.TokenTransfer;
 import org.hornbeampass.coordination.membership.Gossip;
 import org.hornbeampass.coordination.membership.IndirectPing;
 import org.hornbeampass.coordination.membership.Ping;
@@ -247,7 +247,7 @@
         mPeers.on(SyncRequest.class, membership::onSyncRequest);
         mPeers.on(NewsRequest.class, mViews.news()::onRequest);
         mPeers.on(LoanRequest.class, mLoans::onRequest);
-        mPeers.on(LoanGift.class, mLoans::onGift);
+        mPeers.on(TokenTransfer.class, mLoans::onTransfer);
         mPeers.on(InFlightReport.class, mLoads::onReport);
         mPeers.on(SignalReport.class, mSignals::onReport);
         mPeers.on(PermitRequest.class, mLimiter::onRequest);
--- a/router/src/main/java/org/hornbeampass/router/daemon/RelayShutdown.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/RelayShutdown.java
@@ -78,7 +78,7 @@
             mCallers.stopAccepting();
             mParts.refuseNew();
             mCallers.closeIdle();
-            mBudgets.giveBack(nowMs);
+            mBudgets.startReturningTokens(nowMs);
         }
         if (sinceMs >= mGraceMs - END_MARGIN_MS) {
             mDone.complete(null);
@@ -93,7 +93,7 @@
         if (mIdleMs < 0) {
             mIdleMs = nowMs;
         }
-        if (mBudgets.givenBack() || nowMs - mIdleMs >= RETURN_MS) {
+        if (mBudgets.hasReturnedAllTokens() || nowMs - mIdleMs >= RETURN_MS) {
             mDone.complete(null);
         }
     }
--- a/router/src/main/java/org/hornbeampass/router/relay/RelayCall.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/RelayCall.java
@@ -197,11 +197,11 @@
             return;
         }
         Admission admission = reserve(nowMs);
-        if (admission != Admission.SHORT) {
+        if (admission != Admission.INSUFFICIENT_HERE) {
             onAdmission(nowMs, admission);
             return;
         }
-        mGrantTimer = timer(grantWaitMs(), t -> onAdmission(t, Admission.SHORT));
+        mGrantTimer = timer(grantWaitMs(), t -> onAdmission(t, Admission.INSUFFICIENT_HERE));
         waitForTokens(nowMs);
     }
 
@@ -217,13 +217,13 @@
     /** Waits for the store or for other VMs, as long as there is hope for tokens. */
     private void waitForTokens(long nowMs) {
         long tokens = mHead.prompt().maxTokens();
-        if (mParts.budgets().mayGetMore(nowMs, organisation(), tokens)) {
+        if (mParts.budgets().mayObtainTokens(nowMs, organisation(), tokens)) {
             mParts.budgets().afterNextExchange(nowMs, organisation(), this::admitAgain);
             return;
         }
         boolean searching = mParts.loans().search(nowMs, organisation(), tokens, this::admitAgain);
         if (!searching) {
-            onAdmission(nowMs, Admission.SHORT);
+            onAdmission(nowMs, Admission.INSUFFICIENT_HERE);
         }
     }
 
@@ -233,7 +233,7 @@
         }
         long nowMs = mParts.clock().nowMs();
         Admission admission = reserve(nowMs);
-        if (admission == Admission.SHORT) {
+        if (admission == Admission.INSUFFICIENT_HERE) {
             waitForTokens(nowMs);
         } else {
             onAdmission(nowMs, admission);
@@ -300,25 +300,25 @@
     }
 
     private Refusals.Lack lack(long nowMs) {
-        if (mParts.budgets().outOfReach(nowMs, organisation())) {
+        if (mParts.budgets().isStoreUnreachable(nowMs, organisation())) {
             return Refusals.Lack.STORE_UNREACHABLE;
         }
         long tokens = mHead.prompt().maxTokens();
-        return mParts.budgets().mayGetMore(nowMs, organisation(), tokens)
+        return mParts.budgets().mayObtainTokens(nowMs, organisation(), tokens)
                 ? Refusals.Lack.STORE_MAY_HAVE_MORE
                 : Refusals.Lack.SCARCE;
     }
 
     /** Returns what decided against the request, as fields of a log line. */
     private LogFields lackingFields(long nowMs) {
-        EscrowBook.Standing standing = mParts.budgets().standing(nowMs, organisation());
+        EscrowBook.AdmissionState standing = mParts.budgets().admissionState(nowMs, organisation());
         return new LogFields()
                 .add("wanted", mHead.prompt().maxTokens())
                 .add("free", standing.free())
                 .add("unallocated", standing.unallocated())
                 .add("unspent", standing.unspent())
-                .add("heard_ago_ms", standing.heardAgoMs().orElse(-1))
-                .add("store_lost", standing.outOfReach());
+                .add("heard_ago_ms", standing.storeReplyAgeMs().orElse(-1))
+                .add("store_lost", standing.storeUnreachable());
     }
 
     private void onDeadline(long nowMs) {
--- a/transport/src/main/java/org/hornbeampass/protocol/peer/PeerMessageType.java
+++ b/transport/src/main/java/org/hornbeampass/protocol/peer/PeerMessageType.java
@@ -13,9 +13,9 @@
 import org.hornbeampass.coordination.config.SnapshotRequest;
 import org.hornbeampass.coordination.drain.DrainAnswer;
 import org.hornbeampass.coordination.drain.DrainOrder;
-import org.hornbeampass.coordination.escrow.LoanGift;
 import org.hornbeampass.coordination.escrow.LoanReply;
 import org.hornbeampass.coordination.escrow.LoanRequest;
+import org.hornbeampass.coordination.escrow.TokenTransfer;
 import org.hornbeampass.coordination.membership.Ack;
 import org.hornbeampass.coordination.membership.Gossip;
 import org.hornbeampass.coordination.membership.IndirectAck;
@@ -67,7 +67,7 @@
     MOVE_ACK(43, MoveAck.class, Form.ONE_WAY),
     LOAN_REQUEST(44, LoanRequest.class, Form.REQUEST),
     LOAN_REPLY(45, LoanReply.class, Form.REPLY),
-    LOAN_GIFT(46, LoanGift.class, Form.ONE_WAY),
+    TOKEN_TRANSFER(46, TokenTransfer.class, Form.ONE_WAY),
     SUBMIT_ENTRIES(60, SubmitEntries.class, Form.REQUEST),
     ENTRIES_DECIDED(61, EntriesDecided.class, Form.REPLY),
     ENTRIES_REFUSED(62, EntriesRefused.class, Form.REPLY),
