--- a/coordination/src/main/java/org/hornbeampass/coordination/escrow/BudgetStatus.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/escrow/BudgetStatus.java
@@ -9,19 +9,19 @@
  *
  * @param prepaid the whole budget, in tokens
  * @param spent how many of them were reported spent
- * @param heardAgoMs how long ago the store was heard, in milliseconds; {@link #NEVER} where it was
- *     not
+ * @param heardAgoMs how long ago the store was heard, in milliseconds; {@link #NEVER_RECEIVED}
+ *     where it was not
  * @param storeLost whether the store can't be reached there now
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record BudgetStatus(long prepaid, long spent, long heardAgoMs, boolean storeLost) {
     /** The age where the store was never heard. */
-    static final long NEVER = -1;
+    static final long NEVER_RECEIVED = -1;
 
     /** Nothing is known. */
-    static final BudgetStatus UNKNOWN = new BudgetStatus(0, 0, NEVER, false);
+    static final BudgetStatus UNKNOWN = new BudgetStatus(0, 0, NEVER_RECEIVED, false);
 
-    boolean heard() {
-        return heardAgoMs != NEVER;
+    boolean known() {
+        return heardAgoMs != NEVER_RECEIVED;
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/escrow/EscrowAccount.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/escrow/EscrowAccount.java
@@ -10,14 +10,14 @@
  */
 final class EscrowAccount {
     /** How fast the observed demand follows, in milliseconds. */
-    private static final double DEMAND_MS = 5_000;
+    private static final double DEMAND_DECAY_MS = 5_000;
 
     /**
      * For how long, in milliseconds, there is taken to have been demand before the first request:
-     * an average over {@link #DEMAND_MS} is too low while it is younger than that, and a first
-     * request alone says little.
+     * an average over {@link #DEMAND_DECAY_MS} is too low while it is younger than that, and a
+     * first request alone says little.
      */
-    private static final long DEMAND_BEFORE_MS = 2_000;
+    private static final long ASSUMED_DEMAND_MS = 2_000;
 
     private long mLimit;
     private long mSpent;
@@ -26,13 +26,13 @@
     private long mBorrowed;
     private long mGranted;
     private long mReportedSpent;
-    private long mWrittenSpent;
+    private long mMaxWrittenSpent;
     private double mDemandPerMs;
     private long mDemandAtMs;
     private long mFirstDemandMs = Long.MAX_VALUE;
     private long mWanted;
-    private long mLeastWanted = Long.MAX_VALUE;
-    private long mLookUntilMs = Long.MIN_VALUE;
+    private long mSmallestWanted = Long.MAX_VALUE;
+    private long mRecheckUntilMs = Long.MIN_VALUE;
 
     long free() {
         return mLimit - used();
@@ -55,7 +55,7 @@
     }
 
     /** Returns whether the store holds more for this VM than it uses, or an older report. */
-    boolean owesStore() {
+    boolean hasUnsettledWithStore() {
         return mGranted > Math.max(0, used()) || mSpent > mReportedSpent;
     }
 
@@ -67,13 +67,13 @@
     /** Takes tokens out for requests at another VM, which are demand here as well. */
     void lendToRequests(long nowMs, long tokens) {
         mLent += tokens;
-        demand(nowMs, tokens);
+        addDemand(nowMs, tokens);
     }
 
     /** Takes in tokens that another VM has taken out. */
     void borrow(long tokens) {
         mBorrowed += tokens;
-        forgetWanted();
+        clearWanted();
     }
 
     /**
@@ -81,28 +81,28 @@
      * that are to be reported from here. The latter were lent by some VM, so that what this one
      * uses does not change.
      */
-    void takeOver(long nowMs, long tokens, long spent) {
+    void acceptTransfer(long nowMs, long tokens, long spent) {
         borrow(tokens);
-        demand(nowMs, -tokens);
+        addDemand(nowMs, -tokens);
         mSpent += spent;
         mLent -= spent;
     }
 
     /** Takes out the spent tokens that no write of this VM has ever told the store of. */
-    long handOverSpent() {
-        long spent = unwrittenSpent();
+    long takeUnreportedSpent() {
+        long spent = neverWrittenSpent();
         mSpent -= spent;
         mLent += spent;
         return spent;
     }
 
-    long unwrittenSpent() {
-        return Math.max(0, mSpent - mWrittenSpent);
+    long neverWrittenSpent() {
+        return Math.max(0, mSpent - mMaxWrittenSpent);
     }
 
     /** Notes that a write is sent which reports all that is spent; it may never be answered. */
-    void onWriting() {
-        mWrittenSpent = Math.max(mWrittenSpent, mSpent);
+    void onWriteSent() {
+        mMaxWrittenSpent = Math.max(mMaxWrittenSpent, mSpent);
     }
 
     /** Returns what the store was last seen to hold for this incarnation. */
@@ -120,8 +120,8 @@
     }
 
     /** Returns the tokens of the smallest request that was not admitted since then. */
-    OptionalLong leastWanted() {
-        return mWanted > 0 ? OptionalLong.of(mLeastWanted) : OptionalLong.empty();
+    OptionalLong smallestWanted() {
+        return mWanted > 0 ? OptionalLong.of(mSmallestWanted) : OptionalLong.empty();
     }
 
     boolean reserve(long tokens) {
@@ -133,28 +133,28 @@
     }
 
     /** Notes a request that was not admitted; the store is looked at for it until a time. */
-    void want(long tokens, long lookUntilMs) {
+    void addWanted(long tokens, long recheckUntilMs) {
         mWanted += tokens;
-        mLeastWanted = Math.min(mLeastWanted, tokens);
-        mLookUntilMs = Math.max(mLookUntilMs, lookUntilMs);
+        mSmallestWanted = Math.min(mSmallestWanted, tokens);
+        mRecheckUntilMs = Math.max(mRecheckUntilMs, recheckUntilMs);
     }
 
     /** Returns whether requests were refused of late without a proof that the budget is used up. */
-    boolean looks(long nowMs) {
-        return nowMs < mLookUntilMs;
+    boolean isRecheckDue(long nowMs) {
+        return nowMs < mRecheckUntilMs;
     }
 
     void settle(long nowMs, long reserved, long used) {
         long spent = Math.min(reserved, used);
         mReserved -= reserved;
         mSpent += spent;
-        demand(nowMs, spent);
+        addDemand(nowMs, spent);
     }
 
     /** Forgets what requests waited for: an exchange is over, and they ask again. */
-    void forgetWanted() {
+    void clearWanted() {
         mWanted = 0;
-        mLeastWanted = Long.MAX_VALUE;
+        mSmallestWanted = Long.MAX_VALUE;
     }
 
     void setLimit(long limit) {
@@ -162,7 +162,7 @@
     }
 
     /** Takes in what the store holds for this incarnation, and what of it may be spent. */
-    void onStored(long granted, long limit, long reportedSpent) {
+    void onStoredGrant(long granted, long limit, long reportedSpent) {
         mGranted = granted;
         mLimit = limit;
         mReportedSpent = reportedSpent;
@@ -170,23 +170,23 @@
 
     /** Returns the tokens used in a millisecond, as observed of late. */
     double demandPerMs(long nowMs) {
-        fade(nowMs);
+        decayDemand(nowMs);
         if (mFirstDemandMs > nowMs) {
             return 0;
         }
-        long sinceMs = nowMs - mFirstDemandMs + DEMAND_BEFORE_MS;
-        return Math.max(0, mDemandPerMs) / (1 - Math.exp(-sinceMs / DEMAND_MS));
+        long observedMs = nowMs - mFirstDemandMs + ASSUMED_DEMAND_MS;
+        return Math.max(0, mDemandPerMs) / (1 - Math.exp(-observedMs / DEMAND_DECAY_MS));
     }
 
-    private void demand(long nowMs, long tokens) {
-        fade(nowMs);
+    private void addDemand(long nowMs, long tokens) {
+        decayDemand(nowMs);
         mFirstDemandMs = Math.min(mFirstDemandMs, nowMs);
-        mDemandPerMs += tokens / DEMAND_MS;
+        mDemandPerMs += tokens / DEMAND_DECAY_MS;
     }
 
-    private void fade(long nowMs) {
+    private void decayDemand(long nowMs) {
         if (nowMs > mDemandAtMs) {
-            mDemandPerMs *= Math.exp(-(nowMs - mDemandAtMs) / DEMAND_MS);
+            mDemandPerMs *= Math.exp(-(nowMs - mDemandAtMs) / DEMAND_DECAY_MS);
             mDemandAtMs = nowMs;
         }
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/escrow/EscrowBook.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/escrow/EscrowBook.java
@@ -107,12 +107,12 @@
      * @param tokens what a request lacks that was just not admitted
      */
     public boolean mayObtainTokens(long nowMs, String organisation, long tokens) {
-        return shard(organisation).mayGet(nowMs, organisation, tokens);
+        return shard(organisation).mayObtainTokens(nowMs, organisation, tokens);
     }
 
     /** Returns whether the store can't be reached about an organisation's budget. */
     public boolean isStoreUnreachable(long nowMs, String organisation) {
-        return shard(organisation).lostFor(nowMs, organisation);
+        return shard(organisation).isStoreUnreachableFor(nowMs, organisation);
     }
 
     /** Runs an action once after the next exchange about an organisation's budget. */
@@ -121,10 +121,10 @@
     }
 
     /** Returns the tokens that organisations lack here while the store is out of reach. */
-    Map<String, Long> lacking(long nowMs) {
-        Map<String, Long> lacking = new HashMap<>();
-        mShards.forEach(s -> s.addLacking(nowMs, lacking));
-        return lacking;
+    Map<String, Long> shortfalls(long nowMs) {
+        Map<String, Long> shortfalls = new HashMap<>();
+        mShards.forEach(s -> s.addShortfalls(nowMs, shortfalls));
+        return shortfalls;
     }
 
     /** Takes out tokens for another VM and hands them over, now or after an exchange. */
@@ -150,26 +150,26 @@
     }
 
     /** Takes in what another VM replied. */
-    void onLoan(long nowMs, LoanReply reply) {
-        shard(reply.organisation()).tell(nowMs, reply.organisation(), reply.status());
+    void onLoanReply(long nowMs, LoanReply reply) {
+        shard(reply.organisation()).onPeerStatus(nowMs, reply.organisation(), reply.status());
         if (reply.tokens() > 0) {
             borrow(nowMs, reply.organisation(), reply.tokens());
         }
     }
 
     /** Returns how many tokens to ask other VMs for beyond those that a request needs. */
-    long ahead(long nowMs, String organisation) {
-        return shard(organisation).ahead(nowMs, organisation);
+    long extraTokens(long nowMs, String organisation) {
+        return shard(organisation).extraTokens(nowMs, organisation);
     }
 
     /** Lets this VM exchange with the store about a budget for a while: no home answers. */
-    void serveItself(long nowMs, String organisation) {
-        shard(organisation).serveItself(nowMs);
+    void allowStoreExchanges(long nowMs, String organisation) {
+        shard(organisation).allowStoreExchanges(nowMs);
     }
 
     /** As above where no other VM is known; returns whether it is worth waiting for. */
-    boolean serveAlone(long nowMs, String organisation) {
-        return shard(organisation).serveAlone(nowMs);
+    boolean allowStoreExchangesWithoutPeers(long nowMs, String organisation) {
+        return shard(organisation).allowStoreExchangesWithoutPeers(nowMs);
     }
 
     /** Returns the number of the pool to which an organisation's budget belongs. */
@@ -185,12 +185,12 @@
     }
 
     /** Takes out what this VM hands to the homes, by the number of the pool. */
-    Map<Integer, List<TokenTransfer>> takeGifts(long nowMs) {
-        Map<Integer, List<TokenTransfer>> gifts = new HashMap<>();
+    Map<Integer, List<TokenTransfer>> takeTransfers(long nowMs) {
+        Map<Integer, List<TokenTransfer>> transfers = new HashMap<>();
         for (int i = 0; i < mShards.size(); i++) {
-            gifts.put(i, mShards.get(i).takeGifts(nowMs));
+            transfers.put(i, mShards.get(i).takeTransfers(nowMs));
         }
-        return gifts;
+        return transfers;
     }
 
     /** Returns the tokens that requests of an organisation can reserve here. */
@@ -205,9 +205,9 @@
     }
 
     /** Takes in what another VM hands over, where the organisation is known. */
-    void accept(long nowMs, TokenTransfer gift) {
-        if (mPrepaid.containsKey(gift.organisation())) {
-            shard(gift.organisation()).takeOver(nowMs, gift);
+    void onTransfer(long nowMs, TokenTransfer transfer) {
+        if (mPrepaid.containsKey(transfer.organisation())) {
+            shard(transfer.organisation()).acceptTransfer(nowMs, transfer);
         }
     }
 
@@ -221,12 +221,12 @@
      * now on; nothing new is granted.
      */
     public void startReturningTokens(long nowMs) {
-        mShards.forEach(s -> s.giveBack(nowMs));
+        mShards.forEach(s -> s.startReturningTokens(nowMs));
     }
 
     /** Returns whether nothing is left to give back. */
     public boolean hasReturnedAllTokens() {
-        return mShards.stream().allMatch(EscrowShard::givenBack);
+        return mShards.stream().allMatch(EscrowShard::hasReturnedAllTokens);
     }
 
     /** Returns the free, granted and spent tokens of each organisation, for metrics. */
@@ -238,7 +238,7 @@
 
     /** Returns what decides on requests of an organisation now, for logs. */
     public AdmissionState admissionState(long nowMs, String organisation) {
-        return shard(organisation).standing(nowMs, organisation);
+        return shard(organisation).admissionState(nowMs, organisation);
     }
 
     /**
--- a/coordination/src/main/java/org/hornbeampass/coordination/escrow/EscrowLoans.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/escrow/EscrowLoans.java
@@ -31,34 +31,34 @@
  */
 public final class EscrowLoans {
     /** How long a reply may take, in milliseconds; peers answer within a few. */
-    private static final long TIMEOUT_MS = 500;
+    private static final long REPLY_TIMEOUT_MS = 500;
 
     /** How often loans ahead of requests are looked for, in milliseconds. */
-    private static final long PAUSE_MS = 200;
+    private static final long INTERVAL_MS = 200;
 
     /**
      * How long a search that found too little is not repeated, in milliseconds: an organisation
      * whose tokens are used up everywhere would have all its requests ask all VMs.
      */
-    private static final long FRUITLESS_PAUSE_MS = 300;
+    private static final long SEARCH_RETRY_MS = 300;
 
     /**
      * For how long a VM that did not answer is asked last, in milliseconds; it takes the fleet some
      * three seconds to see that it is gone.
      */
-    private static final long SILENT_MS = 2_000;
+    private static final long UNRESPONSIVE_MS = 2_000;
 
     private final EscrowBook mBook;
     private final PeerNetwork mPeers;
     private final PoolHomes mHomes;
     private final RandomGenerator mRandom;
-    private final Set<String> mOpen = new HashSet<>();
+    private final Set<String> mOpenRequests = new HashSet<>();
     private final Map<String, LoanSearch> mSearches = new HashMap<>();
-    private final Map<String, Long> mNotBeforeMs = new HashMap<>();
+    private final Map<String, Long> mNextSearchMs = new HashMap<>();
     private final Map<String, String> mLastLender = new HashMap<>();
-    private final Map<Integer, List<String>> mConnected = new HashMap<>();
-    private final Map<String, Long> mSilentUntilMs = new HashMap<>();
-    private long mNextMs;
+    private final Map<Integer, List<String>> mConnectedHomes = new HashMap<>();
+    private final Map<String, Long> mUnresponsiveUntilMs = new HashMap<>();
+    private long mNextTickMs;
 
     /**
      * Makes the loans of one book.
@@ -88,21 +88,21 @@
     public boolean search(long nowMs, String organisation, long tokens, Runnable done) {
         LoanSearch open = mSearches.get(organisation);
         if (open != null) {
-            open.join(tokens, done);
+            open.addRequest(tokens, done);
             return true;
         }
-        if (nowMs < mNotBeforeMs.getOrDefault(organisation, Long.MIN_VALUE)) {
+        if (nowMs < mNextSearchMs.getOrDefault(organisation, Long.MIN_VALUE)) {
             return false;
         }
-        List<String> homes = homes(nowMs, mBook.pool(organisation));
+        List<String> homes = homesToAsk(nowMs, mBook.pool(organisation));
         List<String> order =
-                LoanSearch.order(
+                LoanSearch.peerOrder(
                         homes,
                         mHomes.otherVms(),
                         mLastLender.getOrDefault(organisation, ""),
                         mRandom);
         if (order.isEmpty()) {
-            return waitForStore(nowMs, organisation, done);
+            return waitForStoreExchange(nowMs, organisation, done);
         }
         LoanSearch search =
                 new LoanSearch(
@@ -111,15 +111,15 @@
                         organisation,
                         order,
                         homes.size(),
-                        (t, s) -> over(t, organisation, s));
-        search.join(tokens, done);
+                        (t, s) -> onSearchEnded(t, organisation, s));
+        search.addRequest(tokens, done);
         mSearches.put(organisation, search);
         search.start(nowMs);
         return true;
     }
 
-    private boolean waitForStore(long nowMs, String organisation, Runnable done) {
-        boolean helps = mBook.serveAlone(nowMs, organisation);
+    private boolean waitForStoreExchange(long nowMs, String organisation, Runnable done) {
+        boolean helps = mBook.allowStoreExchangesWithoutPeers(nowMs, organisation);
         if (helps) {
             mBook.afterNextExchange(nowMs, organisation, done);
         }
@@ -127,27 +127,28 @@
     }
 
     /** Returns the homes to ask, those that were silent of late last. */
-    private List<String> homes(long nowMs, int pool) {
+    private List<String> homesToAsk(long nowMs, int pool) {
         List<String> homes = new ArrayList<>();
-        List<String> silent = new ArrayList<>();
+        List<String> unresponsive = new ArrayList<>();
         for (String each : mHomes.otherHomes(pool)) {
-            boolean answers = nowMs >= mSilentUntilMs.getOrDefault(each, Long.MIN_VALUE);
-            (answers ? homes : silent).add(each);
+            boolean responsive = nowMs >= mUnresponsiveUntilMs.getOrDefault(each, Long.MIN_VALUE);
+            (responsive ? homes : unresponsive).add(each);
         }
-        homes.addAll(silent);
+        homes.addAll(unresponsive);
         return homes;
     }
 
-    private void over(long nowMs, String organisation, LoanSearch search) {
+    private void onSearchEnded(long nowMs, String organisation, LoanSearch search) {
         mSearches.remove(organisation);
-        search.lender().ifPresent(l -> mLastLender.put(organisation, l));
-        search.silent().forEach(n -> mSilentUntilMs.put(n, nowMs + SILENT_MS));
-        if (search.found()) {
+        search.lastLender().ifPresent(l -> mLastLender.put(organisation, l));
+        search.unresponsivePeers()
+                .forEach(n -> mUnresponsiveUntilMs.put(n, nowMs + UNRESPONSIVE_MS));
+        if (search.isSatisfied()) {
             return;
         }
-        mNotBeforeMs.put(organisation, nowMs + FRUITLESS_PAUSE_MS);
-        if (search.silent().containsAll(mHomes.otherHomes(mBook.pool(organisation)))) {
-            mBook.serveItself(nowMs, organisation);
+        mNextSearchMs.put(organisation, nowMs + SEARCH_RETRY_MS);
+        if (search.unresponsivePeers().containsAll(mHomes.otherHomes(mBook.pool(organisation)))) {
+            mBook.allowStoreExchanges(nowMs, organisation);
         }
     }
 
@@ -156,66 +157,68 @@
      * asks another one for each organisation whose tokens run low.
      */
     public void tick(long nowMs) {
-        if (nowMs < mNextMs) {
+        if (nowMs < mNextTickMs) {
             return;
         }
-        mNextMs = nowMs + PAUSE_MS;
+        mNextTickMs = nowMs + INTERVAL_MS;
         if (mHomes.otherVms().isEmpty()) {
             return;
         }
-        mBook.organisationOfEachPool().forEach((pool, name) -> connect(nowMs, pool, name));
-        mBook.takeGifts(nowMs).forEach((pool, gifts) -> give(nowMs, pool, gifts));
-        mBook.lacking(nowMs)
-                .forEach((organisation, tokens) -> askAhead(nowMs, organisation, tokens));
+        mBook.organisationOfEachPool()
+                .forEach((pool, name) -> connectToNewHomes(nowMs, pool, name));
+        mBook.takeTransfers(nowMs).forEach((pool, gifts) -> sendTransfers(nowMs, pool, gifts));
+        mBook.shortfalls(nowMs)
+                .forEach((organisation, tokens) -> borrowAhead(nowMs, organisation, tokens));
     }
 
     /**
      * Asks new homes of a pool for nothing, so that the connection to them is there, and what they
      * know of a budget is known, before a request waits for their tokens.
      */
-    private void connect(long nowMs, int pool, String organisation) {
+    private void connectToNewHomes(long nowMs, int pool, String organisation) {
         List<String> homes = mHomes.otherHomes(pool);
-        List<String> before = Optional.ofNullable(mConnected.put(pool, homes)).orElse(List.of());
+        List<String> before =
+                Optional.ofNullable(mConnectedHomes.put(pool, homes)).orElse(List.of());
         for (String home : homes) {
             if (!before.contains(home)) {
                 mPeers.request(
                         nowMs,
                         home,
                         new LoanRequest(organisation, 0, 0, false),
-                        TIMEOUT_MS,
-                        (t, reply) -> take(t, organisation, reply));
+                        REPLY_TIMEOUT_MS,
+                        (t, reply) -> onReply(t, organisation, reply));
             }
         }
     }
 
     /** Sends to the first home that was not silent of late: what a dead one is sent is lost. */
-    private void give(long nowMs, int pool, List<TokenTransfer> gifts) {
-        List<String> homes = homes(nowMs, pool);
-        String home = homes.isEmpty() ? anyOf(mHomes.otherVms()) : homes.get(0);
-        gifts.forEach(g -> mPeers.send(home, g));
+    private void sendTransfers(long nowMs, int pool, List<TokenTransfer> transfers) {
+        List<String> homes = homesToAsk(nowMs, pool);
+        String home = homes.isEmpty() ? chooseAny(mHomes.otherVms()) : homes.get(0);
+        transfers.forEach(g -> mPeers.send(home, g));
     }
 
-    private String anyOf(List<String> names) {
+    private String chooseAny(List<String> names) {
         return names.get(mRandom.nextInt(names.size()));
     }
 
-    private void askAhead(long nowMs, String organisation, long tokens) {
-        if (!mOpen.add(organisation)) {
+    private void borrowAhead(long nowMs, String organisation, long tokens) {
+        if (!mOpenRequests.add(organisation)) {
             return;
         }
         List<String> homes = mHomes.otherHomes(mBook.pool(organisation));
         mPeers.request(
                 nowMs,
-                anyOf(homes.isEmpty() ? mHomes.otherVms() : homes),
+                chooseAny(homes.isEmpty() ? mHomes.otherVms() : homes),
                 new LoanRequest(organisation, 0, tokens, false),
-                TIMEOUT_MS,
-                (t, reply) -> take(t, organisation, reply));
+                REPLY_TIMEOUT_MS,
+                (t, reply) -> onReply(t, organisation, reply));
     }
 
-    private void take(long nowMs, String organisation, Either<Failure, PeerMessage> reply) {
-        mOpen.remove(organisation);
+    private void onReply(long nowMs, String organisation, Either<Failure, PeerMessage> reply) {
+        mOpenRequests.remove(organisation);
         if (reply.isRight() && reply.get() instanceof LoanReply loan) {
-            mBook.onLoan(nowMs, loan);
+            mBook.onLoanReply(nowMs, loan);
         }
     }
 
@@ -227,6 +230,6 @@
     /** Takes what another VM hands over; dropped where the organisation is not known. */
     public void onTransfer(
             long nowMs, VmId from, TokenTransfer transfer, Consumer<PeerMessage> reply) {
-        mBook.accept(nowMs, transfer);
+        mBook.onTransfer(nowMs, transfer);
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/escrow/EscrowShard.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/escrow/EscrowShard.java
@@ -16,92 +16,93 @@
  * before the lower grant is sent; while a write may still be carried out, no read of the version on
  * which it was based raises a limit. Confined to one thread.
  */
-final class EscrowShard implements RecordExchange.Side {
+final class EscrowShard implements RecordExchange.Handler {
     /** How often spending is reported at most, so that a budget's end is known. */
-    private static final long REPORT_MS = 3_000;
+    private static final long REPORT_INTERVAL_MS = 3_000;
 
     /**
      * The part of what is unspent that is worth a report by itself: while most of a budget is
      * there, nobody needs to know how much exactly.
      */
-    private static final long REPORTED_PART = 50;
+    private static final long REPORT_DIVISOR = 50;
 
     /**
      * For how long a VM that is no home exchanges with the store after it was asked for tokens as
      * if it were one, or found no home that answers, in milliseconds: until members are known.
      */
-    private static final long SERVES_MS = 3_000;
+    private static final long DIRECT_EXCHANGE_MS = 3_000;
 
     /**
      * How long an exchange may take before another VM that waits for it is answered with what is
      * there, in milliseconds; it gives up after {@link LoanSearch#TIMEOUT_MS}, and what it is lent
      * later is lost.
      */
-    private static final long ASKED_WAIT_MS = 60;
+    private static final long LENDER_WAIT_MS = 60;
 
     /**
      * How often the store is looked at for an organisation whose requests were refused without a
      * proof: often enough that the next refusal is a proof, where there is one.
      */
-    private static final long LOOK_PAUSE_MS = KnownBudgets.PROOF_MS / 2;
+    private static final long RECHECK_INTERVAL_MS = KnownBudgets.MAX_PROOF_AGE_MS / 2;
 
     /**
      * For how long the store is looked at after the last such refusal, in milliseconds: callers
      * come back within their own time limit, which is 12 s at the most on the sheets at hand.
      */
-    private static final long LOOK_MS = 12_000;
+    private static final long RECHECK_MS = 12_000;
 
     /**
      * The shortest pause between exchanges, in milliseconds, so that requests that wait at a home
      * are served by one of them also where it holds less than one of them needs. Its gain was not
      * measured apart.
      */
-    private static final long GATHER_MS = 50;
+    private static final long MIN_INTERVAL_MS = 50;
 
     /** The shortest pause between exchanges that no request waits for. */
-    private static final long PAUSE_MS = 500;
+    private static final long IDLE_INTERVAL_MS = 500;
 
     /** The pause between returns of what requests in progress leave at a shutdown. */
-    private static final long RETURN_PAUSE_MS = 200;
+    private static final long RETURN_INTERVAL_MS = 200;
 
     /** A call that takes longer is no reason for a request to wait; answers take milliseconds. */
-    private static final long ANSWER_MS = 150;
+    private static final long SLOW_CALL_MS = 150;
 
     private final EscrowOwner mOwner;
     private final GrantListener mListener;
     private final Map<String, EscrowAccount> mAccounts = new HashMap<>();
     private final GrantPlan mPlan;
-    private final KnownBudgets mKnown = new KnownBudgets();
+    private final KnownBudgets mKnownBudgets = new KnownBudgets();
     private final ShardLending mLending;
     private final PoolHomes mHomes;
-    private final int mNumber;
-    private final List<Runnable> mWaiting = new ArrayList<>();
-    private final List<Runnable> mAsked = new ArrayList<>();
+    private final int mPool;
+    private final List<Runnable> mRequestCallbacks = new ArrayList<>();
+    private final List<Runnable> mLenderCallbacks = new ArrayList<>();
 
     private final RecordExchange mExchange;
-    private boolean mGivingBack;
-    private long mExchangedMs = Long.MIN_VALUE / 2;
-    private long mServesUntilMs = Long.MIN_VALUE;
+    private boolean mReturning;
+    private long mLastExchangeMs = Long.MIN_VALUE / 2;
+    private long mDirectUntilMs = Long.MIN_VALUE;
 
     EscrowShard(
             Platform platform,
             EscrowOwner owner,
-            int number,
+            int pool,
             PoolHomes homes,
             GrantPolicy policy,
             GrantListener listener) {
         mHomes = homes;
-        mNumber = number;
+        mPool = pool;
         mListener = listener;
         mOwner = owner;
-        mPlan = new GrantPlan(owner, mKnown, mAccounts, policy, homes, number);
-        mLending = new ShardLending(mAccounts, mKnown, mPlan, homes, number);
-        long seed = (long) owner.incarnation().hashCode() + number;
-        mExchange = new RecordExchange(platform, "budgets/shard-" + number, mKnown, seed, this);
+        mPlan = new GrantPlan(owner, mKnownBudgets, mAccounts, policy, homes, pool);
+        mLending = new ShardLending(mAccounts, mKnownBudgets, mPlan, homes, pool);
+        long seed = (long) owner.incarnation().hashCode() + pool;
+        mExchange =
+                new RecordExchange(platform, "budgets/shard-" + pool, mKnownBudgets, seed, this);
     }
 
     void setPrepaid(String organisation, long tokens) {
-        mKnown.setPrepaid(organisation, tokens);
+        mKnownBudgets.setPrepaid(organisation, tokens);
         mAccounts.computeIfAbsent(organisation, o -> new EscrowAccount());
     }
 
@@ -110,54 +111,58 @@
         if (account.reserve(tokens)) {
             return Admission.RESERVED;
         }
-        boolean provable = tokens > unspent(organisation);
-        if (provable && mKnown.fresh(nowMs, organisation)) {
+        boolean exceedsUnspent = tokens > unspent(organisation);
+        if (exceedsUnspent && mKnownBudgets.isFresh(nowMs, organisation)) {
             return Admission.EXHAUSTED;
         }
-        account.want(tokens, nowMs + LOOK_MS);
+        account.addWanted(tokens, nowMs + RECHECK_MS);
         return Admission.INSUFFICIENT_HERE;
     }
 
     private long unspent(String organisation) {
-        return mKnown.unspent(organisation, mAccounts.get(organisation));
+        return mKnownBudgets.unspent(organisation, mAccounts.get(organisation));
     }
 
     /**
      * Returns whether the store can be reached and may have the tokens that a request waits for, or
      * the proof that there are none.
      */
-    boolean mayGet(long nowMs, String organisation, long tokens) {
-        if (!mExchange.versionKnown() || outOfReach(nowMs) || !exchanges(nowMs)) {
+    boolean mayObtainTokens(long nowMs, String organisation, long tokens) {
+        if (!mExchange.isVersionKnown()
+                || isStoreUnreachable(nowMs)
+                || !exchangesWithStore(nowMs)) {
             return false;
         }
-        boolean provable = tokens > unspent(organisation);
-        return mayHave(organisation, tokens) || (provable && !mKnown.fresh(nowMs, organisation));
+        boolean exceedsUnspent = tokens > unspent(organisation);
+        return storeMayHave(organisation, tokens)
+                || (exceedsUnspent && !mKnownBudgets.isFresh(nowMs, organisation));
     }
 
-    private boolean mayHave(String organisation, long tokens) {
-        return mKnown.unallocated(organisation) + mAccounts.get(organisation).free() >= tokens;
+    private boolean storeMayHave(String organisation, long tokens) {
+        return mKnownBudgets.unallocated(organisation) + mAccounts.get(organisation).free()
+                >= tokens;
     }
 
     /** Returns whether a request waits for tokens that the store may have. */
-    private boolean hasWanted(String organisation) {
-        OptionalLong least = mAccounts.get(organisation).leastWanted();
-        return least.isPresent() && mayHave(organisation, least.getAsLong());
+    private boolean mayServeWanted(String organisation) {
+        OptionalLong least = mAccounts.get(organisation).smallestWanted();
+        return least.isPresent() && storeMayHave(organisation, least.getAsLong());
     }
 
     /** Returns whether calls to the store fail, or go without an answer for too long. */
-    boolean outOfReach(long nowMs) {
-        return mExchange.failing() || mExchange.openForMs(nowMs) >= ANSWER_MS;
+    boolean isStoreUnreachable(long nowMs) {
+        return mExchange.isFailing() || mExchange.openForMs(nowMs) >= SLOW_CALL_MS;
     }
 
     /** Returns whether the store is out of reach here, or at the home that told of it last. */
-    boolean lostFor(long nowMs, String organisation) {
-        return outOfReach(nowMs) || mKnown.toldStoreLost(organisation);
+    boolean isStoreUnreachableFor(long nowMs, String organisation) {
+        return isStoreUnreachable(nowMs) || mKnownBudgets.peerReportedStoreLost(organisation);
     }
 
     /** Adds the tokens that organisations lack here while the store is out of reach. */
-    void addLacking(long nowMs, Map<String, Long> lacking) {
-        if (outOfReach(nowMs) && !mGivingBack) {
-            mLending.addLacking(nowMs, lacking);
+    void addShortfalls(long nowMs, Map<String, Long> shortfalls) {
+        if (isStoreUnreachable(nowMs) && !mReturning) {
+            mLending.addShortfalls(nowMs, shortfalls);
         }
     }
 
@@ -165,7 +170,7 @@
      * Takes out tokens for requests that will come to another VM, where the store replaces them.
      */
     long lendAhead(long nowMs, LoanRequest request) {
-        return outOfReach(nowMs) || mGivingBack ? 0 : mLending.lendAhead(nowMs, request);
+        return isStoreUnreachable(nowMs) || mReturning ? 0 : mLending.lendAhead(nowMs, request);
     }
 
     /**
@@ -173,33 +178,33 @@
      * may have more, after the next exchange with it.
      */
     void lendToWaiting(long nowMs, LoanRequest request, LongConsumer done) {
-        if (mGivingBack) {
+        if (mReturning) {
             done.accept(0);
             return;
         }
         String organisation = request.organisation();
         EscrowAccount account = mAccounts.get(organisation);
         if (request.atHome()) {
-            serveItself(nowMs);
+            allowStoreExchanges(nowMs);
         }
         boolean enough = account.free() >= request.needed();
-        if (enough || !mayGet(nowMs, organisation, request.needed())) {
+        if (enough || !mayObtainTokens(nowMs, organisation, request.needed())) {
             done.accept(mLending.lendToWaiting(nowMs, request));
             return;
         }
-        account.want(request.needed(), nowMs + LOOK_MS);
-        mAsked.add(() -> done.accept(mLending.lendToWaiting(nowMs, request)));
+        account.addWanted(request.needed(), nowMs + RECHECK_MS);
+        mLenderCallbacks.add(() -> done.accept(mLending.lendToWaiting(nowMs, request)));
         tick(nowMs);
     }
 
     /** Returns how many tokens to ask other VMs for beyond those that a request needs. */
-    long ahead(long nowMs, String organisation) {
-        return mLending.ahead(nowMs, organisation);
+    long extraTokens(long nowMs, String organisation) {
+        return mLending.extraTokens(nowMs, organisation);
     }
 
     /** Lets this VM exchange with the store for a while, since no home answers. */
-    void serveItself(long nowMs) {
-        mServesUntilMs = nowMs + SERVES_MS;
+    void allowStoreExchanges(long nowMs) {
+        mDirectUntilMs = nowMs + DIRECT_EXCHANGE_MS;
     }
 
     /**
@@ -209,20 +214,22 @@
      * @return whether it is worth waiting for the next exchange: not where the store is out of
      *     reach, or is being asked already and lacks the tokens
      */
-    boolean serveAlone(long nowMs) {
-        boolean helps = !outOfReach(nowMs) && !(exchanges(nowMs) && mExchange.versionKnown());
-        if (helps) {
-            serveItself(nowMs);
+    boolean allowStoreExchangesWithoutPeers(long nowMs) {
+        boolean allowed =
+                !isStoreUnreachable(nowMs)
+                        && !(exchangesWithStore(nowMs) && mExchange.isVersionKnown());
+        if (allowed) {
+            allowStoreExchanges(nowMs);
         }
-        return helps;
+        return allowed;
     }
 
     BudgetStatus status(long nowMs, String organisation) {
-        return mKnown.status(nowMs, organisation, outOfReach(nowMs));
+        return mKnownBudgets.status(nowMs, organisation, isStoreUnreachable(nowMs));
     }
 
-    void tell(long nowMs, String organisation, BudgetStatus status) {
-        mKnown.tell(nowMs, organisation, status);
+    void onPeerStatus(long nowMs, String organisation, BudgetStatus status) {
+        mKnownBudgets.onPeerStatus(nowMs, organisation, status);
     }
 
     long free(String organisation) {
@@ -231,7 +238,7 @@
 
     void borrow(String organisation, long tokens) {
         mAccounts.get(organisation).borrow(tokens);
-        runWaiting();
+        runCallbacks();
     }
 
     void settle(long nowMs, String organisation, long reserved, long used) {
@@ -239,39 +246,41 @@
     }
 
     void afterNextExchange(long nowMs, Runnable action) {
-        mWaiting.add(action);
+        mRequestCallbacks.add(action);
         tick(nowMs);
     }
 
-    void giveBack(long nowMs) {
-        mGivingBack = true;
+    void startReturningTokens(long nowMs) {
+        mReturning = true;
         tick(nowMs);
     }
 
-    boolean givenBack() {
-        if (!mHomes.isHome(mNumber) && !mHomes.otherHomes(mNumber).isEmpty()) {
-            return mLending.handedOver();
+    boolean hasReturnedAllTokens() {
+        if (!mHomes.isHome(mPool) && !mHomes.otherHomes(mPool).isEmpty()) {
+            return mLending.hasHandedOverAll();
         }
-        return mAccounts.values().stream().noneMatch(EscrowAccount::owesStore);
+        return mAccounts.values().stream().noneMatch(EscrowAccount::hasUnsettledWithStore);
     }
 
     /** Takes out what this VM hands to a home. */
-    List<TokenTransfer> takeGifts(long nowMs) {
-        return mLending.takeGifts(nowMs, mGivingBack, () -> !outOfReach(nowMs));
+    List<TokenTransfer> takeTransfers(long nowMs) {
+        return mLending.takeTransfers(nowMs, mReturning, () -> !isStoreUnreachable(nowMs));
     }
 
-    void takeOver(long nowMs, TokenTransfer gift) {
-        mAccounts.get(gift.organisation()).takeOver(nowMs, gift.tokens(), gift.spent());
-        runWaiting();
+    void acceptTransfer(long nowMs, TokenTransfer transfer) {
+        mAccounts
+                .get(transfer.organisation())
+                .acceptTransfer(nowMs, transfer.tokens(), transfer.spent());
+        runCallbacks();
     }
 
-    EscrowBook.AdmissionState standing(long nowMs, String organisation) {
+    EscrowBook.AdmissionState admissionState(long nowMs, String organisation) {
         return new EscrowBook.AdmissionState(
                 free(organisation),
-                mKnown.unallocated(organisation),
+                mKnownBudgets.unallocated(organisation),
                 unspent(organisation),
-                mKnown.heardAgoMs(nowMs),
-                lostFor(nowMs, organisation));
+                mKnownBudgets.storeReplyAgeMs(nowMs),
+                isStoreUnreachableFor(nowMs, organisation));
     }
 
     void addHoldings(Map<String, EscrowBook.Holding> holdings) {
@@ -281,54 +290,63 @@
     }
 
     void tick(long nowMs) {
-        if (mExchange.openForMs(nowMs) >= ASKED_WAIT_MS) {
-            run(mAsked);
+        if (mExchange.openForMs(nowMs) >= LENDER_WAIT_MS) {
+            run(mLenderCallbacks);
         }
-        if (!mKnown.organisations().isEmpty() && mExchange.ready(nowMs) && due(nowMs)) {
+        if (!mKnownBudgets.organisations().isEmpty()
+                && mExchange.isReady(nowMs)
+                && isExchangeDue(nowMs)) {
             mExchange.start(nowMs);
         }
     }
 
-    private boolean due(long nowMs) {
-        long sinceMs = nowMs - mExchangedMs;
-        if (mGivingBack) {
-            return exchanges(nowMs) && sinceMs >= RETURN_PAUSE_MS && !givenBack();
+    private boolean isExchangeDue(long nowMs) {
+        long sinceMs = nowMs - mLastExchangeMs;
+        if (mReturning) {
+            return exchangesWithStore(nowMs)
+                    && sinceMs >= RETURN_INTERVAL_MS
+                    && !hasReturnedAllTokens();
         }
-        if (!exchanges(nowMs) || sinceMs < GATHER_MS) {
+        if (!exchangesWithStore(nowMs) || sinceMs < MIN_INTERVAL_MS) {
             return false;
         }
-        boolean hopeful = mKnown.organisations().stream().anyMatch(this::hasWanted);
-        if (hopeful) {
+        boolean canServeWanted =
+                mKnownBudgets.organisations().stream().anyMatch(this::mayServeWanted);
+        if (canServeWanted) {
             return true;
         }
-        if (sinceMs < PAUSE_MS) {
+        if (sinceMs < IDLE_INTERVAL_MS) {
             return false;
         }
-        if (!mWaiting.isEmpty() || !mAsked.isEmpty()) {
+        if (!mRequestCallbacks.isEmpty() || !mLenderCallbacks.isEmpty()) {
             return true;
         }
-        boolean report = nowMs - mExchangedMs >= REPORT_MS;
-        return mKnown.organisations().stream().anyMatch(o -> wants(nowMs, o, report));
+        boolean reportDue = nowMs - mLastExchangeMs >= REPORT_INTERVAL_MS;
+        return mKnownBudgets.organisations().stream()
+                .anyMatch(o -> needsExchange(nowMs, o, reportDue));
     }
 
     /** Returns whether this VM is one of those that exchange with the store. */
-    private boolean exchanges(long nowMs) {
-        return nowMs < mServesUntilMs || mHomes.isHome(mNumber);
+    private boolean exchangesWithStore(long nowMs) {
+        return nowMs < mDirectUntilMs || mHomes.isHome(mPool);
     }
 
-    private boolean wants(long nowMs, String organisation, boolean report) {
+    private boolean needsExchange(long nowMs, String organisation, boolean reportDue) {
         EscrowAccount account = mAccounts.get(organisation);
-        if (!mKnown.isSeen()
-                || (account.looks(nowMs) && !mKnown.heardWithin(nowMs, LOOK_PAUSE_MS))) {
+        if (!mKnownBudgets.isRecordKnown()
+                || (account.isRecheckDue(nowMs)
+                        && !mKnownBudgets.repliedWithin(nowMs, RECHECK_INTERVAL_MS))) {
             return true;
         }
-        if (report && worthReporting(account, organisation)) {
+        if (reportDue && isWorthReporting(account, organisation)) {
             return true;
         }
         long target = mPlan.target(nowMs, organisation);
-        boolean low =
-                account.free() < target / 2 && mPlan.takes(organisation, target - account.free());
-        return low || mPlan.returns(organisation, target, returnable(account, target));
+        boolean belowTarget =
+                account.free() < target / 2
+                        && mPlan.isWorthTaking(organisation, target - account.free());
+        return belowTarget
+                || mPlan.isWorthReturning(organisation, target, returnableTokens(account, target));
     }
 
     /**
@@ -336,54 +354,54 @@
      * others handed over stays for their requests; homes that held such tokens wrote the same
      * record every 600 ms.
      */
-    private static long returnable(EscrowAccount account, long target) {
+    private static long returnableTokens(EscrowAccount account, long target) {
         return Math.min(account.free() - target, account.granted());
     }
 
     /** Returns whether a budget's end would be known noticeably later without a report. */
-    private boolean worthReporting(EscrowAccount account, String organisation) {
+    private boolean isWorthReporting(EscrowAccount account, String organisation) {
         long unreported = account.spent() - account.reportedSpent();
-        return unreported > 0 && unreported >= unspent(organisation) / REPORTED_PART;
+        return unreported > 0 && unreported >= unspent(organisation) / REPORT_DIVISOR;
     }
 
     @Override
-    public EscrowRecord onWriting(long nowMs) {
-        EscrowRecord next = mPlan.next(nowMs, mGivingBack);
-        for (String organisation : mKnown.organisations()) {
+    public EscrowRecord prepareRecord(long nowMs) {
+        EscrowRecord next = mPlan.nextRecord(nowMs, mReturning);
+        for (String organisation : mKnownBudgets.organisations()) {
             EscrowAccount account = mAccounts.get(organisation);
             account.setLimit(Math.min(account.limit(), mPlan.ownGrant(next, organisation)));
-            account.onWriting();
+            account.onWriteSent();
         }
         return next;
     }
 
     @Override
     public void onWritten(long nowMs) {
-        mExchangedMs = nowMs;
-        onRecord(nowMs, false);
-        mAccounts.values().forEach(EscrowAccount::forgetWanted);
-        runWaiting();
+        mLastExchangeMs = nowMs;
+        onRecordRead(nowMs, false);
+        mAccounts.values().forEach(EscrowAccount::clearWanted);
+        runCallbacks();
     }
 
     @Override
     public void onFailed(long nowMs) {
-        runWaiting();
+        runCallbacks();
     }
 
     @Override
-    public void onRecord(long nowMs, boolean writeStillOpen) {
-        mKnown.organisations().forEach(name -> adopt(nowMs, name, writeStillOpen));
+    public void onRecordRead(long nowMs, boolean writePending) {
+        mKnownBudgets.organisations().forEach(name -> applyRecord(nowMs, name, writePending));
     }
 
-    private void adopt(long nowMs, String organisation, boolean writeStillOpen) {
-        EscrowRecord.Organisation stored = mKnown.stored(organisation);
+    private void applyRecord(long nowMs, String organisation, boolean writePending) {
+        EscrowRecord.Organisation stored = mKnownBudgets.stored(organisation);
         EscrowRecord.Holder own = stored.holders().get(mOwner.incarnation());
         long granted = own == null ? 0 : own.granted();
         EscrowAccount account = mAccounts.get(organisation);
         long before = account.granted();
-        account.onStored(
+        account.onStoredGrant(
                 granted,
-                writeStillOpen ? Math.min(granted, account.limit()) : granted,
+                writePending ? Math.min(granted, account.limit()) : granted,
                 own == null ? 0 : own.spent());
         if (before == granted) {
             return;
@@ -395,18 +413,18 @@
                         before,
                         granted,
                         account.free(),
-                        mKnown.unallocated(organisation),
-                        mKnown.prepaid(organisation) - stored.spent()));
+                        mKnownBudgets.unallocated(organisation),
+                        mKnownBudgets.prepaid(organisation) - stored.spent()));
     }
 
-    private void runWaiting() {
-        run(mWaiting);
-        run(mAsked);
+    private void runCallbacks() {
+        run(mRequestCallbacks);
+        run(mLenderCallbacks);
     }
 
     private static void run(List<Runnable> actions) {
-        List<Runnable> due = List.copyOf(actions);
+        List<Runnable> pending = List.copyOf(actions);
         actions.clear();
-        due.forEach(Runnable::run);
+        pending.forEach(Runnable::run);
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/escrow/GrantPlan.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/escrow/GrantPlan.java
@@ -14,19 +14,19 @@
      * The part of a budget that each VM is taken to have used before any was: a VM that serves all
      * of an organisation is known for it after some percent of the budget.
      */
-    private static final double PRIOR_PART = 0.01;
+    private static final double PRIOR_FRACTION = 0.01;
 
     /**
      * The part of a budget that is worth an exchange by itself. Near a budget's end eight VMs
      * passed crumbs to each other, at two calls a crumb.
      */
-    private static final long LEAST_MOVED_PART = 1_000;
+    private static final long MIN_TRANSFER_DIVISOR = 1_000;
 
     /** Tokens beyond the target are returned once they exceed it by this part of it. */
-    private static final long RETURN_PART = 2;
+    private static final long RETURN_DIVISOR = 2;
 
     private final EscrowOwner mOwner;
-    private final KnownBudgets mKnown;
+    private final KnownBudgets mKnownBudgets;
     private final Map<String, EscrowAccount> mAccounts;
     private final GrantPolicy mPolicy;
     private final PoolHomes mHomes;
@@ -34,13 +34,13 @@
 
     GrantPlan(
             EscrowOwner owner,
-            KnownBudgets known,
+            KnownBudgets knownBudgets,
             Map<String, EscrowAccount> accounts,
             GrantPolicy policy,
             PoolHomes homes,
             int pool) {
         mOwner = owner;
-        mKnown = known;
+        mKnownBudgets = knownBudgets;
         mAccounts = accounts;
         mPolicy = policy;
         mHomes = homes;
@@ -48,26 +48,27 @@
     }
 
     /** Returns the record with this VM's wishes in it. */
-    EscrowRecord next(long nowMs, boolean givingBack) {
-        EscrowRecord next = mKnown.record().copy();
-        for (String organisation : mKnown.organisations()) {
-            next.organisations().put(organisation, changed(nowMs, organisation, givingBack));
+    EscrowRecord nextRecord(long nowMs, boolean returning) {
+        EscrowRecord next = mKnownBudgets.record().copy();
+        for (String organisation : mKnownBudgets.organisations()) {
+            next.organisations().put(organisation, plannedGrants(nowMs, organisation, returning));
         }
         return next;
     }
 
     /** Returns whether so many tokens are worth an exchange, and may be had. */
-    boolean takes(String organisation, long tokens) {
-        return Math.min(mKnown.unallocated(organisation), tokens) >= leastMoved(organisation);
+    boolean isWorthTaking(String organisation, long tokens) {
+        return Math.min(mKnownBudgets.unallocated(organisation), tokens)
+                >= minTransfer(organisation);
     }
 
-    private long leastMoved(String organisation) {
-        return Math.max(1, mKnown.prepaid(organisation) / LEAST_MOVED_PART);
+    private long minTransfer(String organisation) {
+        return Math.max(1, mKnownBudgets.prepaid(organisation) / MIN_TRANSFER_DIVISOR);
     }
 
     /** Returns whether so many tokens beyond the target are worth returning. */
-    boolean returns(String organisation, long target, long beyond) {
-        return beyond > target / RETURN_PART && beyond >= leastMoved(organisation);
+    boolean isWorthReturning(String organisation, long target, long surplus) {
+        return surplus > target / RETURN_DIVISOR && surplus >= minTransfer(organisation);
     }
 
     /**
@@ -79,15 +80,15 @@
         if (!mHomes.isHome(mPool)) {
             return account.wanted();
         }
-        EscrowRecord.Organisation stored = mKnown.stored(organisation);
+        EscrowRecord.Organisation stored = mKnownBudgets.stored(organisation);
         long unreported = account.spent() - account.reportedSpent();
         long unspent =
-                mKnown.prepaid(organisation)
+                mKnownBudgets.prepaid(organisation)
                         - stored.closed()
                         - (stored.spent() - stored.closedSpent())
                         - unreported;
         // Tokens that a dead VM had lent count as its own, and once more as they are spent.
-        long left = Math.max(unspent, mKnown.prepaid(organisation) - stored.granted());
+        long left = Math.max(unspent, mKnownBudgets.prepaid(organisation) - stored.granted());
         if (left <= 0) {
             return 0;
         }
@@ -96,16 +97,16 @@
                 new GrantPolicy.Inputs(
                         left,
                         homes,
-                        share(organisation, stored, homes),
+                        usageShare(organisation, stored, homes),
                         account.demandPerMs(nowMs),
                         account.wanted(),
-                        mKnown.prepaid(organisation)));
+                        mKnownBudgets.prepaid(organisation)));
     }
 
     /** Returns this VM's part in what was used; all homes alike while little was. */
-    private double share(String organisation, EscrowRecord.Organisation stored, int homes) {
+    private double usageShare(String organisation, EscrowRecord.Organisation stored, int homes) {
         EscrowAccount account = mAccounts.get(organisation);
-        double prior = PRIOR_PART * mKnown.prepaid(organisation);
+        double prior = PRIOR_FRACTION * mKnownBudgets.prepaid(organisation);
         double others = stored.spent() - stored.closedSpent() - account.reportedSpent();
         double own = Math.max(0, account.used());
         return (own + prior) / (own + others + prior * homes);
@@ -118,24 +119,25 @@
     }
 
     /** Returns an organisation's grants with this VM's wishes, reports and former lives in them. */
-    private EscrowRecord.Organisation changed(long nowMs, String organisation, boolean givingBack) {
-        EscrowRecord.Organisation stored = mKnown.stored(organisation);
+    private EscrowRecord.Organisation plannedGrants(
+            long nowMs, String organisation, boolean returning) {
+        EscrowRecord.Organisation stored = mKnownBudgets.stored(organisation);
         EscrowAccount account = mAccounts.get(organisation);
         TreeMap<String, EscrowRecord.Holder> holders = new TreeMap<>(stored.holders());
         long closed = stored.closed();
         long closedSpent = stored.closedSpent();
         for (var entry : stored.holders().entrySet()) {
-            boolean formerLife =
+            boolean formerIncarnation =
                     entry.getValue().vm().equals(mOwner.vm())
                             && !entry.getKey().equals(mOwner.incarnation());
-            if (formerLife) {
+            if (formerIncarnation) {
                 closed += entry.getValue().granted();
                 closedSpent += entry.getValue().spent();
                 holders.remove(entry.getKey());
             }
         }
-        long room = mKnown.prepaid(organisation) - stored.granted();
-        long granted = wanted(nowMs, organisation, room, givingBack);
+        long unallocated = mKnownBudgets.prepaid(organisation) - stored.granted();
+        long granted = plannedOwnGrant(nowMs, organisation, unallocated, returning);
         if (granted > 0 || account.spent() > 0) {
             holders.put(
                     mOwner.incarnation(),
@@ -146,17 +148,18 @@
         return new EscrowRecord.Organisation(closed, closedSpent, holders);
     }
 
-    private long wanted(long nowMs, String organisation, long room, boolean givingBack) {
+    private long plannedOwnGrant(
+            long nowMs, String organisation, long unallocated, boolean returning) {
         EscrowAccount account = mAccounts.get(organisation);
-        long held = ownGrant(mKnown.record(), organisation);
-        if (givingBack) {
+        long held = ownGrant(mKnownBudgets.record(), organisation);
+        if (returning) {
             return Math.max(0, Math.min(held, account.used()));
         }
         long target = target(nowMs, organisation);
-        long aim = Math.max(0, account.used() + target);
-        if (aim > held) {
-            return held + Math.max(0, Math.min(aim - held, room));
+        long desired = Math.max(0, account.used() + target);
+        if (desired > held) {
+            return held + Math.max(0, Math.min(desired - held, unallocated));
         }
-        return returns(organisation, target, held - aim) ? aim : held;
+        return isWorthReturning(organisation, target, held - desired) ? desired : held;
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/escrow/GrantPolicy.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/escrow/GrantPolicy.java
@@ -25,21 +25,21 @@
     DEMAND_HORIZON {
         @Override
         long target(Inputs in) {
-            double demand = in.demandPerMs() * HORIZON_MS * DEMAND_MARGIN;
-            double floor = in.left() / (FLOOR_PARTS * in.homes());
-            double fair = heldPart(in) * in.left() * in.share();
+            double demand = in.demandPerMs() * OUTAGE_MS * DEMAND_MARGIN;
+            double floor = in.left() / (FLOOR_DIVISOR * in.homes());
+            double fair = heldPart(in) * in.left() * in.usageShare();
             long held = (long) Math.min(Math.max(demand, floor), fair);
             return in.wanted() + held;
         }
 
         private double heldPart(Inputs in) {
             double full = Math.min(1, (double) in.left() / Math.max(1, in.prepaid()));
-            return Math.max(LEAST_HELD_PART, FULL_HELD_PART * Math.pow(full, HELD_EXPONENT));
+            return Math.max(MIN_HELD_FRACTION, FULL_HELD_FRACTION * Math.pow(full, HELD_EXPONENT));
         }
     };
 
     /** The longest cut from the store that must not refuse, in milliseconds. */
-    private static final double HORIZON_MS = 12_000;
+    private static final double OUTAGE_MS = 12_000;
 
     /**
      * Demand in a cut over that observed before it: bursts, and requests of uneven size. With 1.0 a
@@ -51,7 +51,7 @@
      * The part of a budget of which nothing is spent that all VMs together may hold, beside what
      * requests wait for.
      */
-    private static final double FULL_HELD_PART = 0.4;
+    private static final double FULL_HELD_FRACTION = 0.4;
 
     /**
      * How fast the held part shrinks with what is left. The less is left, the likelier it is that
@@ -69,7 +69,7 @@
      * the same days took 3 % more calls to the store, for the same worth; with a tenth they served
      * 84.9 %.
      */
-    private static final double LEAST_HELD_PART = 0.06;
+    private static final double MIN_HELD_FRACTION = 0.06;
 
     /**
      * Into how many parts a fair share is divided, of which one is kept without any demand, so that
@@ -78,20 +78,25 @@
      * (EscrowSimulation, six seeds); with 4 parts an early kill of all VMs took 2 % more of the
      * worth.
      */
-    private static final double FLOOR_PARTS = 8.0;
+    private static final double FLOOR_DIVISOR = 8.0;
 
     /**
      * What decides.
      *
      * @param left tokens of the whole budget that nobody has spent, as far as known
      * @param homes how many VMs share them
-     * @param share the part of what all VMs used that was used at this one
+     * @param usageShare the part of what all VMs used that was used at this one
      * @param demandPerMs tokens used at this VM in a millisecond
      * @param wanted the tokens of all requests that wait for them; 0 where none does
      * @param prepaid the whole budget
      */
     record Inputs(
-            long left, int homes, double share, double demandPerMs, long wanted, long prepaid) {}
+            long left,
+            int homes,
+            double usageShare,
+            double demandPerMs,
+            long wanted,
+            long prepaid) {}
 
     /** Returns how many unspent tokens a home should hold. */
     abstract long target(Inputs in);
--- a/coordination/src/main/java/org/hornbeampass/coordination/escrow/KnownBudgets.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/escrow/KnownBudgets.java
@@ -17,19 +17,19 @@
      * milliseconds. Reports of spending only grow, but a level that was raised may not have come
      * here while the store is out of reach.
      */
-    static final long PROOF_MS = 4_000;
+    static final long MAX_PROOF_AGE_MS = 4_000;
 
     /** Tokens of a budget of which the store has not been heard yet. */
     private static final long UNKNOWN_TOKENS = Long.MAX_VALUE / 2;
 
     /** What another VM told, and when the store said so, in milliseconds. */
-    private record Told(BudgetStatus status, long heardMs) {}
+    private record PeerReport(BudgetStatus status, long storeReplyMs) {}
 
     private final Map<String, Long> mPrepaid = new HashMap<>();
-    private final Map<String, Told> mTold = new HashMap<>();
+    private final Map<String, PeerReport> mPeerReports = new HashMap<>();
     private EscrowRecord mRecord = EscrowRecord.empty();
-    private boolean mSeen;
-    private long mHeardMs = Long.MIN_VALUE / 2;
+    private boolean mRecordKnown;
+    private long mLastReplyMs = Long.MIN_VALUE / 2;
 
     void setPrepaid(String organisation, long tokens) {
         mPrepaid.put(organisation, tokens);
@@ -52,8 +52,8 @@
     }
 
     /** Notes a word of the store. */
-    void heard(long nowMs) {
-        mHeardMs = nowMs;
+    void onStoreReply(long nowMs) {
+        mLastReplyMs = nowMs;
     }
 
     void setRecord(EscrowRecord record) {
@@ -61,57 +61,63 @@
     }
 
     /** Notes that the record is what the store holds. */
-    void seen() {
-        mSeen = true;
+    void markRecordKnown() {
+        mRecordKnown = true;
     }
 
-    boolean isSeen() {
-        return mSeen;
+    boolean isRecordKnown() {
+        return mRecordKnown;
     }
 
     /** Returns how long ago the store was heard, in milliseconds; empty where it never was. */
-    OptionalLong heardAgoMs(long nowMs) {
-        return mSeen ? OptionalLong.of(nowMs - mHeardMs) : OptionalLong.empty();
+    OptionalLong storeReplyAgeMs(long nowMs) {
+        return mRecordKnown ? OptionalLong.of(nowMs - mLastReplyMs) : OptionalLong.empty();
     }
 
     /** Returns whether the store was heard within a time in milliseconds. */
-    boolean heardWithin(long nowMs, long ms) {
-        return nowMs - mHeardMs < ms;
+    boolean repliedWithin(long nowMs, long ms) {
+        return nowMs - mLastReplyMs < ms;
     }
 
     /** Takes what another VM tells of a budget, where it is newer than what is known here. */
-    void tell(long nowMs, String organisation, BudgetStatus status) {
-        long heardMs = nowMs - status.heardAgoMs();
-        Optional<Told> before = Optional.ofNullable(mTold.get(organisation));
-        boolean older = before.isPresent() && before.get().heardMs() > heardMs;
-        if (status.heard() && !older) {
-            mTold.put(organisation, new Told(status, heardMs));
+    void onPeerStatus(long nowMs, String organisation, BudgetStatus status) {
+        long storeReplyMs = nowMs - status.heardAgoMs();
+        Optional<PeerReport> before = Optional.ofNullable(mPeerReports.get(organisation));
+        boolean older = before.isPresent() && before.get().storeReplyMs() > storeReplyMs;
+        if (status.known() && !older) {
+            mPeerReports.put(organisation, new PeerReport(status, storeReplyMs));
         }
     }
 
     /** Returns what this VM can tell others of a budget. */
     BudgetStatus status(long nowMs, String organisation, boolean storeLost) {
-        if (!mSeen) {
+        if (!mRecordKnown) {
             return BudgetStatus.UNKNOWN;
         }
         return new BudgetStatus(
-                prepaid(organisation), stored(organisation).spent(), nowMs - mHeardMs, storeLost);
+                prepaid(organisation),
+                stored(organisation).spent(),
+                nowMs - mLastReplyMs,
+                storeLost);
     }
 
     /** Returns whether what is known of a budget is new enough for a proof. */
-    boolean fresh(long nowMs, String organisation) {
-        return heardWithin(nowMs, PROOF_MS)
-                || told(organisation).filter(t -> nowMs - t.heardMs() < PROOF_MS).isPresent();
+    boolean isFresh(long nowMs, String organisation) {
+        return repliedWithin(nowMs, MAX_PROOF_AGE_MS)
+                || newerPeerReport(organisation)
+                        .filter(t -> nowMs - t.storeReplyMs() < MAX_PROOF_AGE_MS)
+                        .isPresent();
     }
 
     /** Returns whether the VM that told last of a budget had lost the store. */
-    boolean toldStoreLost(String organisation) {
-        return told(organisation).filter(t -> t.status().storeLost()).isPresent();
+    boolean peerReportedStoreLost(String organisation) {
+        return newerPeerReport(organisation).filter(t -> t.status().storeLost()).isPresent();
     }
 
     /** Returns what another VM told, where that is newer than the store's own last word. */
-    private Optional<Told> told(String organisation) {
-        return Optional.ofNullable(mTold.get(organisation)).filter(t -> t.heardMs() > mHeardMs);
+    private Optional<PeerReport> newerPeerReport(String organisation) {
+        return Optional.ofNullable(mPeerReports.get(organisation))
+                .filter(t -> t.storeReplyMs() > mLastReplyMs);
     }
 
     /**
@@ -119,12 +125,12 @@
      * levels the higher one counts, so that an older level is no proof against a raised budget.
      */
     long unspent(String organisation, EscrowAccount account) {
-        Optional<Told> told = told(organisation);
-        if (told.isPresent()) {
-            BudgetStatus status = told.get().status();
+        Optional<PeerReport> report = newerPeerReport(organisation);
+        if (report.isPresent()) {
+            BudgetStatus status = report.get().status();
             return Math.max(status.prepaid(), prepaid(organisation)) - status.spent();
         }
-        if (!mSeen) {
+        if (!mRecordKnown) {
             return UNKNOWN_TOKENS;
         }
         long unreported = Math.max(0, account.spent() - account.reportedSpent());
@@ -133,6 +139,8 @@
 
     /** Returns the tokens that nobody holds, as far as known. */
     long unallocated(String organisation) {
-        return mSeen ? prepaid(organisation) - stored(organisation).granted() : UNKNOWN_TOKENS;
+        return mRecordKnown
+                ? prepaid(organisation) - stored(organisation).granted()
+                : UNKNOWN_TOKENS;
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/escrow/LoanSearch.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/escrow/LoanSearch.java
@@ -30,16 +30,16 @@
     static final long TIMEOUT_MS = 250;
 
     /** How many VMs are asked: eight answer within some 30 ms, where messages take 1.4 ms. */
-    private static final int MOST_ASKED = 8;
+    private static final int MAX_PEERS = 8;
 
     private final EscrowBook mBook;
     private final PeerNetwork mPeers;
     private final String mOrganisation;
-    private final Deque<String> mToAsk;
-    private final BiConsumer<Long, LoanSearch> mOver;
-    private final List<Runnable> mWaiting = new ArrayList<>();
-    private final Set<String> mSilent = new HashSet<>();
-    private Optional<String> mLender = Optional.empty();
+    private final Deque<String> mPeersToAsk;
+    private final BiConsumer<Long, LoanSearch> mOnEnded;
+    private final List<Runnable> mCallbacks = new ArrayList<>();
+    private final Set<String> mUnresponsive = new HashSet<>();
+    private Optional<String> mLastLender = Optional.empty();
     private int mHomesToAsk;
     private long mNeeded;
 
@@ -47,19 +47,19 @@
             EscrowBook book,
             PeerNetwork peers,
             String organisation,
-            List<String> toAsk,
+            List<String> peersToAsk,
             int homes,
-            BiConsumer<Long, LoanSearch> over) {
+            BiConsumer<Long, LoanSearch> onEnded) {
         mBook = book;
         mPeers = peers;
         mOrganisation = organisation;
-        mToAsk = new ArrayDeque<>(toAsk);
+        mPeersToAsk = new ArrayDeque<>(peersToAsk);
         mHomesToAsk = homes;
-        mOver = over;
+        mOnEnded = onEnded;
     }
 
     /** Returns whom to ask: homes, then whoever lent last, then others drawn at random. */
-    static List<String> order(
+    static List<String> peerOrder(
             List<String> homes, List<String> vms, String lastLender, RandomGenerator random) {
         List<String> rest = new ArrayList<>(vms);
         rest.removeAll(homes);
@@ -67,65 +67,65 @@
         if (rest.remove(lastLender)) {
             order.add(lastLender);
         }
-        while (!rest.isEmpty() && order.size() < MOST_ASKED) {
+        while (!rest.isEmpty() && order.size() < MAX_PEERS) {
             order.add(rest.remove(random.nextInt(rest.size())));
         }
         return order;
     }
 
     /** Adds a request that waits. */
-    void join(long tokens, Runnable done) {
+    void addRequest(long tokens, Runnable done) {
         mNeeded += tokens;
-        mWaiting.add(done);
+        mCallbacks.add(done);
     }
 
     void start(long nowMs) {
-        askNext(nowMs);
+        askNextPeer(nowMs);
     }
 
     /** Returns whether all have what they need. */
-    boolean found() {
-        return missing() <= 0;
+    boolean isSatisfied() {
+        return missingTokens() <= 0;
     }
 
     /** Returns who lent last. */
-    Optional<String> lender() {
-        return mLender;
+    Optional<String> lastLender() {
+        return mLastLender;
     }
 
     /** Returns who did not answer. */
-    Set<String> silent() {
-        return mSilent;
+    Set<String> unresponsivePeers() {
+        return mUnresponsive;
     }
 
-    private long missing() {
+    private long missingTokens() {
         return mNeeded - mBook.free(mOrganisation);
     }
 
-    private void askNext(long nowMs) {
-        if (found() || mToAsk.isEmpty()) {
-            mOver.accept(nowMs, this);
-            mWaiting.forEach(Runnable::run);
+    private void askNextPeer(long nowMs) {
+        if (isSatisfied() || mPeersToAsk.isEmpty()) {
+            mOnEnded.accept(nowMs, this);
+            mCallbacks.forEach(Runnable::run);
             return;
         }
-        String peer = mToAsk.removeFirst();
+        String peer = mPeersToAsk.removeFirst();
         boolean atHome = mHomesToAsk-- > 0;
-        long tokens = missing() + mBook.ahead(nowMs, mOrganisation);
+        long tokens = missingTokens() + mBook.extraTokens(nowMs, mOrganisation);
         mPeers.request(
                 nowMs,
                 peer,
-                new LoanRequest(mOrganisation, missing(), tokens, atHome),
+                new LoanRequest(mOrganisation, missingTokens(), tokens, atHome),
                 TIMEOUT_MS,
-                (t, reply) -> take(t, peer, reply));
+                (t, reply) -> onReply(t, peer, reply));
     }
 
-    private void take(long nowMs, String peer, Either<Failure, PeerMessage> reply) {
+    private void onReply(long nowMs, String peer, Either<Failure, PeerMessage> reply) {
         if (reply.isLeft()) {
-            mSilent.add(peer);
+            mUnresponsive.add(peer);
         } else if (reply.get() instanceof LoanReply loan) {
-            mLender = loan.tokens() > 0 ? Optional.of(peer) : mLender;
-            mBook.onLoan(nowMs, loan);
+            mLastLender = loan.tokens() > 0 ? Optional.of(peer) : mLastLender;
+            mBook.onLoanReply(nowMs, loan);
         }
-        askNext(nowMs);
+        askNextPeer(nowMs);
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/escrow/MemberHomes.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/escrow/MemberHomes.java
@@ -31,20 +31,20 @@
     private final Map<Integer, List<Member>> mHomes = new HashMap<>();
     private List<Member> mMembers = List.of();
     private Optional<Member> mSelf = Optional.empty();
-    private boolean mKnown;
+    private boolean mMembersKnown;
 
     /**
      * Takes the members of the fleet.
      *
      * @param self this VM
      * @param members all VMs that are up or may be, this one included
-     * @param known whether they are known well enough to hold a pool by; a VM that has just started
-     *     and knows of few others would take tokens that those hold already
+     * @param membersKnown whether they are known well enough to hold a pool by; a VM that has just
+     *     started and knows of few others would take tokens that those hold already
      */
-    public void update(Member self, List<Member> members, boolean known) {
-        mKnown = known;
-        boolean same = mSelf.equals(Optional.of(self)) && mMembers.equals(members);
-        if (same) {
+    public void update(Member self, List<Member> members, boolean membersKnown) {
+        mMembersKnown = membersKnown;
+        boolean unchanged = mSelf.equals(Optional.of(self)) && mMembers.equals(members);
+        if (unchanged) {
             return;
         }
         mSelf = Optional.of(self);
@@ -54,12 +54,12 @@
 
     @Override
     public boolean isHome(int pool) {
-        return mKnown && homes(pool).stream().anyMatch(this::isSelf);
+        return mMembersKnown && homesOf(pool).stream().anyMatch(this::isSelf);
     }
 
     @Override
     public int homeCount(int pool) {
-        return Math.max(1, homes(pool).size());
+        return Math.max(1, homesOf(pool).size());
     }
 
     /** Those of the own failure domain come first, the others in an order of this VM's own. */
@@ -67,7 +67,7 @@
     public List<String> otherHomes(int pool) {
         List<String> near = new ArrayList<>();
         List<String> far = new ArrayList<>();
-        for (Member each : homes(pool)) {
+        for (Member each : homesOf(pool)) {
             if (!isSelf(each)) {
                 boolean sameDomain = each.domain().equals(mSelf.orElseThrow().domain());
                 (sameDomain ? near : far).add(each.name());
@@ -87,12 +87,12 @@
         return mSelf.filter(s -> s.name().equals(member.name())).isPresent();
     }
 
-    private List<Member> homes(int pool) {
-        return mHomes.computeIfAbsent(pool, this::choose);
+    private List<Member> homesOf(int pool) {
+        return mHomes.computeIfAbsent(pool, this::chooseHomes);
     }
 
     /** Returns the members that rank highest for a pool, of each failure domain one at first. */
-    private List<Member> choose(int pool) {
+    private List<Member> chooseHomes(int pool) {
         Map<String, Member> byName = new TreeMap<>();
         mMembers.forEach(m -> byName.put(m.name(), m));
         List<String> ranked = RendezvousHash.choose("pool-" + pool, byName.keySet(), byName.size());
--- a/coordination/src/main/java/org/hornbeampass/coordination/escrow/RecordExchange.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/escrow/RecordExchange.java
@@ -18,12 +18,12 @@
  */
 final class RecordExchange {
     /** What an exchange is made for. */
-    interface Side {
+    interface Handler {
         /** Returns the record to write, once what the store holds is known. */
-        EscrowRecord onWriting(long nowMs);
+        EscrowRecord prepareRecord(long nowMs);
 
         /** Hears that the known record is what the store holds, before the next write. */
-        void onRecord(long nowMs, boolean writeStillOpen);
+        void onRecordRead(long nowMs, boolean writePending);
 
         /** Hears that the store holds what was written. */
         void onWritten(long nowMs);
@@ -43,47 +43,48 @@
 
     private final Platform mPlatform;
     private final String mKey;
-    private final KnownBudgets mKnown;
+    private final KnownBudgets mKnownBudgets;
     private final SplittableRandom mRandom;
-    private final Side mSide;
-    private boolean mOpen;
-    private boolean mPeeking;
-    private long mOpenedMs;
+    private final Handler mHandler;
+    private boolean mCallOpen;
+    private boolean mStaleReadOpen;
+    private long mCallStartMs;
     private boolean mVersionKnown;
     private boolean mFailing;
     private boolean mMustCreate;
     private int mConflicts;
     private long mVersion;
-    private long mUncertainBase = -1;
-    private EscrowRecord mWritten = EscrowRecord.empty();
+    private long mUncertainBaseVersion = -1;
+    private EscrowRecord mSentRecord = EscrowRecord.empty();
     private long mNotBeforeMs = Long.MIN_VALUE;
 
-    RecordExchange(Platform platform, String key, KnownBudgets known, long seed, Side side) {
+    RecordExchange(
+            Platform platform, String key, KnownBudgets knownBudgets, long seed, Handler handler) {
         mPlatform = platform;
         mKey = key;
-        mKnown = known;
+        mKnownBudgets = knownBudgets;
         mRandom = new SplittableRandom(seed);
-        mSide = side;
+        mHandler = handler;
     }
 
     /** Returns whether an exchange can be started. */
-    boolean ready(long nowMs) {
-        return !mOpen && nowMs >= mNotBeforeMs;
+    boolean isReady(long nowMs) {
+        return !mCallOpen && nowMs >= mNotBeforeMs;
     }
 
     /** Returns whether the last call failed. */
-    boolean failing() {
+    boolean isFailing() {
         return mFailing;
     }
 
     /** Returns whether the record was read, and no call has failed since. */
-    boolean versionKnown() {
+    boolean isVersionKnown() {
         return mVersionKnown;
     }
 
     /** Returns for how long a call has been open, in milliseconds; 0 where none is. */
     long openForMs(long nowMs) {
-        return mOpen ? nowMs - mOpenedMs : 0;
+        return mCallOpen ? nowMs - mCallStartMs : 0;
     }
 
     /** Reads the record, and writes it as its side wants it. */
@@ -92,14 +93,14 @@
             submit(nowMs, new PlatformCall.Get(mKey));
             return;
         }
-        mPeeking = true;
+        mStaleReadOpen = true;
         submit(nowMs, new PlatformCall.Get(mKey, true));
     }
 
     private void write(long nowMs) {
-        mWritten = mSide.onWriting(nowMs);
-        mUncertainBase = mVersion;
-        String value = Json.encode(mWritten);
+        mSentRecord = mHandler.prepareRecord(nowMs);
+        mUncertainBaseVersion = mVersion;
+        String value = Json.encode(mSentRecord);
         submit(
                 nowMs,
                 mMustCreate
@@ -108,15 +109,15 @@
     }
 
     private void submit(long nowMs, PlatformCall call) {
-        mOpen = true;
-        mOpenedMs = nowMs;
-        mPlatform.submit(nowMs, call, this::replied);
+        mCallOpen = true;
+        mCallStartMs = nowMs;
+        mPlatform.submit(nowMs, call, this::onReply);
     }
 
-    private void replied(long nowMs, PlatformReply reply) {
-        mOpen = false;
-        boolean peeked = mPeeking;
-        mPeeking = false;
+    private void onReply(long nowMs, PlatformReply reply) {
+        mCallOpen = false;
+        boolean staleRead = mStaleReadOpen;
+        mStaleReadOpen = false;
         mFailing =
                 reply instanceof PlatformReply.Throttled
                         || reply instanceof PlatformReply.Unavailable;
@@ -124,17 +125,17 @@
             onWritten(nowMs, written.version());
             return;
         }
-        if (peeked && !mFailing) {
-            takePeek(reply);
+        if (staleRead && !mFailing) {
+            adoptStaleRead(reply);
             write(nowMs);
             return;
         }
         if (reply instanceof PlatformReply.Found found) {
-            take(nowMs, found.object());
+            adoptAndWrite(nowMs, found.object());
             return;
         }
         if (reply instanceof PlatformReply.Missing) {
-            mKnown.heard(nowMs);
+            mKnownBudgets.onStoreReply(nowMs);
             mVersionKnown = true;
             mMustCreate = true;
             write(nowMs);
@@ -147,29 +148,29 @@
         }
         mVersionKnown = false;
         mNotBeforeMs = nowMs + RETRY_MS;
-        mSide.onFailed(nowMs);
+        mHandler.onFailed(nowMs);
     }
 
     private void onWritten(long nowMs, long version) {
-        mUncertainBase = -1;
+        mUncertainBaseVersion = -1;
         mMustCreate = false;
         mConflicts = 0;
         mVersion = version;
-        know(nowMs, mWritten);
-        mSide.onWritten(nowMs);
+        setKnownRecord(nowMs, mSentRecord);
+        mHandler.onWritten(nowMs);
     }
 
-    private void know(long nowMs, EscrowRecord record) {
-        mKnown.heard(nowMs);
-        mKnown.setRecord(record);
-        mKnown.seen();
+    private void setKnownRecord(long nowMs, EscrowRecord record) {
+        mKnownBudgets.onStoreReply(nowMs);
+        mKnownBudgets.setRecord(record);
+        mKnownBudgets.markRecordKnown();
     }
 
     /** Writes once more at the version that another VM has written, and later where that fails. */
     private void onConflict(long nowMs, StoredObject current) {
         mConflicts++;
         if (mConflicts == 1) {
-            take(nowMs, current);
+            adoptAndWrite(nowMs, current);
             return;
         }
         adoptVersion(nowMs, current);
@@ -181,7 +182,7 @@
      * that out only if it was not. No limit changes by it, nor does it count as news. A write at a
      * version that another VM has replaced costs two calls; more than half of them did.
      */
-    private void takePeek(PlatformReply reply) {
+    private void adoptStaleRead(PlatformReply reply) {
         boolean newer =
                 reply instanceof PlatformReply.Found found && found.object().version() > mVersion;
         if (!newer) {
@@ -190,7 +191,7 @@
         StoredObject object = ((PlatformReply.Found) reply).object();
         mVersion = object.version();
         mMustCreate = false;
-        mKnown.setRecord(decode(object));
+        mKnownBudgets.setRecord(decode(object));
     }
 
     private EscrowRecord decode(StoredObject object) {
@@ -199,7 +200,7 @@
     }
 
     /** Takes the record in as it is, and goes on with a write where one is due. */
-    private void take(long nowMs, StoredObject object) {
+    private void adoptAndWrite(long nowMs, StoredObject object) {
         adoptVersion(nowMs, object);
         write(nowMs);
     }
@@ -207,7 +208,7 @@
     private void adoptVersion(long nowMs, StoredObject object) {
         mVersionKnown = true;
         mVersion = object.version();
-        know(nowMs, decode(object));
-        mSide.onRecord(nowMs, mVersion == mUncertainBase);
+        setKnownRecord(nowMs, decode(object));
+        mHandler.onRecordRead(nowMs, mVersion == mUncertainBaseVersion);
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/escrow/ShardLending.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/escrow/ShardLending.java
@@ -16,47 +16,47 @@
      * enough that a busy organisation doesn't ask a home for each request, short enough that a
      * hundred VMs hold little of a budget together.
      */
-    private static final double FLOAT_MS = 1_000;
+    private static final double KEPT_DEMAND_MS = 1_000;
 
     /**
      * The part of a budget that is worth handing back by itself. A hundred VMs that each keep less
      * hold half a percent together.
      */
-    private static final long LEAST_RETURNED_PART = 20_000;
+    private static final long MIN_RETURN_DIVISOR = 20_000;
 
     /** How often a VM that is no home hands back what it does not need, in milliseconds. */
-    private static final long HAND_OVER_MS = 500;
+    private static final long HAND_OVER_INTERVAL_MS = 500;
 
     private final Map<String, EscrowAccount> mAccounts;
-    private final KnownBudgets mKnown;
+    private final KnownBudgets mKnownBudgets;
     private final GrantPlan mPlan;
     private final PoolHomes mHomes;
     private final int mPool;
-    private long mHandedOverMs = Long.MIN_VALUE / 2;
+    private long mLastHandOverMs = Long.MIN_VALUE / 2;
 
     ShardLending(
             Map<String, EscrowAccount> accounts,
-            KnownBudgets known,
+            KnownBudgets knownBudgets,
             GrantPlan plan,
             PoolHomes homes,
             int pool) {
         mAccounts = accounts;
-        mKnown = known;
+        mKnownBudgets = knownBudgets;
         mPlan = plan;
         mHomes = homes;
         mPool = pool;
     }
 
     /** Adds the tokens that organisations lack at a home that has lost the store. */
-    void addLacking(long nowMs, Map<String, Long> lacking) {
+    void addShortfalls(long nowMs, Map<String, Long> shortfalls) {
         if (!mHomes.isHome(mPool)) {
             return;
         }
-        for (String organisation : mKnown.organisations()) {
+        for (String organisation : mKnownBudgets.organisations()) {
             EscrowAccount account = mAccounts.get(organisation);
             long target = Math.max(account.wanted(), mPlan.target(nowMs, organisation));
             if (account.free() < target / 2) {
-                lacking.put(organisation, target - account.free());
+                shortfalls.put(organisation, target - account.free());
             }
         }
     }
@@ -81,54 +81,58 @@
         return lend(nowMs, request, Math.max(Math.min(free, request.needed()), free / 2));
     }
 
-    private long lend(long nowMs, LoanRequest request, long spare) {
-        long lent = Math.max(0, Math.min(request.tokens(), spare));
+    private long lend(long nowMs, LoanRequest request, long available) {
+        long lent = Math.max(0, Math.min(request.tokens(), available));
         mAccounts.get(request.organisation()).lendToRequests(nowMs, lent);
         return lent;
     }
 
     /** Returns how many tokens a request's VM asks for beyond those needed. */
-    long ahead(long nowMs, String organisation) {
-        return (long) (mAccounts.get(organisation).demandPerMs(nowMs) * FLOAT_MS);
+    long extraTokens(long nowMs, String organisation) {
+        return (long) (mAccounts.get(organisation).demandPerMs(nowMs) * KEPT_DEMAND_MS);
     }
 
     /**
      * Takes out what this VM does not need and hands to a home, where it is time: its surplus and
      * the reporting of what it spent; all that it has where it shuts down.
      */
-    List<TokenTransfer> takeGifts(long nowMs, boolean givingBack, BooleanSupplier storeHelps) {
-        boolean early = nowMs - mHandedOverMs < HAND_OVER_MS && !givingBack;
-        if (early || mHomes.otherVms().isEmpty()) {
+    List<TokenTransfer> takeTransfers(
+            long nowMs, boolean returning, BooleanSupplier storeReachable) {
+        boolean tooEarly = nowMs - mLastHandOverMs < HAND_OVER_INTERVAL_MS && !returning;
+        if (tooEarly || mHomes.otherVms().isEmpty()) {
             return List.of();
         }
         boolean home = mHomes.isHome(mPool);
-        if (home && (!givingBack || storeHelps.getAsBoolean())) {
+        if (home && (!returning || storeReachable.getAsBoolean())) {
             return List.of();
         }
-        mHandedOverMs = nowMs;
-        List<TokenTransfer> gifts = new ArrayList<>();
-        for (String organisation : mKnown.organisations()) {
-            TokenTransfer gift = gift(nowMs, organisation, givingBack);
-            if (gift.tokens() > 0 || gift.spent() > 0) {
-                gifts.add(gift);
+        mLastHandOverMs = nowMs;
+        List<TokenTransfer> transfers = new ArrayList<>();
+        for (String organisation : mKnownBudgets.organisations()) {
+            TokenTransfer transfer = takeTransfer(nowMs, organisation, returning);
+            if (transfer.tokens() > 0 || transfer.spent() > 0) {
+                transfers.add(transfer);
             }
         }
-        return gifts;
+        return transfers;
     }
 
-    private TokenTransfer gift(long nowMs, String organisation, boolean givingBack) {
+    private TokenTransfer takeTransfer(long nowMs, String organisation, boolean returning) {
         EscrowAccount account = mAccounts.get(organisation);
-        long keep = givingBack ? 0 : ahead(nowMs, organisation);
-        long surplus = account.free() - keep;
-        long least =
-                givingBack ? 1 : Math.max(1, mKnown.prepaid(organisation) / LEAST_RETURNED_PART);
-        long tokens = surplus >= least ? surplus : 0;
+        long kept = returning ? 0 : extraTokens(nowMs, organisation);
+        long surplus = account.free() - kept;
+        long minimum =
+                returning
+                        ? 1
+                        : Math.max(1, mKnownBudgets.prepaid(organisation) / MIN_RETURN_DIVISOR);
+        long tokens = surplus >= minimum ? surplus : 0;
         account.lend(tokens);
-        return new TokenTransfer(organisation, tokens, account.handOverSpent());
+        return new TokenTransfer(organisation, tokens, account.takeUnreportedSpent());
     }
 
     /** Returns whether a VM that is no home has handed over all that it can. */
-    boolean handedOver() {
-        return mAccounts.values().stream().allMatch(a -> a.free() <= 0 && a.unwrittenSpent() == 0);
+    boolean hasHandedOverAll() {
+        return mAccounts.values().stream()
+                .allMatch(a -> a.free() <= 0 && a.neverWrittenSpent() == 0);
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/state/budget/BudgetRecord.java
+++ b/coordination/src/main/java/org/hornbeampass/state/budget/BudgetRecord.java
@@ -85,7 +85,7 @@
     /** Returns the record with other holders, {@code paid} lowered as far as the target allows. */
     public BudgetRecord withHolders(Map<HolderId, HolderRecord> changed, HolderRecord nowClosed) {
         return new BudgetRecord(paid, target, changed, nowClosed, openTopUps, changes)
-                .settleTarget();
+                .lowerTowardsTarget();
     }
 
     /** Returns the record with a top-up added, its id noted. */
@@ -95,31 +95,31 @@
         OptionalLong raised =
                 target.isPresent() ? OptionalLong.of(target.getAsLong() + tokens) : target;
         return new BudgetRecord(paid + tokens, raised, holders, closed, ids, changes)
-                .settleTarget();
+                .lowerTowardsTarget();
     }
 
     /** Returns the record without the ids of top-ups whose own objects say that they are added. */
-    public BudgetRecord withoutTopUps(Set<String> folded) {
+    public BudgetRecord withoutTopUps(Set<String> recorded) {
         Set<String> ids = new TreeSet<>(openTopUps);
-        ids.removeAll(folded);
+        ids.removeAll(recorded);
         return new BudgetRecord(paid, target, holders, closed, ids, changes);
     }
 
     /** Returns the record with {@code paid} set, or lowered as far as what is drawn allows. */
     public BudgetRecord withPaid(long newPaid, String change) {
-        List<String> noted = new java.util.ArrayList<>(changes);
-        noted.add(change);
-        List<String> kept = noted.subList(Math.max(0, noted.size() - MAX_CHANGES), noted.size());
+        List<String> all = new java.util.ArrayList<>(changes);
+        all.add(change);
+        List<String> kept = all.subList(Math.max(0, all.size() - MAX_CHANGES), all.size());
         return new BudgetRecord(paid, OptionalLong.of(newPaid), holders, closed, openTopUps, kept)
-                .settleTarget();
+                .lowerTowardsTarget();
     }
 
-    private BudgetRecord settleTarget() {
+    private BudgetRecord lowerTowardsTarget() {
         if (target.isEmpty()) {
             return this;
         }
-        long now = Math.max(target.getAsLong(), drawn());
-        OptionalLong left = now == target.getAsLong() ? OptionalLong.empty() : target;
-        return new BudgetRecord(now, left, holders, closed, openTopUps, changes);
+        long lowered = Math.max(target.getAsLong(), drawn());
+        OptionalLong remaining = lowered == target.getAsLong() ? OptionalLong.empty() : target;
+        return new BudgetRecord(lowered, remaining, holders, closed, openTopUps, changes);
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/state/budget/HolderId.java
+++ b/coordination/src/main/java/org/hornbeampass/state/budget/HolderId.java
@@ -25,12 +25,12 @@
     /** Parses the form {@code name~incarnation.generation} that {@link #toString()} gives. */
     @JsonCreator(mode = JsonCreator.Mode.DELEGATING)
     public static HolderId parse(String text) {
-        int cut = text.lastIndexOf('.');
-        if (cut < 0) {
+        int dot = text.lastIndexOf('.');
+        if (dot < 0) {
             throw new IllegalArgumentException("holder \"" + text + "\" lacks '.generation'");
         }
         return new HolderId(
-                VmId.parse(text.substring(0, cut)), Integer.parseInt(text.substring(cut + 1)));
+                VmId.parse(text.substring(0, dot)), Integer.parseInt(text.substring(dot + 1)));
     }
 
     /** Returns the holder under which the VM goes on after this one was closed. */
--- a/coordination/src/test/java/org/hornbeampass/coordination/escrow/EscrowBookTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/escrow/EscrowBookTest.java
@@ -15,7 +15,7 @@
             RandomizedEscrowFleet world = new RandomizedEscrowFleet(seed, 1 + seed % 5, 3_000);
             for (int step = 0; step < STEPS; step++) {
                 world.step();
-                assertThat(world.drawn())
+                assertThat(world.usedOrReserved())
                         .as("seed %d, step %d", seed, step)
                         .isLessThanOrEqualTo(world.prepaid());
             }
@@ -23,107 +23,107 @@
     }
 
     @Test
-    void homesThatMoveAtRandom_neverOverspendNorProveWhatIsNotSo() {
+    void randomlyChangingHomes_neverOverspendOrReportFalseExhaustion() {
         for (int seed = 0; seed < SEEDS; seed++) {
             RandomizedEscrowFleet world = new RandomizedEscrowFleet(seed, 1 + seed % 5, 3_000);
-            world.moveHomes();
+            world.randomizeHomes();
             for (int step = 0; step < STEPS; step++) {
                 world.step();
-                assertThat(world.drawn())
+                assertThat(world.usedOrReserved())
                         .as("seed %d, step %d", seed, step)
                         .isLessThanOrEqualTo(world.prepaid());
             }
-            assertThat(world.falseProofs()).as("seed %d", seed).isZero();
+            assertThat(world.falseExhaustions()).as("seed %d", seed).isZero();
         }
     }
 
     @Test
-    void newBook_reservesNothingBeforeItsFirstGrant() {
+    void newBook_reservesNothingBeforeFirstGrant() {
         RandomizedEscrowFleet world = new RandomizedEscrowFleet(1, 2, 10_000);
         assertThat(world.request(0, 100)).isEqualTo(Admission.INSUFFICIENT_HERE);
-        world.calm(2_000);
+        world.runWithoutFaults(2_000);
         assertThat(world.request(0, 100)).isEqualTo(Admission.RESERVED);
     }
 
     @Test
-    void smallBudget_isReservedAlmostWholeAndNeverBeyond() {
+    void smallBudget_isAlmostFullyReservableAndNeverExceeded() {
         RandomizedEscrowFleet world = new RandomizedEscrowFleet(1, 2, 1_000);
-        world.calm(2_000);
+        world.runWithoutFaults(2_000);
         int admitted = 0;
         for (int i = 0; i < 400; i++) {
             if (world.request(i % 2, 10) == Admission.RESERVED) {
                 admitted++;
             }
-            world.calm(100);
+            world.runWithoutFaults(100);
         }
         assertThat(admitted).isGreaterThanOrEqualTo(97);
-        assertThat(world.drawn()).isLessThanOrEqualTo(1_000);
+        assertThat(world.usedOrReserved()).isLessThanOrEqualTo(1_000);
     }
 
     @Test
-    void usedUpBudget_isProvedUsedUpOnAllVms() {
-        RandomizedEscrowFleet world = usedUp();
+    void usedUpBudget_isReportedExhausted() {
+        RandomizedEscrowFleet world = fleetWithUsedUpBudget();
         assertThat(world.request(0, 100)).isEqualTo(Admission.EXHAUSTED);
     }
 
     @Test
-    void raisedBudget_isNotProvedUsedUpByOldReports() {
-        RandomizedEscrowFleet world = usedUp();
-        world.raise(1_000);
+    void raisedBudget_isNotReportedExhaustedFromOldReports() {
+        RandomizedEscrowFleet world = fleetWithUsedUpBudget();
+        world.raiseBudget(1_000);
         assertThat(world.request(0, 100)).isNotEqualTo(Admission.EXHAUSTED);
         // As long as a request may wait: what it asked for is granted, and not held for later.
-        world.calm(150);
+        world.runWithoutFaults(150);
         assertThat(world.request(0, 100)).isEqualTo(Admission.RESERVED);
     }
 
-    private static RandomizedEscrowFleet usedUp() {
+    private static RandomizedEscrowFleet fleetWithUsedUpBudget() {
         RandomizedEscrowFleet world = new RandomizedEscrowFleet(1, 2, 1_000);
-        world.calm(2_000);
+        world.runWithoutFaults(2_000);
         for (int i = 0; i < 400; i++) {
             world.request(i % 2, 10);
-            world.calm(100);
+            world.runWithoutFaults(100);
         }
-        world.useUp(0);
-        world.useUp(1);
-        world.calm(8_000);
+        world.finishAllUsingAll(0);
+        world.finishAllUsingAll(1);
+        world.runWithoutFaults(8_000);
         return world;
     }
 
     @Test
-    void killedVm_losesItsUnspentGrantForEver() {
+    void killedVm_losesUnspentGrantPermanently() {
         RandomizedEscrowFleet world = new RandomizedEscrowFleet(1, 2, 10_000);
-        world.calm(2_000);
-        long before = world.free();
-        world.kill(0);
-        world.calm(2_000);
+        world.runWithoutFaults(2_000);
+        long before = world.freeTokens();
+        world.restart(0);
+        world.runWithoutFaults(2_000);
         assertThat(before).isPositive();
-        assertThat(world.drawn() + world.free()).isLessThan(10_000);
+        assertThat(world.usedOrReserved() + world.freeTokens()).isLessThan(10_000);
     }
 
     @Test
-    void vmThatShutsDown_givesItsGrantBack() {
+    void vmShuttingDown_returnsItsGrant() {
         RandomizedEscrowFleet world = new RandomizedEscrowFleet(1, 2, 10_000);
-        world.calm(2_000);
-        long before = world.free();
-        world.giveBack(0);
-        world.calm(500);
-        assertThat(world.free()).isLessThan(before);
-        world.kill(0);
-        world.calm(4_000);
-        assertThat(world.free()).isEqualTo(before);
+        world.runWithoutFaults(2_000);
+        long before = world.freeTokens();
+        world.startReturningTokens(0);
+        world.runWithoutFaults(500);
+        assertThat(world.freeTokens()).isLessThan(before);
+        world.restart(0);
+        world.runWithoutFaults(4_000);
+        assertThat(world.freeTokens()).isEqualTo(before);
     }
 
     @Test
-    void vmThatShutsDown_returnsWhatRunningRequestsLeave() {
+    void vmShuttingDown_returnsTokensUnusedByRunningRequests() {
         RandomizedEscrowFleet world = new RandomizedEscrowFleet(1, 2, 10_000);
-        world.calm(2_000);
+        world.runWithoutFaults(2_000);
         assertThat(world.request(0, 200)).isEqualTo(Admission.RESERVED);
-        world.giveBack(0);
-        world.calm(2_000);
-        world.end(0, 50);
-        world.calm(2_000);
-        world.kill(0);
-        world.calm(4_000);
-        assertThat(world.left(0)).isEqualTo(10_000 - 50);
+        world.startReturningTokens(0);
+        world.runWithoutFaults(2_000);
+        world.finishAll(0, 50);
+        world.runWithoutFaults(2_000);
+        world.restart(0);
+        world.runWithoutFaults(4_000);
+        assertThat(world.unspentTokens(0)).isEqualTo(10_000 - 50);
     }
 }
--- a/coordination/src/test/java/org/hornbeampass/coordination/escrow/EscrowLoansTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/escrow/EscrowLoansTest.java
@@ -28,27 +28,29 @@
 
     private final MemoryPlatform mStore = new MemoryPlatform();
     private int mWrites;
-    private final EscrowBook mLender = book("lender", this::count);
+    private final EscrowBook mLender = book("lender", this::submitCounted);
     private int mCalls;
-    private boolean mTurnedAway;
+    private boolean mStoreThrottled;
     private int mRequests;
-    private final List<String> mGiftsTo = new ArrayList<>();
-    private final Platform mLink =
+    private final List<String> mTransferReceivers = new ArrayList<>();
+    private final Platform mBorrowerStore =
             (nowMs, call, done) -> {
                 mCalls++;
-                if (mTurnedAway) {
+                if (mStoreThrottled) {
                     done.accept(nowMs, new PlatformReply.Throttled());
                 } else {
                     mStore.submit(nowMs, call, done);
                 }
             };
-    private final EscrowBook mBorrower = book("borrower", mLink);
+    private final EscrowBook mBorrower = book("borrower", mBorrowerStore);
     private final EscrowLoans mLenderLoans =
-            new EscrowLoans(mLender, new ToLender(), homes(List.of()), new Random(1));
-    private final EscrowLoans mLoans =
-            new EscrowLoans(mBorrower, new ToLender(), homes(List.of("lender")), new Random(1));
+            new EscrowLoans(mLender, new LenderNetwork(), homes(List.of()), new Random(1));
+    private final EscrowLoans mBorrowerLoans =
+            new EscrowLoans(
+                    mBorrower, new LenderNetwork(), homes(List.of("lender")), new Random(1));
 
-    private void count(long nowMs, PlatformCall call, BiConsumer<Long, PlatformReply> done) {
+    private void submitCounted(
+            long nowMs, PlatformCall call, BiConsumer<Long, PlatformReply> done) {
         mWrites += call.kind() == PlatformCall.Kind.WRITE ? 1 : 0;
         mStore.submit(nowMs, call, done);
     }
@@ -71,11 +73,11 @@
     }
 
     /** Hands requests straight to the lender. */
-    private final class ToLender implements PeerNetwork {
+    private final class LenderNetwork implements PeerNetwork {
         @Override
         public void send(String vmName, PeerMessage message) {
-            mGiftsTo.add(vmName);
-            mLender.accept(0, (TokenTransfer) message);
+            mTransferReceivers.add(vmName);
+            mLender.onTransfer(0, (TokenTransfer) message);
         }
 
         @Override
@@ -103,20 +105,20 @@
         for (long t = fromMs; t < toMs; t += 100) {
             mLender.tick(t);
             mBorrower.tick(t);
-            mLoans.tick(t);
+            mBorrowerLoans.tick(t);
         }
     }
 
     @Test
-    void vmThatWasNeverServed_getsTokensFromItsPeer() {
-        mTurnedAway = true;
+    void vmWithThrottledStore_borrowsTokensFromPeer() {
+        mStoreThrottled = true;
         run(0, 3_000);
         assertThat(mBorrower.admit(3_000, "org", 1_000)).isEqualTo(Admission.RESERVED);
     }
 
     @Test
-    void bothTogether_neverHoldMoreThanTheBudget() {
-        mTurnedAway = true;
+    void lenderAndBorrower_neverSpendMoreThanBudget() {
+        mStoreThrottled = true;
         run(0, 10_000);
         long admitted = 0;
         for (long t = 10_000; t < 40_000; t += 100) {
@@ -127,22 +129,22 @@
                     book.settle(t, "org", 700, 700);
                 }
             }
-            mTurnedAway = t % 8_000 < 4_000;
+            mStoreThrottled = t % 8_000 < 4_000;
         }
         assertThat(admitted).isLessThanOrEqualTo(PREPAID).isGreaterThan(PREPAID * 9 / 10);
     }
 
     @Test
-    void vmThatTheStoreServes_borrowsNothing() {
+    void vmServedByStore_hasNoShortfall() {
         run(0, 3_000);
-        assertThat(mBorrower.lacking(3_000)).isEmpty();
+        assertThat(mBorrower.shortfalls(3_000)).isEmpty();
     }
 
     /** Others are the homes of all pools, and this VM none. */
-    private static final class OtherHomes implements PoolHomes {
+    private static final class FixedOtherHomes implements PoolHomes {
         private final List<String> mNames;
 
-        OtherHomes(String... names) {
+        FixedOtherHomes(String... names) {
             mNames = List.of(names);
         }
 
@@ -206,9 +208,10 @@
      * had put their configuration in force, until they wrote that they knew others.
      */
     @Test
-    void vmThatKnowsNobodyYet_getsFromTheStoreWhatItsRequestNeeds() {
-        EscrowBook book = bookOfNoHome(new OtherHomes());
-        EscrowLoans loans = new EscrowLoans(book, new ToLender(), new OtherHomes(), new Random(1));
+    void vmWithoutKnownPeers_takesNeededTokensFromStore() {
+        EscrowBook book = nonHomeBook(new FixedOtherHomes());
+        EscrowLoans loans =
+                new EscrowLoans(book, new LenderNetwork(), new FixedOtherHomes(), new Random(1));
         WaitingRequest request = new WaitingRequest(book, loans, 700);
         WaitingRequest next = new WaitingRequest(book, loans, 300);
         request.admit(0);
@@ -220,9 +223,10 @@
     }
 
     @Test
-    void vmThatKnowsNobodyYet_refusesWhatTheStoreLacks_afterFewCalls() {
-        EscrowBook book = bookOfNoHome(new OtherHomes());
-        EscrowLoans loans = new EscrowLoans(book, new ToLender(), new OtherHomes(), new Random(1));
+    void vmWithoutKnownPeers_refusesTokensStoreLacks_afterFewCalls() {
+        EscrowBook book = nonHomeBook(new FixedOtherHomes());
+        EscrowLoans loans =
+                new EscrowLoans(book, new LenderNetwork(), new FixedOtherHomes(), new Random(1));
         WaitingRequest all = new WaitingRequest(book, loans, PREPAID);
         all.admit(0);
         runAlone(book, loans, 0, 500);
@@ -242,14 +246,14 @@
         }
     }
 
-    private EscrowBook bookOfNoHome() {
-        return bookOfNoHome(new OtherHomes("lender"));
+    private EscrowBook nonHomeBook() {
+        return nonHomeBook(new FixedOtherHomes("lender"));
     }
 
-    private EscrowBook bookOfNoHome(PoolHomes homes) {
+    private EscrowBook nonHomeBook(PoolHomes homes) {
         EscrowBook book =
                 new EscrowBook(
-                        mLink,
+                        mBorrowerStore,
                         new EscrowOwner("borrower", "borrower-2"),
                         1,
                         homes,
@@ -260,11 +264,12 @@
     }
 
     @Test
-    void newHome_isConnectedToOnceBeforeAnyRequest() {
+    void newHome_isContactedOnceBeforeAnyRequest() {
         mLender.tick(0);
-        EscrowBook book = bookOfNoHome();
+        EscrowBook book = nonHomeBook();
         EscrowLoans loans =
-                new EscrowLoans(book, new ToLender(), new OtherHomes("lender"), new Random(1));
+                new EscrowLoans(
+                        book, new LenderNetwork(), new FixedOtherHomes("lender"), new Random(1));
         assertThat(book.admissionState(0, "org").unspent()).isGreaterThan(PREPAID);
         for (long t = 0; t < 3_000; t += 100) {
             loans.tick(t);
@@ -274,11 +279,12 @@
     }
 
     @Test
-    void vmThatIsNoHome_handsBackWhatItsRequestsLeave() {
+    void nonHomeVm_returnsUnusedTokens() {
         mLender.tick(0);
-        EscrowBook book = bookOfNoHome();
+        EscrowBook book = nonHomeBook();
         EscrowLoans loans =
-                new EscrowLoans(book, new ToLender(), new OtherHomes("lender"), new Random(1));
+                new EscrowLoans(
+                        book, new LenderNetwork(), new FixedOtherHomes("lender"), new Random(1));
         long before = mLender.free("org");
         loans.search(0, "org", 1_000, () -> {});
         assertThat(book.admit(0, "org", 1_000)).isEqualTo(Admission.RESERVED);
@@ -294,9 +300,9 @@
     }
 
     @Test
-    void homeThatWasHandedTokens_doesNotTryToReturnThemAgainAndAgain() {
+    void homeWithReceivedTokens_doesNotWriteRepeatedlyToReturnThem() {
         run(0, 3_000);
-        mLender.accept(3_000, new TokenTransfer("org", 3 * mLender.free("org"), 0));
+        mLender.onTransfer(3_000, new TokenTransfer("org", 3 * mLender.free("org"), 0));
         int before = mWrites;
         run(3_000, 20_000);
         // 34 before: what others were granted can't be returned by this VM.
@@ -304,18 +310,21 @@
     }
 
     @Test
-    void homeThatWasSilentOfLate_isHandedNothing() {
+    void unresponsiveHome_receivesNoTransfers() {
         mLender.tick(0);
-        EscrowBook book = bookOfNoHome();
+        EscrowBook book = nonHomeBook();
         EscrowLoans loans =
                 new EscrowLoans(
-                        book, new ToLender(), new OtherHomes("dead", "lender"), new Random(1));
+                        book,
+                        new LenderNetwork(),
+                        new FixedOtherHomes("dead", "lender"),
+                        new Random(1));
         loans.search(0, "org", 1_000, () -> {});
         assertThat(book.admit(0, "org", 1_000)).isEqualTo(Admission.RESERVED);
         book.settle(10, "org", 1_000, 100);
         for (long t = 100; t < 1_000; t += 100) {
             loans.tick(t);
         }
-        assertThat(mGiftsTo).isNotEmpty().doesNotContain("dead");
+        assertThat(mTransferReceivers).isNotEmpty().doesNotContain("dead");
     }
 }
--- a/coordination/src/test/java/org/hornbeampass/coordination/escrow/EscrowSimulation.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/escrow/EscrowSimulation.java
@@ -38,27 +38,27 @@
     private static final int ORGANISATIONS = 10;
     private static final long STORE_MS = 8;
     private static final long PEER_MS = 3;
-    private static final long WAIT_MS = 200;
+    private static final long MAX_WAIT_MS = 200;
     private static final long RESTART_MS = 1_200;
 
     /** A request is owed as long as this part of its budget covers it, at its most. */
-    private static final double OWED_PART = 0.97;
+    private static final double COVERED_FRACTION = 0.97;
 
     /** How long after its end a request still counts at its most for what is owed. */
-    private static final long SETTLED_MS = 1_500;
+    private static final long SETTLE_MARGIN_MS = 1_500;
 
-    private static final long RUN_MS = 600;
+    private static final long REQUEST_MS = 600;
 
     /** The worth of an answer that came only when its caller had come back, as a part. */
-    private static final double LATE_PART = 0.3;
+    private static final double RETRY_WORTH_FRACTION = 0.3;
 
     /**
      * What is done to the VMs.
      *
-     * @param cuts spans in milliseconds in which no VM reaches the store
+     * @param outages spans in milliseconds in which no VM reaches the store
      * @param kills times in milliseconds at which all VMs are killed
      */
-    record Faults(List<long[]> cuts, List<Long> kills) {}
+    record Faults(List<long[]> outages, List<Long> kills) {}
 
     /**
      * Which fleet serves.
@@ -93,11 +93,11 @@
             double servedWorth,
             long messages,
             boolean overspent) {
-        double refusedPart() {
+        double refusedFraction() {
             return (double) refusals / requests;
         }
 
-        double lostPart() {
+        double lostFraction() {
             return (double) lost / requests;
         }
     }
@@ -125,16 +125,16 @@
                             new Region("r"),
                             new FailureDomain("d" + number % DOMAINS),
                             MemberState.LIVE);
-            mHomes = mSize.allHomes() ? new AllVmsHomes(mSize::vms, this::others) : mMembers;
+            mHomes = mSize.allHomes() ? new AllVmsHomes(mSize::vms, this::otherUpVms) : mMembers;
             start();
         }
 
         void start() {
-            mLives++;
+            mIncarnations++;
             mBook =
                     new EscrowBook(
                             EscrowSimulation.this::submit,
-                            new EscrowOwner("vm-" + mNumber, "life-" + mLives),
+                            new EscrowOwner("vm-" + mNumber, "life-" + mIncarnations),
                             POOLS,
                             mHomes,
                             mPolicy,
@@ -146,26 +146,26 @@
                                 "org-" + i, List.of("k" + i), 0, OptionalLong.of(mPrepaid[i])));
             }
             mBook.onOrganisations(organisations);
-            mLoans = new EscrowLoans(mBook, new Peers(), mHomes, mChoices);
-            mUpAtMs = mNowMs + (mLives > mSize.vms() ? RESTART_MS : 0);
+            mLoans = new EscrowLoans(mBook, new DelayedNetwork(), mHomes, mVmRandom);
+            mUpAtMs = mNowMs + (mIncarnations > mSize.vms() ? RESTART_MS : 0);
         }
 
-        private List<String> others() {
+        private List<String> otherUpVms() {
             List<String> names = new ArrayList<>();
             for (int i = 0; i < mSize.vms(); i++) {
-                if (i != mNumber && mVms.get(i).up()) {
+                if (i != mNumber && mVms.get(i).isUp()) {
                     names.add(Integer.toString(i));
                 }
             }
             return names;
         }
 
-        boolean up() {
+        boolean isUp() {
             return mNowMs >= mUpAtMs;
         }
 
         void tick() {
-            if (!up()) {
+            if (!isUp()) {
                 return;
             }
             mMembers.update(mMember, upMembers(), true);
@@ -175,13 +175,13 @@
     }
 
     /** Asks another VM; it answers some milliseconds later. */
-    private final class Peers implements PeerNetwork {
+    private final class DelayedNetwork implements PeerNetwork {
         @Override
         public void send(String vmName, PeerMessage message) {
             Vm receiver = mVms.get(Integer.parseInt(vmName));
             mMessages++;
-            if (receiver.up()) {
-                after(PEER_MS, () -> receiver.mBook.accept(mNowMs, (TokenTransfer) message));
+            if (receiver.isUp()) {
+                schedule(PEER_MS, () -> receiver.mBook.onTransfer(mNowMs, (TokenTransfer) message));
             }
         }
 
@@ -194,16 +194,16 @@
                 BiConsumer<Long, Either<Failure, PeerMessage>> done) {
             Vm lender = mVms.get(Integer.parseInt(vmName));
             mMessages++;
-            if (!lender.up()) {
+            if (!lender.isUp()) {
                 Failure lost = Failure.of(ErrorKind.DEADLINE_EXCEEDED, "no answer");
-                after(timeoutMs, () -> done.accept(mNowMs, Either.left(lost)));
+                schedule(timeoutMs, () -> done.accept(mNowMs, Either.left(lost)));
                 return;
             }
             lender.mLoans.onRequest(
                     nowMs,
                     new VmId("borrower", 1),
                     (LoanRequest) request,
-                    r -> after(PEER_MS, () -> done.accept(mNowMs, Either.right(r))));
+                    r -> schedule(PEER_MS, () -> done.accept(mNowMs, Either.right(r))));
         }
     }
 
@@ -211,7 +211,7 @@
     private final Random mRandom;
 
     /** Draws what VMs choose, so that all policies meet the same callers. */
-    private final Random mChoices;
+    private final Random mVmRandom;
 
     private final SimulatedLoad mLoad;
     private final GrantPolicy mPolicy;
@@ -222,18 +222,18 @@
                     Comparator.comparingLong(Event::atMs).thenComparingLong(Event::order));
     private final long[] mPrepaid;
     private final long[] mUsed;
-    private final long[] mUsedAtMost;
-    private final double[] mShares;
+    private final long[] mMaxUsed;
+    private final double[] mLoadShares;
     private final List<Vm> mVms = new ArrayList<>();
     private long mNowMs;
     private long mOrder;
-    private int mLives;
+    private int mIncarnations;
     private int mRequests;
     private int mLost;
     private int mRefusals;
     private double mCalls;
     private long mWrittenOff;
-    private double mOwedWorth;
+    private double mCoveredWorth;
     private double mServedWorth;
     private long mMessages;
     private List<Member> mUpMembers = List.of();
@@ -243,21 +243,21 @@
         mSize = size;
         mPrepaid = new long[size.organisations()];
         mUsed = new long[size.organisations()];
-        mUsedAtMost = new long[size.organisations()];
-        mShares = new double[size.organisations()];
+        mMaxUsed = new long[size.organisations()];
+        mLoadShares = new double[size.organisations()];
         mRandom = new Random(seed);
-        mChoices = new Random(seed);
+        mVmRandom = new Random(seed);
         mLoad = load;
         mPolicy = policy;
         mFaults = faults;
         double sum = 0;
         for (int i = 0; i < mSize.organisations(); i++) {
-            mShares[i] = 1.0 / (i + 1);
-            sum += mShares[i];
+            mLoadShares[i] = 1.0 / (i + 1);
+            sum += mLoadShares[i];
         }
         for (int i = 0; i < mSize.organisations(); i++) {
-            mShares[i] /= sum;
-            mPrepaid[i] = (long) (load.prepaid() * growth() * mShares[i]);
+            mLoadShares[i] /= sum;
+            mPrepaid[i] = (long) (load.prepaid() * loadFactor() * mLoadShares[i]);
         }
         for (int i = 0; i < mSize.vms(); i++) {
             mVms.add(new Vm(i));
@@ -265,55 +265,55 @@
     }
 
     /** Plays one day. */
-    static Result play(long seed, SimulatedLoad load, GrantPolicy policy, Faults faults) {
-        return play(seed, load, policy, faults, Size.SMALL);
+    static Result simulate(long seed, SimulatedLoad load, GrantPolicy policy, Faults faults) {
+        return simulate(seed, load, policy, faults, Size.SMALL);
     }
 
     /** Plays one day with a fleet of a size; the load grows with the number of VMs. */
-    static Result play(
+    static Result simulate(
             long seed, SimulatedLoad load, GrantPolicy policy, Faults faults, Size size) {
-        EscrowSimulation day = new EscrowSimulation(seed, load, policy, faults, size);
-        day.run();
-        return day.result();
+        EscrowSimulation simulation = new EscrowSimulation(seed, load, policy, faults, size);
+        simulation.run();
+        return simulation.result();
     }
 
-    private double growth() {
+    private double loadFactor() {
         return (double) mSize.vms() / VMS;
     }
 
-    private void after(long ms, Runnable action) {
+    private void schedule(long ms, Runnable action) {
         mEvents.add(new Event(mNowMs + ms, mOrder++, action));
     }
 
     private void submit(long nowMs, PlatformCall call, BiConsumer<Long, PlatformReply> done) {
         mCalls += call instanceof PlatformCall.Get get && get.mayBeOld() ? 0.1 : 1;
-        boolean cut = mFaults.cuts().stream().anyMatch(c -> nowMs >= c[0] && nowMs < c[1]);
-        if (cut) {
+        boolean inOutage = mFaults.outages().stream().anyMatch(c -> nowMs >= c[0] && nowMs < c[1]);
+        if (inOutage) {
             PlatformReply lost = new PlatformReply.Unavailable("cut off");
-            after(500, () -> done.accept(mNowMs, lost));
+            schedule(500, () -> done.accept(mNowMs, lost));
             return;
         }
-        after(
+        schedule(
                 STORE_MS / 2,
                 () ->
                         mStore.submit(
                                 mNowMs,
                                 call,
-                                (t, r) -> after(STORE_MS / 2, () -> done.accept(mNowMs, r))));
+                                (t, r) -> schedule(STORE_MS / 2, () -> done.accept(mNowMs, r))));
     }
 
     private void run() {
         mNowMs = -10_000;
         for (long t = 0; t < mLoad.dayMs() + 10_000; t += 100) {
-            after(t, this::tick);
+            schedule(t, this::tick);
         }
         double at = 10_000;
         while (at < mLoad.dayMs() + 10_000) {
-            at += -Math.log(1 - mRandom.nextDouble()) / (growth() * mLoad.requestsPerMs());
-            after((long) at, this::arrive);
+            at += -Math.log(1 - mRandom.nextDouble()) / (loadFactor() * mLoad.requestsPerMs());
+            schedule((long) at, this::onArrival);
         }
         for (long kill : mFaults.kills()) {
-            after(10_000 + kill, this::killAll);
+            schedule(10_000 + kill, this::killAll);
         }
         while (!mEvents.isEmpty()) {
             Event next = mEvents.remove();
@@ -323,7 +323,7 @@
     }
 
     private void tick() {
-        mUpMembers = mVms.stream().filter(Vm::up).map(v -> v.mMember).toList();
+        mUpMembers = mVms.stream().filter(Vm::isUp).map(v -> v.mMember).toList();
         mVms.forEach(Vm::tick);
     }
 
@@ -338,31 +338,34 @@
         }
     }
 
-    private void arrive() {
+    private void onArrival() {
         double part = mRandom.nextDouble();
         int organisation = 0;
-        while (organisation < mSize.organisations() - 1 && part >= mShares[organisation]) {
-            part -= mShares[organisation++];
+        while (organisation < mSize.organisations() - 1 && part >= mLoadShares[organisation]) {
+            part -= mLoadShares[organisation++];
         }
         SimulatedLoad.Size size = mLoad.draw(mRandom);
         mRequests++;
-        long left = (long) (OWED_PART * mPrepaid[organisation]) - mUsedAtMost[organisation];
-        double worth = size.most() <= left ? size.worth() : 0;
-        mOwedWorth += worth;
-        ask(organisation, new SimulatedLoad.Size(size.most(), size.used(), worth), true);
+        long left = (long) (COVERED_FRACTION * mPrepaid[organisation]) - mMaxUsed[organisation];
+        double worth = size.maxTokens() <= left ? size.worth() : 0;
+        mCoveredWorth += worth;
+        sendRequest(
+                organisation,
+                new SimulatedLoad.Size(size.maxTokens(), size.usedFraction(), worth),
+                true);
     }
 
-    private void ask(int organisation, SimulatedLoad.Size size, boolean first) {
+    private void sendRequest(int organisation, SimulatedLoad.Size size, boolean first) {
         Vm vm = mVms.get(mRandom.nextInt(mSize.vms()));
-        if (!vm.up()) {
+        if (!vm.isUp()) {
             refuse(organisation, size, first, 300);
             return;
         }
-        new Waiting(vm, organisation, size, first, mNowMs + WAIT_MS).tryToReserve();
+        new WaitingRequest(vm, organisation, size, first, mNowMs + MAX_WAIT_MS).tryToReserve();
     }
 
     /** One request that waits for tokens. */
-    private final class Waiting {
+    private final class WaitingRequest {
         private final Vm mVm;
         private final EscrowBook mBook;
         private final int mOrganisation;
@@ -371,7 +374,8 @@
         private final long mUntilMs;
         private boolean mDone;
 
-        Waiting(Vm vm, int organisation, SimulatedLoad.Size size, boolean first, long untilMs) {
+        WaitingRequest(
+                Vm vm, int organisation, SimulatedLoad.Size size, boolean first, long untilMs) {
             mVm = vm;
             mBook = vm.mBook;
             mOrganisation = organisation;
@@ -385,7 +389,7 @@
                 return;
             }
             String name = "org-" + mOrganisation;
-            long tokens = mSize.most();
+            long tokens = mSize.maxTokens();
             Admission admission = mBook.admit(mNowMs, name, tokens);
             if (admission == Admission.RESERVED) {
                 mDone = true;
@@ -397,7 +401,7 @@
                     && admission == Admission.INSUFFICIENT_HERE
                     && mBook.mayObtainTokens(mNowMs, name, tokens)) {
                 mBook.afterNextExchange(mNowMs, name, this::tryToReserve);
-                after(mUntilMs - mNowMs, this::giveUp);
+                schedule(mUntilMs - mNowMs, this::giveUp);
                 return;
             }
             boolean searching =
@@ -411,10 +415,10 @@
 
         private void serve(String name, long tokens, long used) {
             mUsed[mOrganisation] += used;
-            mUsedAtMost[mOrganisation] += tokens;
-            mServedWorth += mFirst ? mSize.worth() : LATE_PART * mSize.worth();
-            after(RUN_MS, () -> mBook.settle(mNowMs, name, tokens, used));
-            after(RUN_MS + SETTLED_MS, () -> mUsedAtMost[mOrganisation] -= tokens - used);
+            mMaxUsed[mOrganisation] += tokens;
+            mServedWorth += mFirst ? mSize.worth() : RETRY_WORTH_FRACTION * mSize.worth();
+            schedule(REQUEST_MS, () -> mBook.settle(mNowMs, name, tokens, used));
+            schedule(REQUEST_MS + SETTLE_MARGIN_MS, () -> mMaxUsed[mOrganisation] -= tokens - used);
         }
 
         private void giveUp() {
@@ -436,7 +440,7 @@
             mLost++;
             return;
         }
-        after(backMs, () -> ask(organisation, size, false));
+        schedule(backMs, () -> sendRequest(organisation, size, false));
     }
 
     private Result result() {
@@ -452,7 +456,7 @@
                 mRefusals,
                 (double) mWrittenOff / prepaid,
                 mCalls,
-                mServedWorth / mOwedWorth,
+                mServedWorth / mCoveredWorth,
                 mMessages,
                 overspent);
     }
--- a/coordination/src/test/java/org/hornbeampass/coordination/escrow/GrantPolicyTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/escrow/GrantPolicyTest.java
@@ -17,14 +17,14 @@
  */
 class GrantPolicyTest {
     private static final int SEEDS = 6;
-    private static final List<long[]> CUTS =
+    private static final List<long[]> OUTAGE_SPANS =
             List.of(new long[] {6_000, 14_000}, new long[] {24_000, 31_000});
-    private static final double CALM_CALLS = 1_400;
+    private static final double MAX_FAULT_FREE_CALLS = 1_400;
     private static final Faults NONE = new Faults(List.of(), List.of());
-    private static final Faults CUT = new Faults(CUTS, List.of());
+    private static final Faults OUTAGES = new Faults(OUTAGE_SPANS, List.of());
     private static final Faults KILL = new Faults(List.of(), List.of(34_000L));
-    private static final Faults CUTS_AND_KILL = new Faults(CUTS, List.of(34_000L));
-    private static final Faults ALL = new Faults(CUTS, List.of(17_000L, 34_000L));
+    private static final Faults OUTAGES_AND_KILL = new Faults(OUTAGE_SPANS, List.of(34_000L));
+    private static final Faults ALL = new Faults(OUTAGE_SPANS, List.of(17_000L, 34_000L));
 
     private static double mean(GrantPolicy policy, Faults faults, ToDoubleFunction<Result> part) {
         return mean(SimulatedLoad.MIXED_PROMPTS, policy, faults, part);
@@ -33,14 +33,14 @@
     private static double mean(
             SimulatedLoad load, GrantPolicy policy, Faults faults, ToDoubleFunction<Result> part) {
         return IntStream.range(0, SEEDS)
-                .mapToObj(seed -> EscrowSimulation.play(seed, load, policy, faults))
+                .mapToObj(seed -> EscrowSimulation.simulate(seed, load, policy, faults))
                 .mapToDouble(part)
                 .average()
                 .orElseThrow();
     }
 
     @Test
-    void noPolicy_overspendsThroughCutsAndKills() {
+    void outagesAndKills_noPolicyOverspends() {
         for (GrantPolicy policy : GrantPolicy.values()) {
             for (SimulatedLoad load : SimulatedLoad.values()) {
                 assertThat(mean(load, policy, ALL, r -> r.overspent() ? 1 : 0))
@@ -51,39 +51,42 @@
     }
 
     @Test
-    void calmDay_refusesNothing() {
+    void noFaults_refusesAlmostNothing() {
         // 2.1 % before requests waited for all that the store had, and for one exchange each.
-        assertThat(mean(GrantPolicy.DEMAND_HORIZON, NONE, Result::refusedPart)).isLessThan(0.001);
+        assertThat(mean(GrantPolicy.DEMAND_HORIZON, NONE, Result::refusedFraction))
+                .isLessThan(0.001);
     }
 
     @Test
-    void calmDay_makesFewCalls() {
+    void noFaults_makesFewCalls() {
         // 1,191; 2,065 where writes met versions that others had replaced, and crumbs were moved.
-        assertThat(mean(GrantPolicy.DEMAND_HORIZON, NONE, Result::calls)).isLessThan(CALM_CALLS);
+        assertThat(mean(GrantPolicy.DEMAND_HORIZON, NONE, Result::calls))
+                .isLessThan(MAX_FAULT_FREE_CALLS);
     }
 
     @Test
-    void cutsOfAllVms_loseFewRequests() {
+    void outagesForAllVms_loseFewRequests() {
         // 0.01 %, 0.07 % with a lower floor; 0.63 % before requests waited for other VMs' tokens.
-        assertThat(mean(GrantPolicy.DEMAND_HORIZON, CUT, Result::lostPart)).isLessThan(0.0015);
+        assertThat(mean(GrantPolicy.DEMAND_HORIZON, OUTAGES, Result::lostFraction))
+                .isLessThan(0.0015);
     }
 
     @Test
-    void secondKillOfAllVms_leavesTokensForTheRestOfTheDay() {
+    void secondKillOfAllVms_leavesTokensForRemainingRequests() {
         // 5.9 %, 4 % while no VM was up; 13.9 % where VMs held half of what was left.
-        assertThat(mean(GrantPolicy.DEMAND_HORIZON, ALL, Result::lostPart)).isLessThan(0.08);
+        assertThat(mean(GrantPolicy.DEMAND_HORIZON, ALL, Result::lostFraction)).isLessThan(0.08);
     }
 
     @Test
-    void killOfAllVms_writesOffAThirdOfTheBaseline() {
+    void killOfAllVms_writesOffLessThanThirdOfBaseline() {
         double baseline = mean(GrantPolicy.EQUAL_SHARE, KILL, Result::writtenOff);
         double chosen = mean(GrantPolicy.DEMAND_HORIZON, KILL, Result::writtenOff);
         assertThat(chosen).isLessThan(baseline / 3);
         // 2.0 %, nearly all while no VM was up; the baseline loses 32 %.
-        assertThat(mean(GrantPolicy.DEMAND_HORIZON, KILL, Result::lostPart)).isLessThan(0.03);
+        assertThat(mean(GrantPolicy.DEMAND_HORIZON, KILL, Result::lostFraction)).isLessThan(0.03);
     }
 
-    private static double servedOfLongPrompts(Faults faults) {
+    private static double servedWorthOfLongPrompts(Faults faults) {
         return mean(
                 SimulatedLoad.LONG_PROMPTS,
                 GrantPolicy.DEMAND_HORIZON,
@@ -92,20 +95,20 @@
     }
 
     @Test
-    void longPrompts_areServedThroughCutsAndAKillOfAllVms() {
+    void longPrompts_areServedDespiteOutagesAndKillOfAllVms() {
         // 86 %; 78.1 % where a quarter of what was left was held throughout.
-        assertThat(servedOfLongPrompts(CUTS_AND_KILL)).isGreaterThan(0.82);
+        assertThat(servedWorthOfLongPrompts(OUTAGES_AND_KILL)).isGreaterThan(0.82);
     }
 
     @Test
-    void longPrompts_areServedAfterAKillOfAllVms() {
+    void longPrompts_areServedAfterKillOfAllVms() {
         // 97 %; 82.2 % with the quarter.
-        assertThat(servedOfLongPrompts(KILL)).isGreaterThan(0.95);
+        assertThat(servedWorthOfLongPrompts(KILL)).isGreaterThan(0.95);
     }
 
     @Test
-    void longPrompts_areServedThroughCuts() {
+    void longPrompts_areServedDespiteOutages() {
         // 90 %; 93.7 % with the quarter: the price of the two above.
-        assertThat(servedOfLongPrompts(CUT)).isGreaterThan(0.87);
+        assertThat(servedWorthOfLongPrompts(OUTAGES)).isGreaterThan(0.87);
     }
 }
--- a/coordination/src/test/java/org/hornbeampass/coordination/escrow/LoanSearchTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/escrow/LoanSearchTest.java
@@ -31,8 +31,8 @@
     private final Map<String, EscrowBook> mBooks = new LinkedHashMap<>();
     private final Map<String, EscrowLoans> mLoans = new LinkedHashMap<>();
     private final List<String> mAsked = new ArrayList<>();
-    private boolean mStoreGone;
-    private boolean mPeersGone;
+    private boolean mStoreUnreachable;
+    private boolean mPeersUnreachable;
     private long mNowMs;
 
     LoanSearchTest() {
@@ -45,7 +45,7 @@
         EscrowBook book =
                 new EscrowBook(
                         (nowMs, call, done) -> {
-                            if (mStoreGone) {
+                            if (mStoreUnreachable) {
                                 done.accept(nowMs, new PlatformReply.Unavailable("cut off"));
                             } else {
                                 mStore.submit(nowMs, call, done);
@@ -58,7 +58,9 @@
         book.onOrganisations(
                 List.of(new PrepaidOrganisation("org", List.of("k"), 0, OptionalLong.of(PREPAID))));
         mBooks.put(vm, book);
-        mLoans.put(vm, new EscrowLoans(book, new Peers(), homes(vm), new Random(mBooks.size())));
+        mLoans.put(
+                vm,
+                new EscrowLoans(book, new DirectNetwork(), homes(vm), new Random(mBooks.size())));
     }
 
     private PoolHomes homes(String vm) {
@@ -67,7 +69,7 @@
     }
 
     /** Hands requests straight to the VM that is asked. */
-    private final class Peers implements PeerNetwork {
+    private final class DirectNetwork implements PeerNetwork {
         @Override
         public void send(String vmName, PeerMessage message) {
             mLoans.get(vmName)
@@ -82,7 +84,7 @@
                 long timeoutMs,
                 BiConsumer<Long, Either<Failure, PeerMessage>> done) {
             mAsked.add(vmName);
-            if (mPeersGone) {
+            if (mPeersUnreachable) {
                 done.accept(nowMs, Either.left(Failure.of(ErrorKind.DEADLINE_EXCEEDED, "lost")));
                 return;
             }
@@ -102,7 +104,7 @@
         }
     }
 
-    private boolean admitted(String vm, long tokens) {
+    private boolean isAdmitted(String vm, long tokens) {
         EscrowBook book = mBooks.get(vm);
         if (book.admit(mNowMs, "org", tokens) == Admission.RESERVED) {
             return true;
@@ -117,18 +119,18 @@
         return after[0];
     }
 
-    private long held() {
+    private long heldTokens() {
         return mBooks.values().stream().mapToLong(b -> b.free("org")).sum();
     }
 
     @Test
-    void cutFromTheStore_requestsAtOneVmSpendWhatAllHold() {
+    void storeUnreachable_requestsAtOneVmSpendTokensOfAllVms() {
         run(3_000);
-        mStoreGone = true;
+        mStoreUnreachable = true;
         run(1_000);
-        long held = held();
+        long held = heldTokens();
         long spent = 0;
-        while (admitted("vm-0", 300)) {
+        while (isAdmitted("vm-0", 300)) {
             spent += 300;
         }
         assertThat(held).isGreaterThan(VMS * 300);
@@ -136,36 +138,36 @@
     }
 
     @Test
-    void searchThatFoundNothing_isNotRepeatedForEachRequest() {
-        mStoreGone = true;
+    void failedSearch_isNotRepeatedForEachRequest() {
+        mStoreUnreachable = true;
         run(1_000);
-        assertThat(admitted("vm-0", 300)).isFalse();
+        assertThat(isAdmitted("vm-0", 300)).isFalse();
         mAsked.clear();
         for (int i = 0; i < 20; i++) {
-            assertThat(admitted("vm-0", 300)).isFalse();
+            assertThat(isAdmitted("vm-0", 300)).isFalse();
         }
         assertThat(mAsked).isEmpty();
         mNowMs += 1_000;
-        assertThat(admitted("vm-0", 300)).isFalse();
+        assertThat(isAdmitted("vm-0", 300)).isFalse();
         assertThat(mAsked).hasSize(VMS - 1).doesNotHaveDuplicates();
     }
 
     @Test
-    void lostAnswers_endTheSearch() {
+    void unreachablePeers_endSearch() {
         run(3_000);
-        mStoreGone = true;
-        mPeersGone = true;
+        mStoreUnreachable = true;
+        mPeersUnreachable = true;
         run(1_000);
-        assertThat(admitted("vm-0", PREPAID / 2)).isFalse();
-        mPeersGone = false;
+        assertThat(isAdmitted("vm-0", PREPAID / 2)).isFalse();
+        mPeersUnreachable = false;
         mNowMs += 1_000;
-        assertThat(held()).isPositive();
+        assertThat(heldTokens()).isPositive();
     }
 
     @Test
-    void vmsThatAllMissTheStore_borrowNothingAhead() {
+    void allVmsWithoutStore_lendNothingAhead() {
         run(3_000);
-        mStoreGone = true;
+        mStoreUnreachable = true;
         for (EscrowBook book : mBooks.values()) {
             book.admit(mNowMs, "org", 100);
             book.settle(mNowMs, "org", 100, 100);
@@ -183,13 +185,13 @@
     }
 
     @Test
-    void vmThatShutsDownInACut_handsItsTokensToOthers() {
+    void vmShuttingDownWithoutStore_transfersTokensToOthers() {
         run(3_000);
-        long held = held();
-        mStoreGone = true;
+        long held = heldTokens();
+        mStoreUnreachable = true;
         mBooks.get("vm-0").startReturningTokens(mNowMs);
         run(2_000);
         assertThat(mBooks.get("vm-0").free("org")).isZero();
-        assertThat(held()).isEqualTo(held);
+        assertThat(heldTokens()).isEqualTo(held);
     }
 }
--- a/coordination/src/test/java/org/hornbeampass/coordination/escrow/MemberHomesTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/escrow/MemberHomesTest.java
@@ -40,45 +40,45 @@
         return members;
     }
 
-    private static MemberHomes at(Member self, List<Member> members) {
+    private static MemberHomes homesSeenBy(Member self, List<Member> members) {
         MemberHomes homes = new MemberHomes();
         homes.update(self, members, true);
         return homes;
     }
 
-    private static Set<String> homes(int pool, List<Member> members) {
+    private static Set<String> homeNames(int pool, List<Member> members) {
         return members.stream()
-                .filter(m -> at(m, members).isHome(pool))
+                .filter(m -> homesSeenBy(m, members).isHome(pool))
                 .map(Member::name)
                 .collect(Collectors.toSet());
     }
 
     @Test
-    void vmsThatKnowTheSameMembers_agreeOnThreeHomesInThreeDomains() {
+    void vmsWithSameMembers_agreeOnThreeHomesInThreeDomains() {
         List<Member> members = members(20);
         Map<String, Member> byName =
                 members.stream().collect(Collectors.toMap(Member::name, Function.identity()));
         for (int pool = 0; pool < POOLS; pool++) {
-            Set<String> homes = homes(pool, members);
+            Set<String> homes = homeNames(pool, members);
             assertThat(homes).hasSize(MemberHomes.HOMES);
             Set<FailureDomain> domains = new HashSet<>();
             homes.forEach(h -> domains.add(byName.get(h).domain()));
             assertThat(domains).hasSize(MemberHomes.HOMES);
             Member other =
                     members.stream().filter(m -> !homes.contains(m.name())).findFirst().get();
-            assertThat(at(other, members).otherHomes(pool))
+            assertThat(homesSeenBy(other, members).otherHomes(pool))
                     .containsExactlyInAnyOrderElementsOf(homes);
         }
     }
 
     @Test
-    void vmThatGoes_movesOnlyItsOwnPools() {
+    void removedVm_movesOnlyItsOwnPools() {
         List<Member> all = members(20);
         List<Member> rest = new ArrayList<>(all);
         Member gone = rest.remove(3);
         for (int pool = 0; pool < POOLS; pool++) {
-            Set<String> before = homes(pool, all);
-            Set<String> after = homes(pool, rest);
+            Set<String> before = homeNames(pool, all);
+            Set<String> after = homeNames(pool, rest);
             if (before.contains(gone.name())) {
                 before.retainAll(after);
                 assertThat(before).hasSize(MemberHomes.HOMES - 1);
@@ -89,12 +89,12 @@
     }
 
     @Test
-    void homeOfTheOwnDomain_isAskedFirst() {
+    void homeInOwnDomain_isAskedFirst() {
         List<Member> members = members(20);
         for (int pool = 0; pool < POOLS; pool++) {
-            Set<String> homes = homes(pool, members);
+            Set<String> homes = homeNames(pool, members);
             for (Member self : members) {
-                List<String> others = at(self, members).otherHomes(pool);
+                List<String> others = homesSeenBy(self, members).otherHomes(pool);
                 boolean near =
                         members.stream()
                                 .filter(m -> homes.contains(m.name()) && !m.equals(self))
@@ -106,7 +106,7 @@
     }
 
     @Test
-    void vmThatHardlyKnowsTheFleet_isNoHome() {
+    void vmWithIncompleteMembers_isNoHome() {
         MemberHomes homes = new MemberHomes();
         homes.update(member(0), List.of(member(0)), false);
         assertThat(homes.isHome(0)).isFalse();
@@ -114,8 +114,8 @@
     }
 
     @Test
-    void fleetOfOne_isItsOwnHome() {
-        MemberHomes homes = at(member(0), List.of(member(0)));
+    void singleVm_isItsOwnHome() {
+        MemberHomes homes = homesSeenBy(member(0), List.of(member(0)));
         assertThat(homes.isHome(0)).isTrue();
         assertThat(homes.otherHomes(0)).isEmpty();
     }
--- a/coordination/src/test/java/org/hornbeampass/coordination/escrow/PoolHomesTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/escrow/PoolHomesTest.java
@@ -19,38 +19,38 @@
     private static final long SEED = 0;
     private static final int VMS = 95;
     private static final int ORGANISATIONS = 40;
-    private static final Size HOMES = new Size(VMS, ORGANISATIONS, false);
+    private static final Size FLEET = new Size(VMS, ORGANISATIONS, false);
     private static final Faults NONE = new Faults(List.of(), List.of());
-    private static final List<long[]> CUTS =
+    private static final List<long[]> OUTAGE_SPANS =
             List.of(new long[] {6_000, 14_000}, new long[] {24_000, 31_000});
-    private static final Faults CUTS_AND_KILL = new Faults(CUTS, List.of(34_000L));
-    private static final Faults ALL = new Faults(CUTS, List.of(17_000L, 34_000L));
+    private static final Faults OUTAGES_AND_KILL = new Faults(OUTAGE_SPANS, List.of(34_000L));
+    private static final Faults ALL = new Faults(OUTAGE_SPANS, List.of(17_000L, 34_000L));
 
-    private static Result play(SimulatedLoad load, Faults faults, Size size) {
-        return EscrowSimulation.play(SEED, load, GrantPolicy.DEMAND_HORIZON, faults, size);
+    private static Result simulate(SimulatedLoad load, Faults faults, Size size) {
+        return EscrowSimulation.simulate(SEED, load, GrantPolicy.DEMAND_HORIZON, faults, size);
     }
 
     @Test
-    void calmDayOfAHundredVms_makesCallsByOrganisationsNotByVms() {
+    void manyVmsWithoutFaults_callsDoNotGrowWithVms() {
         // 1,022 calls, 0.00 % refused; 99,930 and 6.98 % where each VM exchanged.
-        Result homes = play(SimulatedLoad.MIXED_PROMPTS, NONE, HOMES);
+        Result homes = simulate(SimulatedLoad.MIXED_PROMPTS, NONE, FLEET);
         assertThat(homes.calls()).isLessThan(1_600);
-        assertThat(homes.refusedPart()).isLessThan(0.002);
+        assertThat(homes.refusedFraction()).isLessThan(0.002);
     }
 
     @Test
-    void cutsAndKillsOfAHundredVms_endInNoStormOfCalls() {
+    void outagesAndKillsOfManyVms_causeNoStormOfCalls() {
         // 1,804 calls; 67,170 where any VM that was asked for tokens became a home, and a write
         // that met another version was repeated at once.
-        Result homes = play(SimulatedLoad.MIXED_PROMPTS, ALL, HOMES);
+        Result homes = simulate(SimulatedLoad.MIXED_PROMPTS, ALL, FLEET);
         assertThat(homes.calls()).isLessThan(2_700);
         assertThat(homes.overspent()).isFalse();
     }
 
     @Test
-    void longPromptsOfAHundredVms_areServedThroughCutsAndAKillOfAllVms() {
+    void longPromptsOnManyVms_areServedDespiteOutagesAndKillOfAllVms() {
         // 70.8 % where each VM exchanged: a fair share of a budget was less than one request.
-        Result homes = play(SimulatedLoad.LONG_PROMPTS, CUTS_AND_KILL, HOMES);
+        Result homes = simulate(SimulatedLoad.LONG_PROMPTS, OUTAGES_AND_KILL, FLEET);
         assertThat(homes.servedWorth()).isGreaterThan(0.82);
         assertThat(homes.overspent()).isFalse();
     }
--- a/coordination/src/test/java/org/hornbeampass/coordination/escrow/RandomizedEscrowFleet.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/escrow/RandomizedEscrowFleet.java
@@ -24,26 +24,26 @@
     private final Random mRandom;
     private final MemoryPlatform mStore = new MemoryPlatform();
     private final List<Vm> mVms = new ArrayList<>();
-    private final List<Runnable> mLate = new ArrayList<>();
-    private final List<PlatformReply> mStates = new ArrayList<>();
+    private final List<Runnable> mDelayed = new ArrayList<>();
+    private final List<PlatformReply> mFormerReads = new ArrayList<>();
     private long mNowMs = 1_000;
     private long mPrepaid;
-    private long mUsed;
-    private long mReserved;
-    private int mLives;
-    private int mFalseProofs;
-    private boolean mFaults = true;
-    private boolean mHomesMove;
+    private long mUsedTokens;
+    private long mReservedTokens;
+    private int mIncarnations;
+    private int mFalseExhaustions;
+    private boolean mFaultsEnabled = true;
+    private boolean mHomesRandom;
 
     /** A request that is in progress at a VM. */
-    private record Running(long reserved) {}
+    private record RunningRequest(long reserved) {}
 
     /** One VM with its present life. */
     private final class Vm {
         private final String mName;
-        private final List<Running> mRunning = new ArrayList<>();
+        private final List<RunningRequest> mRunning = new ArrayList<>();
         private EscrowBook mBook;
-        private long mLevel;
+        private long mConfiguredBudget;
 
         Vm(String name) {
             mName = name;
@@ -51,23 +51,23 @@
         }
 
         void start() {
-            mReserved -= mRunning.stream().mapToLong(Running::reserved).sum();
+            mReservedTokens -= mRunning.stream().mapToLong(RunningRequest::reserved).sum();
             // What was in progress at a killed VM may have been delivered whole.
-            mUsed += mRunning.stream().mapToLong(Running::reserved).sum();
+            mUsedTokens += mRunning.stream().mapToLong(RunningRequest::reserved).sum();
             mRunning.clear();
-            Link link = new Link();
+            UnreliableStore link = new UnreliableStore();
             mBook =
                     new EscrowBook(
                             link,
-                            new EscrowOwner(mName, "life-" + mLives++),
+                            new EscrowOwner(mName, "life-" + mIncarnations++),
                             1,
-                            new MovingHomes(),
+                            new RandomHomes(),
                             GrantListener.NONE);
             configure();
         }
 
         void configure() {
-            mLevel = mPrepaid;
+            mConfiguredBudget = mPrepaid;
             mBook.onOrganisations(
                     List.of(
                             new PrepaidOrganisation(
@@ -76,20 +76,20 @@
     }
 
     /** All VMs are homes; where homes move, a VM is one or not at each look, as it is drawn. */
-    private final class MovingHomes implements PoolHomes {
+    private final class RandomHomes implements PoolHomes {
         @Override
         public boolean isHome(int pool) {
-            return !mHomesMove || !mFaults || mRandom.nextBoolean();
+            return !mHomesRandom || !mFaultsEnabled || mRandom.nextBoolean();
         }
 
         @Override
         public int homeCount(int pool) {
-            return mHomesMove ? 1 + mRandom.nextInt(mVms.size() + 1) : mVms.size() + 1;
+            return mHomesRandom ? 1 + mRandom.nextInt(mVms.size() + 1) : mVms.size() + 1;
         }
 
         @Override
         public List<String> otherHomes(int pool) {
-            return mHomesMove ? List.of("another") : List.of();
+            return mHomesRandom ? List.of("another") : List.of();
         }
 
         @Override
@@ -99,26 +99,26 @@
     }
 
     /** One life's way to the store. */
-    private final class Link implements Platform {
+    private final class UnreliableStore implements Platform {
         @Override
         public void submit(long nowMs, PlatformCall call, BiConsumer<Long, PlatformReply> done) {
             if (call instanceof PlatformCall.Get get && get.mayBeOld()) {
-                peek(nowMs, get, done);
+                readStale(nowMs, get, done);
                 return;
             }
-            int fate = mFaults ? mRandom.nextInt(10) : 9;
+            int fate = mFaultsEnabled ? mRandom.nextInt(10) : 9;
             if (fate == 0) {
                 done.accept(nowMs, new PlatformReply.Unavailable("nothing was done"));
             } else if (fate == 1) {
                 mStore.submit(nowMs, call, (t, lost) -> {});
                 done.accept(nowMs, new PlatformReply.Unavailable("done without a reply"));
             } else if (fate == 2) {
-                mLate.add(() -> mStore.submit(mNowMs, call, (t, lost) -> {}));
+                mDelayed.add(() -> mStore.submit(mNowMs, call, (t, lost) -> {}));
                 done.accept(nowMs, new PlatformReply.Unavailable("done later"));
             } else if (fate == 3) {
                 done.accept(nowMs, new PlatformReply.Throttled());
             } else if (fate == 4) {
-                mLate.add(() -> mStore.submit(mNowMs, call, done));
+                mDelayed.add(() -> mStore.submit(mNowMs, call, done));
             } else {
                 mStore.submit(nowMs, call, done);
             }
@@ -126,15 +126,16 @@
     }
 
     /** Answers a read that may be old: with any former state of the record. */
-    private void peek(long nowMs, PlatformCall.Get get, BiConsumer<Long, PlatformReply> done) {
+    private void readStale(long nowMs, PlatformCall.Get get, BiConsumer<Long, PlatformReply> done) {
         mStore.submit(
                 nowMs,
                 get,
                 (t, reply) -> {
-                    mStates.add(reply);
-                    boolean old = mFaults && mRandom.nextBoolean();
-                    int which = old ? mRandom.nextInt(mStates.size()) : mStates.size() - 1;
-                    done.accept(t, mStates.get(which));
+                    mFormerReads.add(reply);
+                    boolean old = mFaultsEnabled && mRandom.nextBoolean();
+                    int which =
+                            old ? mRandom.nextInt(mFormerReads.size()) : mFormerReads.size() - 1;
+                    done.accept(t, mFormerReads.get(which));
                 });
     }
 
@@ -150,62 +151,63 @@
     void step() {
         mNowMs += mRandom.nextInt(300);
         Vm vm = mVms.get(mRandom.nextInt(mVms.size()));
-        int what = mRandom.nextInt(mHomesMove ? 25 : 22);
-        if (what >= 22) {
-            handOver(vm, mVms.get(mRandom.nextInt(mVms.size())));
-        } else if (what >= 20) {
-            loan(vm, mVms.get(mRandom.nextInt(mVms.size())));
-        } else if (what < 9) {
+        int action = mRandom.nextInt(mHomesRandom ? 25 : 22);
+        if (action >= 22) {
+            transferUnneeded(vm, mVms.get(mRandom.nextInt(mVms.size())));
+        } else if (action >= 20) {
+            lend(vm, mVms.get(mRandom.nextInt(mVms.size())));
+        } else if (action < 9) {
             request(vm, 1 + mRandom.nextInt(400));
-        } else if (what < 14) {
-            finish(vm);
-        } else if (what < 16) {
+        } else if (action < 14) {
+            finishOne(vm);
+        } else if (action < 16) {
             mVms.forEach(v -> v.mBook.tick(mNowMs));
-        } else if (what < 18) {
-            runLate();
-        } else if (what == 18) {
+        } else if (action < 18) {
+            runDelayed();
+        } else if (action == 18) {
             vm.start();
         } else {
-            change(vm);
+            changeFleet(vm);
         }
     }
 
     /** Moves tokens from one VM to another; the reply may be lost, or find a new life. */
-    private void loan(Vm from, Vm to) {
+    private void lend(Vm from, Vm to) {
         EscrowBook borrower = to.mBook;
         long asked = 1L + mRandom.nextInt(300);
         long needed = mRandom.nextBoolean() ? asked : 0;
         from.mBook.lend(
                 mNowMs,
                 new LoanRequest(ORGANISATION, needed, asked, mRandom.nextBoolean()),
-                reply -> deliver(() -> borrower.onLoan(mNowMs, reply)));
+                reply -> deliver(() -> borrower.onLoanReply(mNowMs, reply)));
     }
 
     /** Moves what a VM that is no home does not need to another VM. */
-    private void handOver(Vm from, Vm to) {
+    private void transferUnneeded(Vm from, Vm to) {
         EscrowBook receiver = to.mBook;
         from.mBook
-                .takeGifts(mNowMs)
+                .takeTransfers(mNowMs)
                 .values()
-                .forEach(gifts -> gifts.forEach(g -> deliver(() -> receiver.accept(mNowMs, g))));
+                .forEach(
+                        gifts -> gifts.forEach(g -> deliver(() -> receiver.onTransfer(mNowMs, g))));
     }
 
     /** Delivers a message between VMs now, later, or never. */
     private void deliver(Runnable message) {
-        int fate = mFaults ? mRandom.nextInt(3) : 2;
+        int fate = mFaultsEnabled ? mRandom.nextInt(3) : 2;
         if (fate == 1) {
-            mLate.add(message);
+            mDelayed.add(message);
         } else if (fate == 2) {
             message.run();
         }
     }
 
-    private void change(Vm vm) {
-        int what = mRandom.nextInt(3);
-        if (what == 0) {
+    private void changeFleet(Vm vm) {
+        int action = mRandom.nextInt(3);
+        if (action == 0) {
             mPrepaid += mRandom.nextInt(2_000);
             vm.configure();
-        } else if (what == 1) {
+        } else if (action == 1) {
             vm.mBook.startReturningTokens(mNowMs);
             vm.start();
         } else {
@@ -213,21 +215,21 @@
         }
     }
 
-    private void runLate() {
-        if (!mLate.isEmpty()) {
-            mLate.remove(mRandom.nextInt(mLate.size())).run();
+    private void runDelayed() {
+        if (!mDelayed.isEmpty()) {
+            mDelayed.remove(mRandom.nextInt(mDelayed.size())).run();
         }
     }
 
     /** Tries to start a request, and returns what came of it. */
     private Admission request(Vm vm, long tokens) {
         Admission admission = vm.mBook.admit(mNowMs, ORGANISATION, tokens);
-        if (admission == Admission.EXHAUSTED && vm.mLevel - mUsed >= tokens) {
-            mFalseProofs++;
+        if (admission == Admission.EXHAUSTED && vm.mConfiguredBudget - mUsedTokens >= tokens) {
+            mFalseExhaustions++;
         }
         if (admission == Admission.RESERVED) {
-            vm.mRunning.add(new Running(tokens));
-            mReserved += tokens;
+            vm.mRunning.add(new RunningRequest(tokens));
+            mReservedTokens += tokens;
         }
         return admission;
     }
@@ -236,39 +238,39 @@
         return request(mVms.get(vm), tokens);
     }
 
-    private void finish(Vm vm) {
+    private void finishOne(Vm vm) {
         if (vm.mRunning.isEmpty()) {
             return;
         }
-        Running running = vm.mRunning.remove(mRandom.nextInt(vm.mRunning.size()));
+        RunningRequest running = vm.mRunning.remove(mRandom.nextInt(vm.mRunning.size()));
         long used = mRandom.nextLong(running.reserved() + 1);
         vm.mBook.settle(mNowMs, ORGANISATION, running.reserved(), used);
-        mReserved -= running.reserved();
-        mUsed += used;
+        mReservedTokens -= running.reserved();
+        mUsedTokens += used;
     }
 
     /** Ends all requests in progress at a VM, which used all that was reserved for them. */
-    void useUp(int vm) {
-        end(vm, Long.MAX_VALUE);
+    void finishAllUsingAll(int vm) {
+        finishAll(vm, Long.MAX_VALUE);
     }
 
     /** Ends all requests in progress at a VM, which used so many tokens each at the most. */
-    void end(int vm, long most) {
+    void finishAll(int vm, long most) {
         Vm at = mVms.get(vm);
-        for (Running running : at.mRunning) {
+        for (RunningRequest running : at.mRunning) {
             long used = Math.min(most, running.reserved());
             at.mBook.settle(mNowMs, ORGANISATION, running.reserved(), used);
-            mReserved -= running.reserved();
-            mUsed += used;
+            mReservedTokens -= running.reserved();
+            mUsedTokens += used;
         }
         at.mRunning.clear();
     }
 
     /** Lets all VMs work for a time, with nothing failing. */
-    void calm(long ms) {
-        mFaults = false;
-        while (!mLate.isEmpty()) {
-            mLate.remove(0).run();
+    void runWithoutFaults(long ms) {
+        mFaultsEnabled = false;
+        while (!mDelayed.isEmpty()) {
+            mDelayed.remove(0).run();
         }
         for (long t = 0; t < ms; t += 100) {
             mNowMs += 100;
@@ -277,45 +279,45 @@
     }
 
     /** Raises the budget on all VMs. */
-    void raise(long tokens) {
+    void raiseBudget(long tokens) {
         mPrepaid += tokens;
         mVms.forEach(Vm::configure);
     }
 
     /** Lets each VM believe at any moment that it is a home, or that it is none. */
-    void moveHomes() {
-        mHomesMove = true;
+    void randomizeHomes() {
+        mHomesRandom = true;
     }
 
-    void cut() {
-        mFaults = true;
+    void enableFaults() {
+        mFaultsEnabled = true;
     }
 
-    void kill(int vm) {
+    void restart(int vm) {
         mVms.get(vm).start();
     }
 
-    void giveBack(int vm) {
+    void startReturningTokens(int vm) {
         mVms.get(vm).mBook.startReturningTokens(mNowMs);
     }
 
     /** Returns the tokens that can still be spent, as a VM knows it that has just looked. */
-    long left(int vm) {
-        return mVms.get(vm).mBook.admissionState(mNowMs, ORGANISATION).unallocated() + free();
+    long unspentTokens(int vm) {
+        return mVms.get(vm).mBook.admissionState(mNowMs, ORGANISATION).unallocated() + freeTokens();
     }
 
-    long free() {
+    long freeTokens() {
         return mVms.stream().mapToLong(v -> v.mBook.holdings().get(ORGANISATION).free()).sum();
     }
 
     /** Returns the tokens that callers have had, or may still have. */
-    long drawn() {
-        return mUsed + mReserved;
+    long usedOrReserved() {
+        return mUsedTokens + mReservedTokens;
     }
 
     /** Returns how often a budget was called used up of which the tokens asked for were unspent. */
-    int falseProofs() {
-        return mFalseProofs;
+    int falseExhaustions() {
+        return mFalseExhaustions;
     }
 
     long prepaid() {
--- a/coordination/src/test/java/org/hornbeampass/coordination/escrow/SimulatedLoad.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/escrow/SimulatedLoad.java
@@ -25,17 +25,19 @@
             double kind = random.nextDouble();
             if (kind < 0.287) {
                 double prompt =
-                        part(random, 13_300, 0.7, 39_900) + part(random, 3_720, 1.1, 53_200);
+                        randomPart(random, 13_300, 0.7, 39_900)
+                                + randomPart(random, 3_720, 1.1, 53_200);
                 return Size.ofPrompt(prompt, 120, 0.2);
             }
             if (kind < 0.501) {
                 double prompt =
-                        part(random, 2_520, 0.4, 6_290)
-                                + part(random, 3_780, 0.7, 11_300)
-                                + part(random, 2_890, 1.0, 39_600);
+                        randomPart(random, 2_520, 0.4, 6_290)
+                                + randomPart(random, 3_780, 0.7, 11_300)
+                                + randomPart(random, 2_890, 1.0, 39_600);
                 return Size.ofPrompt(prompt, 50, 0.3);
             }
-            double prompt = part(random, 350, 0.6, 943) + part(random, 1_110, 1.0, 3_790);
+            double prompt =
+                    randomPart(random, 350, 0.6, 943) + randomPart(random, 1_110, 1.0, 3_790);
             return Size.ofPrompt(prompt, 170, 0.2);
         }
     };
@@ -43,27 +45,29 @@
     /**
      * One request.
      *
-     * @param most the most tokens that it may use
-     * @param used the part of them that it does use
+     * @param maxTokens the most tokens that it may use
+     * @param usedFraction the part of them that it does use
      * @param worth what it is worth to its caller
      */
-    record Size(long most, double used, double worth) {
-        static Size of(long most, double used, double worth) {
-            return new Size(most, used, worth);
+    record Size(long maxTokens, double usedFraction, double worth) {
+        static Size of(long maxTokens, double usedFraction, double worth) {
+            return new Size(maxTokens, usedFraction, worth);
         }
 
-        static Size ofPrompt(double prompt, double output, double worthOfAThousandTokens) {
-            double most = prompt + 2 * output;
+        static Size ofPrompt(double prompt, double output, double worthPerThousandTokens) {
+            double maxTokens = prompt + 2 * output;
             return new Size(
-                    (long) most, (prompt + output) / most, worthOfAThousandTokens * most / 1_000);
+                    (long) maxTokens,
+                    (prompt + output) / maxTokens,
+                    worthPerThousandTokens * maxTokens / 1_000);
         }
 
         long usedTokens() {
-            return (long) (most * used);
+            return (long) (maxTokens * usedFraction);
         }
     }
 
-    private static final double SPARE = 1.3;
+    private static final double BUDGET_FACTOR = 1.3;
     private static final int SAMPLES = 20_000;
 
     private final double mRequestsPerMs;
@@ -92,13 +96,13 @@
         double used = 0;
         for (int i = 0; i < SAMPLES; i++) {
             Size size = draw(random);
-            used += size.most() * size.used() / SAMPLES;
+            used += size.maxTokens() * size.usedFraction() / SAMPLES;
         }
-        return SPARE * mRequestsPerMs * mPaidMs * used;
+        return BUDGET_FACTOR * mRequestsPerMs * mPaidMs * used;
     }
 
-    private static double part(Random random, double mean, double spread, double most) {
+    private static double randomPart(Random random, double mean, double spread, double limit) {
         double drawn = mean * Math.exp(spread * random.nextGaussian() - spread * spread / 2);
-        return Math.min(most, drawn);
+        return Math.min(limit, drawn);
     }
 }
