--- a/coordination/src/main/java/org/hornbeampass/coordination/escrow/Admission.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/escrow/Admission.java
@@ -1,17 +1,20 @@
 package org.hornbeampass.coordination.escrow;
 
 /**
- * Whether a request's tokens could be reserved.
+ * The result of trying to reserve the tokens of a request.
  *
- * <p>Immutable; safe for use by any thread.
+ * <p>Immutable and thread-safe.
  */
 public enum Admission {
-    /** They are reserved, and must be settled. */
+    /** The tokens are reserved and must be settled later. */
     RESERVED,
-    /** The organisation has no budget, so that nothing was reserved. */
+    /** The organisation has no prepaid budget, so nothing was reserved. */
     UNMETERED,
-    /** The budget is proved to be used up: what all VMs report as spent leaves no room. */
+    /**
+     * The budget is known to be used up: the spending that all VMs have reported leaves too few
+     * tokens.
+     */
     EXHAUSTED,
-    /** This VM holds too few, but others may hold some, or the store can't be asked. */
+    /** This VM holds too few tokens, but other VMs may hold some, or the store is unreachable. */
     INSUFFICIENT_HERE
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/escrow/BudgetStatus.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/escrow/BudgetStatus.java
@@ -3,22 +3,22 @@
 import com.fasterxml.jackson.annotation.JsonFormat;
 
 /**
- * What a VM that exchanges with the store tells of one budget.
+ * The state of one budget as known to a VM that reads the store, sent to other VMs.
  *
- * <p>Immutable; safe for use by any thread.
+ * <p>Immutable and thread-safe.
  *
- * @param prepaid the whole budget, in tokens
- * @param spent how many of them were reported spent
- * @param heardAgoMs how long ago the store was heard, in milliseconds; {@link #NEVER_RECEIVED}
- *     where it was not
- * @param storeLost whether the store can't be reached there now
+ * @param prepaid the size of the whole budget, in tokens
+ * @param spent the tokens that were reported as spent
+ * @param heardAgoMs the time since the store last replied to the sender, in milliseconds; {@link
+ *     #NEVER_RECEIVED} if it never did
+ * @param storeLost whether the store is currently unreachable from the sender
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record BudgetStatus(long prepaid, long spent, long heardAgoMs, boolean storeLost) {
-    /** The age where the store was never heard. */
+    /** The value of {@code heardAgoMs} if the store has never replied. */
     static final long NEVER_RECEIVED = -1;
 
-    /** Nothing is known. */
+    /** The status of a budget about which nothing is known. */
     static final BudgetStatus UNKNOWN = new BudgetStatus(0, 0, NEVER_RECEIVED, false);
 
     boolean known() {
--- a/coordination/src/main/java/org/hornbeampass/coordination/escrow/EscrowAccount.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/escrow/EscrowAccount.java
@@ -3,19 +3,20 @@
 import java.util.OptionalLong;
 
 /**
- * What one incarnation of a VM may spend of one organisation's budget.
+ * The tokens that one incarnation of a VM may spend of one organisation's budget.
  *
- * <p>Invariant: what is spent and reserved never exceeds the limit, and the limit never exceeds
- * what the store is known to hold for this incarnation. Confined to one thread.
+ * <p>Invariant: the tokens spent and reserved never exceed the limit, and the limit never exceeds
+ * the grant that the store is known to hold for this incarnation. Not thread-safe; must be used on
+ * one thread.
  */
 final class EscrowAccount {
-    /** How fast the observed demand follows, in milliseconds. */
+    /** The time constant of the moving average of demand, in milliseconds. */
     private static final double DEMAND_DECAY_MS = 5_000;
 
     /**
-     * For how long, in milliseconds, there is taken to have been demand before the first request:
-     * an average over {@link #DEMAND_DECAY_MS} is too low while it is younger than that, and a
-     * first request alone says little.
+     * The time before the first request for which demand is assumed, in milliseconds. A moving
+     * average over {@link #DEMAND_DECAY_MS} is too low while it is younger than that, and the first
+     * request alone is a poor estimate.
      */
     private static final long ASSUMED_DEMAND_MS = 2_000;
 
@@ -47,39 +48,42 @@
     }
 
     /**
-     * Returns what this VM's own grant must cover: tokens spent, held by requests in progress and
-     * lent, less those borrowed; negative where more was borrowed than used.
+     * Returns the tokens that this VM's own grant must cover: those spent, reserved by requests in
+     * progress and lent, less those borrowed. Negative if more tokens were borrowed than used.
      */
     long used() {
         return mSpent + mReserved + mLent - mBorrowed;
     }
 
-    /** Returns whether the store holds more for this VM than it uses, or an older report. */
+    /**
+     * Returns whether the store holds a larger grant than this VM uses, or an outdated spending
+     * report.
+     */
     boolean hasUnsettledWithStore() {
         return mGranted > Math.max(0, used()) || mSpent > mReportedSpent;
     }
 
-    /** Takes tokens out for another VM, for ever. */
+    /** Deducts tokens permanently for another VM. */
     void lend(long tokens) {
         mLent += tokens;
     }
 
-    /** Takes tokens out for requests at another VM, which are demand here as well. */
+    /** Deducts tokens for requests at another VM. They count as demand of this VM as well. */
     void lendToRequests(long nowMs, long tokens) {
         mLent += tokens;
         addDemand(nowMs, tokens);
     }
 
-    /** Takes in tokens that another VM has taken out. */
+    /** Adds tokens that another VM has deducted from its account. */
     void borrow(long tokens) {
         mBorrowed += tokens;
         clearWanted();
     }
 
     /**
-     * Takes in what another VM hands over: tokens that its requests did not use, and spent ones
-     * that are to be reported from here. The latter were lent by some VM, so that what this one
-     * uses does not change.
+     * Adds the tokens that another VM transfers: those that its requests did not use, and spent
+     * tokens that this VM is to report. The latter were lent by some VM, so that the tokens used by
+     * this VM do not change.
      */
     void acceptTransfer(long nowMs, long tokens, long spent) {
         borrow(tokens);
@@ -88,7 +92,9 @@
         mLent -= spent;
     }
 
-    /** Takes out the spent tokens that no write of this VM has ever told the store of. */
+    /**
+     * Deducts and returns the spent tokens that no write of this VM has ever reported to the store.
+     */
     long takeUnreportedSpent() {
         long spent = neverWrittenSpent();
         mSpent -= spent;
@@ -100,12 +106,15 @@
         return Math.max(0, mSpent - mMaxWrittenSpent);
     }
 
-    /** Notes that a write is sent which reports all that is spent; it may never be answered. */
+    /**
+     * Records that a write which reports all spending has been sent. The write may never be
+     * answered.
+     */
     void onWriteSent() {
         mMaxWrittenSpent = Math.max(mMaxWrittenSpent, mSpent);
     }
 
-    /** Returns what the store was last seen to hold for this incarnation. */
+    /** Returns the grant of this incarnation that was last read from the store. */
     long granted() {
         return mGranted;
     }
@@ -114,12 +123,15 @@
         return mReportedSpent;
     }
 
-    /** Returns the tokens of all requests that were not admitted since the last exchange. */
+    /** Returns the tokens needed by all requests that were not admitted since the last exchange. */
     long wanted() {
         return mWanted;
     }
 
-    /** Returns the tokens of the smallest request that was not admitted since then. */
+    /**
+     * Returns the tokens needed by the smallest request that was not admitted since the last
+     * exchange.
+     */
     OptionalLong smallestWanted() {
         return mWanted > 0 ? OptionalLong.of(mSmallestWanted) : OptionalLong.empty();
     }
@@ -132,15 +144,21 @@
         return true;
     }
 
-    /** Notes a request that was not admitted; the store is looked at for it until a time. */
+    /**
+     * Records a request that was not admitted; the store is checked again for it until the given
+     * time.
+     */
     void addWanted(long tokens, long recheckUntilMs) {
         mWanted += tokens;
         mSmallestWanted = Math.min(mSmallestWanted, tokens);
         mRecheckUntilMs = Math.max(mRecheckUntilMs, recheckUntilMs);
     }
 
-    /** Returns whether requests were refused of late without a proof that the budget is used up. */
-    boolean isRecheckDue(long nowMs) {
+    /**
+     * Returns whether requests were recently refused without confirmation that the budget is used
+     * up.
+     */
+    boolean hasUnconfirmedRefusals(long nowMs) {
         return nowMs < mRecheckUntilMs;
     }
 
@@ -151,7 +169,9 @@
         addDemand(nowMs, spent);
     }
 
-    /** Forgets what requests waited for: an exchange is over, and they ask again. */
+    /**
+     * Clears the tokens that requests wait for: the exchange has ended, and the requests ask again.
+     */
     void clearWanted() {
         mWanted = 0;
         mSmallestWanted = Long.MAX_VALUE;
@@ -161,14 +181,17 @@
         mLimit = limit;
     }
 
-    /** Takes in what the store holds for this incarnation, and what of it may be spent. */
+    /**
+     * Updates the grant of this incarnation as read from the store, and how much of it may be
+     * spent.
+     */
     void onStoredGrant(long granted, long limit, long reportedSpent) {
         mGranted = granted;
         mLimit = limit;
         mReportedSpent = reportedSpent;
     }
 
-    /** Returns the tokens used in a millisecond, as observed of late. */
+    /** Returns the recent demand, in tokens per millisecond. */
     double demandPerMs(long nowMs) {
         decayDemand(nowMs);
         if (mFirstDemandMs > nowMs) {
--- a/coordination/src/main/java/org/hornbeampass/coordination/escrow/EscrowBook.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/escrow/EscrowBook.java
@@ -11,12 +11,13 @@
 import java.util.function.Consumer;
 
 /**
- * The prepaid budgets as one incarnation of a VM holds them.
+ * Holds the prepaid budgets of one incarnation of a VM.
  *
- * <p>Invariants: a request is admitted only on tokens that the store is known to hold for this
- * incarnation, and no clock, lease or peer ever makes tokens free again, so that an organisation
- * can't overspend whatever fails; a request's tokens are reserved at their most before it is sent
- * and settled once. Confined to one thread: the platform must reply on it.
+ * <p>Invariants: a request is admitted only against tokens that the store is known to have granted
+ * to this incarnation, and no clock, lease or peer makes used tokens available again, so that an
+ * organisation cannot overspend whatever fails. The maximum tokens of a request are reserved before
+ * it is sent, and settled once. Not thread-safe; the platform must reply on the thread that uses
+ * this object.
  */
 public final class EscrowBook {
     private final EscrowOwner mOwner;
@@ -25,13 +26,14 @@
     private final Map<String, Long> mPrepaid = new HashMap<>();
 
     /**
-     * Makes a book without grants, with the policy that measured best.
+     * Creates a book without grants that uses {@link GrantPolicy#DEMAND_HORIZON}.
      *
      * @param platform the store; must reply on this book's thread
-     * @param owner who holds the grants
-     * @param shards in how many records the organisations are kept; the same on all VMs for ever
-     * @param homes which VMs hold the pools of tokens
-     * @param listener hears of each change of a grant
+     * @param owner the VM incarnation that holds the grants
+     * @param shards the number of store records that the organisations are divided among; must be
+     *     the same on all VMs and never change
+     * @param homes which VMs are homes of the pools
+     * @param listener is notified of each change of a grant
      */
     public EscrowBook(
             Platform platform,
@@ -42,7 +44,7 @@
         this(platform, owner, shards, homes, GrantPolicy.DEMAND_HORIZON, listener);
     }
 
-    /** Makes a book with a policy of its own, for comparisons. */
+    /** Creates a book with another grant policy, to compare policies. */
     EscrowBook(
             Platform platform,
             EscrowOwner owner,
@@ -57,12 +59,12 @@
         }
     }
 
-    /** Returns who holds the grants. */
+    /** Returns the VM incarnation that holds the grants. */
     public EscrowOwner owner() {
         return mOwner;
     }
 
-    /** Takes the budgets of a newer configuration: levels, not increments. */
+    /** Applies the budgets of a newer configuration. They are absolute sizes, not increments. */
     public void onOrganisations(List<PrepaidOrganisation> organisations) {
         mPrepaid.clear();
         for (PrepaidOrganisation each : organisations) {
@@ -72,11 +74,11 @@
     }
 
     /**
-     * Reserves the most tokens that a request may use.
+     * Tries to reserve the maximum tokens that a request may use.
      *
-     * @param nowMs the present time in milliseconds
+     * @param nowMs the current time in milliseconds
      * @param organisation the organisation's name
-     * @param tokens how many
+     * @param tokens the tokens to reserve
      */
     public Admission admit(long nowMs, String organisation, long tokens) {
         if (tokens == 0 || !mPrepaid.containsKey(organisation)) {
@@ -86,12 +88,12 @@
     }
 
     /**
-     * Settles a request: what it did not use is free again.
+     * Settles a request and releases the tokens that it did not use.
      *
-     * @param nowMs the present time in milliseconds
+     * @param nowMs the current time in milliseconds
      * @param organisation the organisation's name
-     * @param reserved what was reserved for it
-     * @param used what it used
+     * @param reserved the tokens that were reserved for the request
+     * @param used the tokens that the request used
      */
     public void settle(long nowMs, String organisation, long reserved, long used) {
         if (reserved > 0) {
@@ -100,34 +102,37 @@
     }
 
     /**
-     * Returns whether it is worth waiting for the next exchange about an organisation's budget.
+     * Returns whether the next exchange with the store may yield tokens for a request that was just
+     * not admitted, or confirm that there are none.
      *
-     * @param nowMs the present time in milliseconds
+     * @param nowMs the current time in milliseconds
      * @param organisation the organisation's name
-     * @param tokens what a request lacks that was just not admitted
+     * @param tokens the tokens that the request needs
      */
     public boolean mayObtainTokens(long nowMs, String organisation, long tokens) {
         return shard(organisation).mayObtainTokens(nowMs, organisation, tokens);
     }
 
-    /** Returns whether the store can't be reached about an organisation's budget. */
+    /** Returns whether the store is unreachable for an organisation's budget. */
     public boolean isStoreUnreachable(long nowMs, String organisation) {
         return shard(organisation).isStoreUnreachableFor(nowMs, organisation);
     }
 
-    /** Runs an action once after the next exchange about an organisation's budget. */
+    /**
+     * Runs an action once after the next exchange with the store about an organisation's budget.
+     */
     public void afterNextExchange(long nowMs, String organisation, Runnable action) {
         shard(organisation).afterNextExchange(nowMs, action);
     }
 
-    /** Returns the tokens that organisations lack here while the store is out of reach. */
+    /** Returns the tokens that each organisation lacks here while the store is unreachable. */
     Map<String, Long> shortfalls(long nowMs) {
         Map<String, Long> shortfalls = new HashMap<>();
         mShards.forEach(s -> s.addShortfalls(nowMs, shortfalls));
         return shortfalls;
     }
 
-    /** Takes out tokens for another VM and hands them over, now or after an exchange. */
+    /** Lends tokens to another VM, immediately or after an exchange with the store. */
     void lend(long nowMs, LoanRequest request, Consumer<LoanReply> done) {
         String organisation = request.organisation();
         if (!mPrepaid.containsKey(organisation)) {
@@ -149,7 +154,7 @@
                                         organisation, tokens, shard.status(nowMs, organisation))));
     }
 
-    /** Takes in what another VM replied. */
+    /** Applies the reply of another VM to a loan request. */
     void onLoanReply(long nowMs, LoanReply reply) {
         shard(reply.organisation()).onPeerStatus(nowMs, reply.organisation(), reply.status());
         if (reply.tokens() > 0) {
@@ -157,34 +162,42 @@
         }
     }
 
-    /** Returns how many tokens to ask other VMs for beyond those that a request needs. */
+    /** Returns the tokens to request from other VMs beyond those that a request needs. */
     long extraTokens(long nowMs, String organisation) {
         return shard(organisation).extraTokens(nowMs, organisation);
     }
 
-    /** Lets this VM exchange with the store about a budget for a while: no home answers. */
+    /**
+     * Allows this VM to exchange with the store about a budget for a limited time, since no home
+     * answers.
+     */
     void allowStoreExchanges(long nowMs, String organisation) {
         shard(organisation).allowStoreExchanges(nowMs);
     }
 
-    /** As above where no other VM is known; returns whether it is worth waiting for. */
+    /**
+     * Allows this VM to exchange with the store about a budget for a limited time, since it knows
+     * no other VM.
+     *
+     * @return whether it is worth waiting for the exchange
+     */
     boolean allowStoreExchangesWithoutPeers(long nowMs, String organisation) {
         return shard(organisation).allowStoreExchangesWithoutPeers(nowMs);
     }
 
-    /** Returns the number of the pool to which an organisation's budget belongs. */
+    /** Returns the number of the pool that an organisation's budget belongs to. */
     int pool(String organisation) {
         return Math.floorMod(organisation.hashCode(), mShards.size());
     }
 
-    /** Returns one organisation of each pool that has any, by the number of the pool. */
+    /** Returns one organisation of each pool that contains any, by pool number. */
     Map<Integer, String> organisationOfEachPool() {
         Map<Integer, String> names = new HashMap<>();
         mPrepaid.keySet().forEach(o -> names.putIfAbsent(pool(o), o));
         return names;
     }
 
-    /** Takes out what this VM hands to the homes, by the number of the pool. */
+    /** Deducts and returns the tokens to transfer to the homes, by pool number. */
     Map<Integer, List<TokenTransfer>> takeTransfers(long nowMs) {
         Map<Integer, List<TokenTransfer>> transfers = new HashMap<>();
         for (int i = 0; i < mShards.size(); i++) {
@@ -198,33 +211,33 @@
         return mPrepaid.containsKey(organisation) ? shard(organisation).free(organisation) : 0;
     }
 
-    /** Takes in tokens that another VM has taken out. */
+    /** Adds tokens that another VM has deducted from its account. */
     void borrow(long nowMs, String organisation, long tokens) {
         shard(organisation).borrow(organisation, tokens);
         mListener.onLoan(nowMs, organisation, tokens);
     }
 
-    /** Takes in what another VM hands over, where the organisation is known. */
+    /** Applies a transfer from another VM. Ignored if the organisation is unknown. */
     void onTransfer(long nowMs, TokenTransfer transfer) {
         if (mPrepaid.containsKey(transfer.organisation())) {
             shard(transfer.organisation()).acceptTransfer(nowMs, transfer);
         }
     }
 
-    /** Starts what is due. */
+    /** Starts the exchanges with the store that are due. */
     public void tick(long nowMs) {
         mShards.forEach(s -> s.tick(nowMs));
     }
 
     /**
-     * Gives back all that is not in use, now and, as requests in progress end, at each tick from
-     * now on; nothing new is granted.
+     * Returns all unused tokens to the store, now and, as requests in progress end, at each later
+     * tick. No further tokens are granted to this VM.
      */
     public void startReturningTokens(long nowMs) {
         mShards.forEach(s -> s.startReturningTokens(nowMs));
     }
 
-    /** Returns whether nothing is left to give back. */
+    /** Returns whether there are no more tokens to return. */
     public boolean hasReturnedAllTokens() {
         return mShards.stream().allMatch(EscrowShard::hasReturnedAllTokens);
     }
@@ -236,19 +249,22 @@
         return holdings;
     }
 
-    /** Returns what decides on requests of an organisation now, for logs. */
+    /**
+     * Returns the state that decides whether requests of an organisation are admitted, for logs.
+     */
     public AdmissionState admissionState(long nowMs, String organisation) {
         return shard(organisation).admissionState(nowMs, organisation);
     }
 
     /**
-     * What decides on requests of one organisation.
+     * The state that decides whether requests of one organisation are admitted.
      *
      * @param free the tokens that can be reserved here
-     * @param unallocated the tokens that nobody holds, as last heard from the store
-     * @param unspent the tokens that nobody is known to have spent, as last heard
-     * @param storeReplyAgeMs how long ago that was, in milliseconds; empty where never
-     * @param storeUnreachable whether the store can't be reached now
+     * @param unallocated the tokens that are not granted to any VM, as last read from the store
+     * @param unspent the tokens not known to be spent by any VM, as last read
+     * @param storeReplyAgeMs the time since the store last replied, in milliseconds; empty if it
+     *     never did
+     * @param storeUnreachable whether the store is currently unreachable
      */
     public record AdmissionState(
             long free,
@@ -258,11 +274,11 @@
             boolean storeUnreachable) {}
 
     /**
-     * What this VM holds of one budget.
+     * The tokens that this VM holds of one budget.
      *
      * @param granted all tokens granted to this incarnation
-     * @param free those that can be reserved
-     * @param spent those that requests used
+     * @param free the tokens that can be reserved
+     * @param spent the tokens that requests used
      */
     public record Holding(long granted, long free, long spent) {}
 
--- a/coordination/src/main/java/org/hornbeampass/coordination/escrow/EscrowLoans.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/escrow/EscrowLoans.java
@@ -18,33 +18,36 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Moves unspent tokens between VMs, so that a few exchange with the store for all, and all have one
- * pool while it can't help.
+ * Moves unspent tokens between VMs, so that only a few VMs need to exchange with the store, and all
+ * VMs can share their tokens while it is unreachable.
  *
- * <p>A request that finds too few tokens waits for a {@link LoanSearch}, first among the homes of
- * its organisation's pool. What requests leave goes back to a home, and so does the reporting of
- * what they spent. A home that the store turns away borrows ahead from those that it serves.
+ * <p>A request for which this VM has too few tokens waits for a {@link LoanSearch}, which first
+ * asks the homes of the organisation's pool. Unused tokens, and the duty to report spent ones, are
+ * transferred back to a home. A home that cannot reach the store borrows from other VMs before
+ * requests need the tokens, from the other homes if there are any.
  *
- * <p>Invariant: tokens are taken from the lender before they are sent, and counted by the borrower
- * once, when the reply arrives; a lost reply loses them and never doubles them. Confined to the
- * book's thread: the network must reply on it.
+ * <p>Invariant: the lender deducts tokens before it sends them, and the borrower adds them once,
+ * when the reply arrives; if the reply is lost, the tokens are lost, never duplicated. Not
+ * thread-safe; must be used on the thread of the {@link EscrowBook}, and the network must reply on
+ * it.
  */
 public final class EscrowLoans {
-    /** How long a reply may take, in milliseconds; peers answer within a few. */
+    /** The timeout of a reply, in milliseconds; other VMs normally answer within a few. */
     private static final long REPLY_TIMEOUT_MS = 500;
 
-    /** How often loans ahead of requests are looked for, in milliseconds. */
+    /** The interval at which transfers and loans ahead of requests are started, in milliseconds. */
     private static final long INTERVAL_MS = 200;
 
     /**
-     * How long a search that found too little is not repeated, in milliseconds: an organisation
-     * whose tokens are used up everywhere would have all its requests ask all VMs.
+     * The time after an unsuccessful search during which it is not repeated, in milliseconds.
+     * Otherwise, each request of an organisation whose tokens are used up everywhere would ask all
+     * VMs.
      */
     private static final long SEARCH_RETRY_MS = 300;
 
     /**
-     * For how long a VM that did not answer is asked last, in milliseconds; it takes the fleet some
-     * three seconds to see that it is gone.
+     * The time during which a VM that did not answer is asked last, in milliseconds. The fleet
+     * takes about three seconds to detect that a VM is gone.
      */
     private static final long UNRESPONSIVE_MS = 2_000;
 
@@ -61,12 +64,12 @@
     private long mNextTickMs;
 
     /**
-     * Makes the loans of one book.
+     * Creates the loans of one book.
      *
-     * @param book the book
+     * @param book the book whose tokens are lent and borrowed
      * @param peers sends messages to other VMs
-     * @param homes tells which VMs hold the pools, and which others there are
-     * @param random chooses whom to ask
+     * @param homes which VMs are homes of the pools, and which other VMs there are
+     * @param random chooses the VMs to ask
      */
     public EscrowLoans(
             EscrowBook book, PeerNetwork peers, PoolHomes homes, RandomGenerator random) {
@@ -77,13 +80,15 @@
     }
 
     /**
-     * Looks for tokens at other VMs for a request that waits; at the store where none is known.
+     * Looks for tokens for a waiting request, at other VMs or, if no other VM is known, in the
+     * store.
      *
-     * @param nowMs the present time in milliseconds
+     * @param nowMs the current time in milliseconds
      * @param organisation the organisation's name
-     * @param tokens how many the request needs
-     * @param done run once when the search is over, whatever it found; not where false is returned
-     * @return whether a search is under way; false where there is no hope now
+     * @param tokens the tokens that the request needs
+     * @param done run once when the search ends, whatever it found; not run if this method returns
+     *     false
+     * @return whether a search is in progress; false if no tokens can be expected at present
      */
     public boolean search(long nowMs, String organisation, long tokens, Runnable done) {
         LoanSearch open = mSearches.get(organisation);
@@ -126,7 +131,7 @@
         return helps;
     }
 
-    /** Returns the homes to ask, those that were silent of late last. */
+    /** Returns the homes to ask, those that recently did not answer last. */
     private List<String> homesToAsk(long nowMs, int pool) {
         List<String> homes = new ArrayList<>();
         List<String> unresponsive = new ArrayList<>();
@@ -153,8 +158,8 @@
     }
 
     /**
-     * Hands what this VM does not need to a home of its pool; at a home that has lost the store,
-     * asks another one for each organisation whose tokens run low.
+     * Transfers unneeded tokens to a home of their pool. A home for which the store is unreachable
+     * asks another VM for tokens of each organisation that runs low.
      */
     public void tick(long nowMs) {
         if (nowMs < mNextTickMs) {
@@ -166,14 +171,15 @@
         }
         mBook.organisationOfEachPool()
                 .forEach((pool, name) -> connectToNewHomes(nowMs, pool, name));
-        mBook.takeTransfers(nowMs).forEach((pool, gifts) -> sendTransfers(nowMs, pool, gifts));
+        mBook.takeTransfers(nowMs)
+                .forEach((pool, transfers) -> sendTransfers(nowMs, pool, transfers));
         mBook.shortfalls(nowMs)
                 .forEach((organisation, tokens) -> borrowAhead(nowMs, organisation, tokens));
     }
 
     /**
-     * Asks new homes of a pool for nothing, so that the connection to them is there, and what they
-     * know of a budget is known, before a request waits for their tokens.
+     * Sends an empty loan request to each new home of a pool, so that the connection exists and the
+     * home's knowledge of a budget is known before a request has to wait for tokens.
      */
     private void connectToNewHomes(long nowMs, int pool, String organisation) {
         List<String> homes = mHomes.otherHomes(pool);
@@ -191,11 +197,14 @@
         }
     }
 
-    /** Sends to the first home that was not silent of late: what a dead one is sent is lost. */
+    /**
+     * Sends transfers to the first home that has not recently failed to answer, since what is sent
+     * to an unreachable home is lost.
+     */
     private void sendTransfers(long nowMs, int pool, List<TokenTransfer> transfers) {
         List<String> homes = homesToAsk(nowMs, pool);
         String home = homes.isEmpty() ? chooseAny(mHomes.otherVms()) : homes.get(0);
-        transfers.forEach(g -> mPeers.send(home, g));
+        transfers.forEach(t -> mPeers.send(home, t));
     }
 
     private String chooseAny(List<String> names) {
@@ -222,12 +231,12 @@
         }
     }
 
-    /** Answers another VM. */
+    /** Answers a loan request of another VM. */
     public void onRequest(long nowMs, VmId from, LoanRequest request, Consumer<PeerMessage> reply) {
         mBook.lend(nowMs, request, reply::accept);
     }
 
-    /** Takes what another VM hands over; dropped where the organisation is not known. */
+    /** Applies a transfer from another VM. Ignored if the organisation is unknown. */
     public void onTransfer(
             long nowMs, VmId from, TokenTransfer transfer, Consumer<PeerMessage> reply) {
         mBook.onTransfer(nowMs, transfer);
--- a/coordination/src/main/java/org/hornbeampass/coordination/escrow/EscrowOwner.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/escrow/EscrowOwner.java
@@ -1,12 +1,13 @@
 package org.hornbeampass.coordination.escrow;
 
 /**
- * Who holds grants: one life of one VM.
+ * Identifies the holder of grants: one incarnation of a VM.
  *
- * <p>Immutable; safe for use by any thread.
+ * <p>Immutable and thread-safe.
  *
- * @param vm the VM's name, the same after a restart
- * @param incarnation this life; from a strong random source, never from a clock, since a clock that
- *     is set back would give a life the grants of an earlier one
+ * @param vm the VM's name, which stays the same after a restart
+ * @param incarnation the incarnation's unique id. It must come from a strong random source, never
+ *     from a clock: if the clock is set back, an incarnation would receive the grants of an earlier
+ *     one.
  */
 public record EscrowOwner(String vm, String incarnation) {}
--- a/coordination/src/main/java/org/hornbeampass/coordination/escrow/EscrowRecord.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/escrow/EscrowRecord.java
@@ -5,33 +5,34 @@
 import java.util.TreeMap;
 
 /**
- * What one shard of the budgets looks like in the store: for each organisation, who holds grants.
+ * The stored form of one shard of the budgets: the holders of grants of each organisation.
  *
  * <p>Invariant: the sum of {@code closed} and all grants of an organisation is never raised above
- * its prepaid level; a holder's grant is lowered by that holder alone. Immutable by convention: a
- * change is made on a copy. Safe for use by any thread while nobody changes it.
+ * its prepaid budget, and a holder's grant is lowered only by that holder. Immutable by convention:
+ * changes are made to a copy. Thread-safe unless it is modified.
  *
- * @param organisations by name
+ * @param organisations grants by organisation name
  */
 public record EscrowRecord(
         @JsonProperty("organisations") TreeMap<String, Organisation> organisations) {
     /**
      * The grants of one organisation.
      *
-     * @param closed tokens of holders that are gone; they count as spent for ever
-     * @param closedSpent how many of these were reported spent
-     * @param holders by incarnation
+     * @param closed the tokens granted to holders that no longer exist; they count as spent
+     *     permanently
+     * @param closedSpent how many of the closed tokens were reported as spent
+     * @param holders the current holders by incarnation
      */
     public record Organisation(
             @JsonProperty("closed") long closed,
             @JsonProperty("closed_spent") long closedSpent,
             @JsonProperty("holders") TreeMap<String, Holder> holders) {
-        /** Returns the tokens that are spoken for. */
+        /** Returns the tokens that were granted to current and former holders. */
         public long granted() {
             return closed + holders.values().stream().mapToLong(Holder::granted).sum();
         }
 
-        /** Returns the tokens that were reported spent: what is certain to be gone. */
+        /** Returns the tokens that were reported as spent. */
         public long spent() {
             return closedSpent + holders.values().stream().mapToLong(Holder::spent).sum();
         }
@@ -41,8 +42,8 @@
      * The grant of one incarnation of a VM.
      *
      * @param vm the VM's name
-     * @param granted all tokens that it was ever granted, less what it returned
-     * @param spent how many of these it has reported spent
+     * @param granted all tokens ever granted to it, less those returned
+     * @param spent the tokens that it has reported as spent
      */
     public record Holder(
             @JsonProperty("vm") String vm,
--- a/coordination/src/main/java/org/hornbeampass/coordination/escrow/EscrowShard.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/escrow/EscrowShard.java
@@ -10,61 +10,68 @@
 import java.util.function.LongConsumer;
 
 /**
- * The budgets that lie in one record of the store.
+ * Manages the budgets that are kept in one record of the store.
  *
  * <p>Invariants: a limit is raised only once the store is known to hold the grant, and lowered
- * before the lower grant is sent; while a write may still be carried out, no read of the version on
- * which it was based raises a limit. Confined to one thread.
+ * before the lower grant is sent. While a write may still be applied, no read of the version on
+ * which it was based raises a limit. Not thread-safe; must be used on one thread.
  */
 final class EscrowShard implements RecordExchange.Handler {
-    /** How often spending is reported at most, so that a budget's end is known. */
+    /** The minimum interval between exchanges made only to report spending, in milliseconds. */
     private static final long REPORT_INTERVAL_MS = 3_000;
 
     /**
-     * The part of what is unspent that is worth a report by itself: while most of a budget is
-     * there, nobody needs to know how much exactly.
+     * Spending is reported only if it is at least the unspent tokens divided by this number: while
+     * most of a budget is left, the other VMs do not need the exact amount.
      */
     private static final long REPORT_DIVISOR = 50;
 
     /**
-     * For how long a VM that is no home exchanges with the store after it was asked for tokens as
-     * if it were one, or found no home that answers, in milliseconds: until members are known.
+     * The time for which a VM that is not a home may exchange with the store, in milliseconds,
+     * after another VM took it for a home or after no home answered it. It covers the time until
+     * all VMs know the same members.
      */
     private static final long DIRECT_EXCHANGE_MS = 3_000;
 
     /**
-     * How long an exchange may take before another VM that waits for it is answered with what is
-     * there, in milliseconds; it gives up after {@link LoanSearch#TIMEOUT_MS}, and what it is lent
-     * later is lost.
+     * The time after which another VM that waits for an exchange receives what is available, in
+     * milliseconds. That VM gives up after {@link LoanSearch#TIMEOUT_MS}, and tokens lent later are
+     * lost.
      */
     private static final long LENDER_WAIT_MS = 60;
 
     /**
-     * How often the store is looked at for an organisation whose requests were refused without a
-     * proof: often enough that the next refusal is a proof, where there is one.
+     * The interval at which the store is checked for an organisation whose requests were refused
+     * without confirmation that its budget is used up. It is short enough that the next refusal can
+     * be confirmed.
      */
     private static final long RECHECK_INTERVAL_MS = KnownBudgets.MAX_PROOF_AGE_MS / 2;
 
     /**
-     * For how long the store is looked at after the last such refusal, in milliseconds: callers
-     * come back within their own time limit, which is 12 s at the most on the sheets at hand.
+     * The time for which the store is checked after the last unconfirmed refusal, in milliseconds.
+     * Callers retry within their own time limit, which is at most 12 s.
      */
     private static final long RECHECK_MS = 12_000;
 
     /**
-     * The shortest pause between exchanges, in milliseconds, so that requests that wait at a home
-     * are served by one of them also where it holds less than one of them needs. Its gain was not
-     * measured apart.
+     * The minimum interval between exchanges, in milliseconds. One exchange then serves several
+     * requests that wait at a home, even if the home holds less than any of them needs.
      */
     private static final long MIN_INTERVAL_MS = 50;
 
-    /** The shortest pause between exchanges that no request waits for. */
+    /** The minimum interval between exchanges that no request waits for, in milliseconds. */
     private static final long IDLE_INTERVAL_MS = 500;
 
-    /** The pause between returns of what requests in progress leave at a shutdown. */
+    /**
+     * The minimum interval between exchanges that return the tokens of ended requests during a
+     * shutdown, in milliseconds.
+     */
     private static final long RETURN_INTERVAL_MS = 200;
 
-    /** A call that takes longer is no reason for a request to wait; answers take milliseconds. */
+    /**
+     * The time after which requests no longer wait for an open call to the store, in milliseconds.
+     * Replies normally take a few.
+     */
     private static final long SLOW_CALL_MS = 150;
 
     private final EscrowOwner mOwner;
@@ -124,8 +131,8 @@
     }
 
     /**
-     * Returns whether the store can be reached and may have the tokens that a request waits for, or
-     * the proof that there are none.
+     * Returns whether the store is reachable and may have the tokens that a request waits for, or
+     * may confirm that there are none.
      */
     boolean mayObtainTokens(long nowMs, String organisation, long tokens) {
         if (!mExchange.isVersionKnown()
@@ -149,33 +156,34 @@
         return least.isPresent() && storeMayHave(organisation, least.getAsLong());
     }
 
-    /** Returns whether calls to the store fail, or go without an answer for too long. */
+    /** Returns whether calls to the store fail, or have been open for too long. */
     boolean isStoreUnreachable(long nowMs) {
         return mExchange.isFailing() || mExchange.openForMs(nowMs) >= SLOW_CALL_MS;
     }
 
-    /** Returns whether the store is out of reach here, or at the home that told of it last. */
+    /**
+     * Returns whether the store is unreachable for this VM, or for another VM whose report is newer
+     * than the store's last reply to this VM.
+     */
     boolean isStoreUnreachableFor(long nowMs, String organisation) {
         return isStoreUnreachable(nowMs) || mKnownBudgets.peerReportedStoreLost(organisation);
     }
 
-    /** Adds the tokens that organisations lack here while the store is out of reach. */
+    /** Adds the tokens that organisations lack here while the store is unreachable. */
     void addShortfalls(long nowMs, Map<String, Long> shortfalls) {
         if (isStoreUnreachable(nowMs) && !mReturning) {
             mLending.addShortfalls(nowMs, shortfalls);
         }
     }
 
-    /**
-     * Takes out tokens for requests that will come to another VM, where the store replaces them.
-     */
+    /** Lends tokens for future requests at another VM, if the store can replace them. */
     long lendAhead(long nowMs, LoanRequest request) {
         return isStoreUnreachable(nowMs) || mReturning ? 0 : mLending.lendAhead(nowMs, request);
     }
 
     /**
-     * Takes out tokens for requests that wait at another VM; where there are too few, and the store
-     * may have more, after the next exchange with it.
+     * Lends tokens for requests that wait at another VM. If there are too few, and the store may
+     * have more, this happens after the next exchange with the store.
      */
     void lendToWaiting(long nowMs, LoanRequest request, LongConsumer done) {
         if (mReturning) {
@@ -197,22 +205,23 @@
         tick(nowMs);
     }
 
-    /** Returns how many tokens to ask other VMs for beyond those that a request needs. */
+    /** Returns the tokens to request from other VMs beyond those that a request needs. */
     long extraTokens(long nowMs, String organisation) {
         return mLending.extraTokens(nowMs, organisation);
     }
 
-    /** Lets this VM exchange with the store for a while, since no home answers. */
+    /** Allows this VM to exchange with the store for a limited time, since no home answers. */
     void allowStoreExchanges(long nowMs) {
         mDirectUntilMs = nowMs + DIRECT_EXCHANGE_MS;
     }
 
     /**
-     * Lets a VM that knows no other exchange with the store for what its requests need, and for no
-     * more, since it is no home. A VM knows nobody for up to a second after all have lost power.
+     * Allows a VM that knows no other VM to exchange with the store, but only for the tokens that
+     * its requests need, since it is not a home. After all VMs lost power, a VM knows no other for
+     * up to a second.
      *
-     * @return whether it is worth waiting for the next exchange: not where the store is out of
-     *     reach, or is being asked already and lacks the tokens
+     * @return whether it is worth waiting for the next exchange; false if the store is unreachable,
+     *     or if it was already asked and lacks the tokens
      */
     boolean allowStoreExchangesWithoutPeers(long nowMs) {
         boolean allowed =
@@ -262,7 +271,7 @@
         return mAccounts.values().stream().noneMatch(EscrowAccount::hasUnsettledWithStore);
     }
 
-    /** Takes out what this VM hands to a home. */
+    /** Deducts and returns the tokens to transfer to a home. */
     List<TokenTransfer> takeTransfers(long nowMs) {
         return mLending.takeTransfers(nowMs, mReturning, () -> !isStoreUnreachable(nowMs));
     }
@@ -326,7 +335,7 @@
                 .anyMatch(o -> needsExchange(nowMs, o, reportDue));
     }
 
-    /** Returns whether this VM is one of those that exchange with the store. */
+    /** Returns whether this VM currently exchanges with the store. */
     private boolean exchangesWithStore(long nowMs) {
         return nowMs < mDirectUntilMs || mHomes.isHome(mPool);
     }
@@ -334,7 +343,7 @@
     private boolean needsExchange(long nowMs, String organisation, boolean reportDue) {
         EscrowAccount account = mAccounts.get(organisation);
         if (!mKnownBudgets.isRecordKnown()
-                || (account.isRecheckDue(nowMs)
+                || (account.hasUnconfirmedRefusals(nowMs)
                         && !mKnownBudgets.repliedWithin(nowMs, RECHECK_INTERVAL_MS))) {
             return true;
         }
@@ -350,15 +359,17 @@
     }
 
     /**
-     * Returns what this VM can return to the store: only what the store has granted to it. What
-     * others handed over stays for their requests; homes that held such tokens wrote the same
-     * record every 600 ms.
+     * Returns the tokens that this VM can return to the store: at most those that the store granted
+     * to it. Tokens transferred by other VMs are kept for their requests; otherwise a home that
+     * held such tokens would write the same record every 600 ms.
      */
     private static long returnableTokens(EscrowAccount account, long target) {
         return Math.min(account.free() - target, account.granted());
     }
 
-    /** Returns whether a budget's end would be known noticeably later without a report. */
+    /**
+     * Returns whether, without a report, the end of a budget would be detected noticeably later.
+     */
     private boolean isWorthReporting(EscrowAccount account, String organisation) {
         long unreported = account.spent() - account.reportedSpent();
         return unreported > 0 && unreported >= unspent(organisation) / REPORT_DIVISOR;
--- a/coordination/src/main/java/org/hornbeampass/coordination/escrow/GrantListener.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/escrow/GrantListener.java
@@ -1,12 +1,12 @@
 package org.hornbeampass.coordination.escrow;
 
 /**
- * Hears of each change of what this VM holds, for logs.
+ * Receives each change of the tokens that this VM holds, for logs.
  *
- * <p>Called on the book's thread.
+ * <p>Called on the thread of the {@link EscrowBook}.
  */
 public interface GrantListener {
-    /** Hears nothing. */
+    /** Ignores all changes. */
     GrantListener NONE =
             new GrantListener() {
                 @Override
@@ -17,31 +17,31 @@
             };
 
     /**
-     * A grant was taken, or some of it returned.
+     * Called when this VM's grant has grown or shrunk.
      *
-     * @param nowMs the present time in milliseconds
+     * @param nowMs the current time in milliseconds
      * @param organisation the organisation's name
-     * @param change what changed
+     * @param change the change of the grant
      */
     void onGrant(long nowMs, String organisation, Change change);
 
     /**
-     * Tokens were borrowed from another VM.
+     * Called when tokens were borrowed from another VM.
      *
-     * @param nowMs the present time in milliseconds
+     * @param nowMs the current time in milliseconds
      * @param organisation the organisation's name
-     * @param tokens how many
+     * @param tokens the tokens borrowed
      */
     void onLoan(long nowMs, String organisation, long tokens);
 
     /**
      * A change of a grant, in tokens.
      *
-     * @param before what was granted before
-     * @param after what is granted now
-     * @param free what of it can be reserved
-     * @param unallocated what of the budget nobody holds
-     * @param unspent what of the budget nobody has reported spent
+     * @param before the grant before the change
+     * @param after the grant after the change
+     * @param free the tokens that requests can reserve here now
+     * @param unallocated the tokens of the budget that are not granted to any VM
+     * @param unspent the tokens of the budget that no VM has reported as spent
      */
     record Change(long before, long after, long free, long unallocated, long unspent) {}
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/escrow/GrantPlan.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/escrow/GrantPlan.java
@@ -4,25 +4,27 @@
 import java.util.TreeMap;
 
 /**
- * What this VM wants the store to hold: its grants, its reports, and former lives closed.
+ * Plans the record that this VM writes to the store: its own grants and spending reports, with the
+ * entries of its former incarnations closed.
  *
- * <p>Invariant: a plan never raises what is granted of a budget above its level, and changes the
- * grant of no other life than this VM's own and its former ones. Confined to one thread.
+ * <p>Invariant: a plan never raises the granted tokens of a budget above its size, and changes only
+ * the grants of this VM's current and former incarnations. Not thread-safe; must be used on one
+ * thread.
  */
 final class GrantPlan {
     /**
-     * The part of a budget that each VM is taken to have used before any was: a VM that serves all
-     * of an organisation is known for it after some percent of the budget.
+     * The fraction of a budget that each VM is assumed to have used at the start. If one VM serves
+     * all requests of an organisation, this shows after a few percent of the budget.
      */
     private static final double PRIOR_FRACTION = 0.01;
 
     /**
-     * The part of a budget that is worth an exchange by itself. Near a budget's end eight VMs
-     * passed crumbs to each other, at two calls a crumb.
+     * Tokens are moved only if they are at least the budget divided by this number. Otherwise, near
+     * the end of a budget, eight VMs passed tiny amounts to each other at two calls each.
      */
     private static final long MIN_TRANSFER_DIVISOR = 1_000;
 
-    /** Tokens beyond the target are returned once they exceed it by this part of it. */
+    /** Surplus tokens are returned once they exceed the target divided by this number. */
     private static final long RETURN_DIVISOR = 2;
 
     private final EscrowOwner mOwner;
@@ -47,7 +49,7 @@
         mPool = pool;
     }
 
-    /** Returns the record with this VM's wishes in it. */
+    /** Returns the record to write, with this VM's planned grants and reports. */
     EscrowRecord nextRecord(long nowMs, boolean returning) {
         EscrowRecord next = mKnownBudgets.record().copy();
         for (String organisation : mKnownBudgets.organisations()) {
@@ -56,7 +58,10 @@
         return next;
     }
 
-    /** Returns whether so many tokens are worth an exchange, and may be had. */
+    /**
+     * Returns whether the given tokens, limited to those still unallocated, are worth an exchange
+     * with the store.
+     */
     boolean isWorthTaking(String organisation, long tokens) {
         return Math.min(mKnownBudgets.unallocated(organisation), tokens)
                 >= minTransfer(organisation);
@@ -66,14 +71,14 @@
         return Math.max(1, mKnownBudgets.prepaid(organisation) / MIN_TRANSFER_DIVISOR);
     }
 
-    /** Returns whether so many tokens beyond the target are worth returning. */
+    /** Returns whether the given surplus over the target is worth returning. */
     boolean isWorthReturning(String organisation, long target, long surplus) {
         return surplus > target / RETURN_DIVISOR && surplus >= minTransfer(organisation);
     }
 
     /**
-     * Returns how many unspent tokens this VM should hold; one that is no home needs only those
-     * that its requests wait for.
+     * Returns how many unspent tokens this VM should hold. A VM that is not a home needs only the
+     * tokens that its requests wait for.
      */
     long target(long nowMs, String organisation) {
         EscrowAccount account = mAccounts.get(organisation);
@@ -87,7 +92,9 @@
                         - stored.closed()
                         - (stored.spent() - stored.closedSpent())
                         - unreported;
-        // Tokens that a dead VM had lent count as its own, and once more as they are spent.
+        // The difference above counts tokens lent by a VM that is gone twice once they are spent:
+        // as
+        // its closed grant and as spending of the borrower.
         long left = Math.max(unspent, mKnownBudgets.prepaid(organisation) - stored.granted());
         if (left <= 0) {
             return 0;
@@ -103,7 +110,9 @@
                         mKnownBudgets.prepaid(organisation)));
     }
 
-    /** Returns this VM's part in what was used; all homes alike while little was. */
+    /**
+     * Returns this VM's fraction of the used tokens; about equal for all homes while few were used.
+     */
     private double usageShare(String organisation, EscrowRecord.Organisation stored, int homes) {
         EscrowAccount account = mAccounts.get(organisation);
         double prior = PRIOR_FRACTION * mKnownBudgets.prepaid(organisation);
@@ -118,7 +127,10 @@
         return own == null ? 0 : own.granted();
     }
 
-    /** Returns an organisation's grants with this VM's wishes, reports and former lives in them. */
+    /**
+     * Returns an organisation's grants with this VM's planned grant and report, and the entries of
+     * its former incarnations closed.
+     */
     private EscrowRecord.Organisation plannedGrants(
             long nowMs, String organisation, boolean returning) {
         EscrowRecord.Organisation stored = mKnownBudgets.stored(organisation);
--- a/coordination/src/main/java/org/hornbeampass/coordination/escrow/KnownBudgets.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/escrow/KnownBudgets.java
@@ -7,22 +7,23 @@
 import java.util.Set;
 
 /**
- * What a VM knows of the budgets of one record: their levels, and the record as last seen.
+ * Holds what a VM knows of the budgets of one store record: their sizes and the record as last
+ * read.
  *
- * <p>Confined to one thread.
+ * <p>Not thread-safe; must be used on one thread.
  */
 final class KnownBudgets {
     /**
-     * How old the last word of the store may be for a proof that a budget is used up, in
-     * milliseconds. Reports of spending only grow, but a level that was raised may not have come
-     * here while the store is out of reach.
+     * The maximum age of the store's last reply for concluding that a budget is used up, in
+     * milliseconds. Reported spending only grows, but a budget may have been raised without this VM
+     * knowing while the store is unreachable.
      */
     static final long MAX_PROOF_AGE_MS = 4_000;
 
-    /** Tokens of a budget of which the store has not been heard yet. */
+    /** The assumed tokens of a budget about which the store has not yet replied. */
     private static final long UNKNOWN_TOKENS = Long.MAX_VALUE / 2;
 
-    /** What another VM told, and when the store said so, in milliseconds. */
+    /** The status that another VM reported, and when the store confirmed it, in milliseconds. */
     private record PeerReport(BudgetStatus status, long storeReplyMs) {}
 
     private final Map<String, Long> mPrepaid = new HashMap<>();
@@ -51,7 +52,7 @@
         return mRecord.organisation(organisation);
     }
 
-    /** Notes a word of the store. */
+    /** Records that the store has replied. */
     void onStoreReply(long nowMs) {
         mLastReplyMs = nowMs;
     }
@@ -60,7 +61,7 @@
         mRecord = record;
     }
 
-    /** Notes that the record is what the store holds. */
+    /** Records that the known record is the one in the store. */
     void markRecordKnown() {
         mRecordKnown = true;
     }
@@ -69,17 +70,23 @@
         return mRecordKnown;
     }
 
-    /** Returns how long ago the store was heard, in milliseconds; empty where it never was. */
+    /**
+     * Returns the time since the store last replied, in milliseconds; empty if the record was never
+     * read.
+     */
     OptionalLong storeReplyAgeMs(long nowMs) {
         return mRecordKnown ? OptionalLong.of(nowMs - mLastReplyMs) : OptionalLong.empty();
     }
 
-    /** Returns whether the store was heard within a time in milliseconds. */
+    /** Returns whether the store replied within the given time in milliseconds. */
     boolean repliedWithin(long nowMs, long ms) {
         return nowMs - mLastReplyMs < ms;
     }
 
-    /** Takes what another VM tells of a budget, where it is newer than what is known here. */
+    /**
+     * Applies the status of a budget that another VM reports, unless an earlier report about that
+     * budget is newer.
+     */
     void onPeerStatus(long nowMs, String organisation, BudgetStatus status) {
         long storeReplyMs = nowMs - status.heardAgoMs();
         Optional<PeerReport> before = Optional.ofNullable(mPeerReports.get(organisation));
@@ -89,7 +96,7 @@
         }
     }
 
-    /** Returns what this VM can tell others of a budget. */
+    /** Returns the status of a budget to report to other VMs. */
     BudgetStatus status(long nowMs, String organisation, boolean storeLost) {
         if (!mRecordKnown) {
             return BudgetStatus.UNKNOWN;
@@ -101,7 +108,9 @@
                 storeLost);
     }
 
-    /** Returns whether what is known of a budget is new enough for a proof. */
+    /**
+     * Returns whether the knowledge of a budget is recent enough to conclude that it is used up.
+     */
     boolean isFresh(long nowMs, String organisation) {
         return repliedWithin(nowMs, MAX_PROOF_AGE_MS)
                 || newerPeerReport(organisation)
@@ -109,20 +118,24 @@
                         .isPresent();
     }
 
-    /** Returns whether the VM that told last of a budget had lost the store. */
+    /**
+     * Returns whether another VM reported that the store was unreachable for it, and its report is
+     * newer than the store's last reply to this VM.
+     */
     boolean peerReportedStoreLost(String organisation) {
         return newerPeerReport(organisation).filter(t -> t.status().storeLost()).isPresent();
     }
 
-    /** Returns what another VM told, where that is newer than the store's own last word. */
+    /** Returns the report of another VM, if it is newer than the store's last reply to this VM. */
     private Optional<PeerReport> newerPeerReport(String organisation) {
         return Optional.ofNullable(mPeerReports.get(organisation))
                 .filter(t -> t.storeReplyMs() > mLastReplyMs);
     }
 
     /**
-     * Returns the tokens that nobody is known to have spent, this VM's account included. Of two
-     * levels the higher one counts, so that an older level is no proof against a raised budget.
+     * Returns the tokens not known to be spent by any VM, taking this VM's account into account. Of
+     * two known budget sizes the larger one is used, so that an outdated size cannot show a raised
+     * budget as used up.
      */
     long unspent(String organisation, EscrowAccount account) {
         Optional<PeerReport> report = newerPeerReport(organisation);
@@ -137,7 +150,7 @@
         return prepaid(organisation) - stored(organisation).spent() - unreported;
     }
 
-    /** Returns the tokens that nobody holds, as far as known. */
+    /** Returns the tokens that are not granted to any VM, as far as known. */
     long unallocated(String organisation) {
         return mRecordKnown
                 ? prepaid(organisation) - stored(organisation).granted()
--- a/coordination/src/main/java/org/hornbeampass/coordination/escrow/LoanReply.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/escrow/LoanReply.java
@@ -5,13 +5,14 @@
 import org.hornbeampass.coordination.peer.PeerMessage;
 
 /**
- * Hands tokens over: the sender will never spend them, whether this arrives or not.
+ * Lends tokens to the receiver. The sender has already deducted them and never spends them, whether
+ * this message arrives or not.
  *
- * <p>Immutable; safe for use by any thread.
+ * <p>Immutable and thread-safe.
  *
  * @param organisation the organisation's name
- * @param tokens how many; 0 where none can be spared
- * @param status what the sender knows of the budget
+ * @param tokens the tokens lent; 0 if none can be spared
+ * @param status the state of the budget as known to the sender
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record LoanReply(String organisation, long tokens, BudgetStatus status)
--- a/coordination/src/main/java/org/hornbeampass/coordination/escrow/LoanRequest.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/escrow/LoanRequest.java
@@ -5,20 +5,20 @@
 import org.hornbeampass.coordination.peer.PeerMessage;
 
 /**
- * Asks another VM for some of its unspent tokens, for good.
+ * Asks another VM for some of its unspent tokens, which are not paid back.
  *
- * <p>Immutable; safe for use by any thread.
+ * <p>Immutable and thread-safe.
  *
  * @param organisation the organisation's name
- * @param needed how many requests wait for; 0 where they are for requests to come
- * @param tokens how many are wanted, those needed included
- * @param atHome whether the receiver is taken for a home of the organisation's pool, which gets
- *     from the store what it lacks
+ * @param needed the tokens that requests wait for; 0 if the tokens are for future requests
+ * @param tokens the tokens wanted, including those needed
+ * @param atHome whether the sender takes the receiver for a home of the organisation's pool, which
+ *     gets missing tokens from the store
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record LoanRequest(String organisation, long needed, long tokens, boolean atHome)
         implements PeerMessage {
-    /** Returns whether a request waits for them. */
+    /** Returns whether a request waits for the tokens. */
     boolean waiting() {
         return needed > 0;
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/escrow/LoanSearch.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/escrow/LoanSearch.java
@@ -19,17 +19,21 @@
 /**
  * Asks one VM after another for the tokens that requests of one organisation wait for.
  *
- * <p>Invariants: one VM is asked at a time, each once; all who wait are told once, when enough was
- * found or nobody is left to ask. Confined to the book's thread.
+ * <p>Invariants: one VM is asked at a time, and each at most once. Every waiting request is
+ * notified once, when enough tokens were found or all VMs were asked. Not thread-safe; must be used
+ * on the thread of the {@link EscrowBook}.
  */
 final class LoanSearch {
     /**
-     * How long one VM may take to answer, in milliseconds: an exchange with the store included. A
-     * request waits for little longer.
+     * The timeout of one VM's reply, in milliseconds, including an exchange with the store. It is
+     * little shorter than the time for which a request waits.
      */
     static final long TIMEOUT_MS = 250;
 
-    /** How many VMs are asked: eight answer within some 30 ms, where messages take 1.4 ms. */
+    /**
+     * The maximum number of VMs to ask. Eight VMs answer within about 30 ms where a message takes
+     * 1.4 ms.
+     */
     private static final int MAX_PEERS = 8;
 
     private final EscrowBook mBook;
@@ -58,7 +62,9 @@
         mOnEnded = onEnded;
     }
 
-    /** Returns whom to ask: homes, then whoever lent last, then others drawn at random. */
+    /**
+     * Returns the VMs to ask: the homes, then the VM that lent last, then others in random order.
+     */
     static List<String> peerOrder(
             List<String> homes, List<String> vms, String lastLender, RandomGenerator random) {
         List<String> rest = new ArrayList<>(vms);
@@ -73,7 +79,7 @@
         return order;
     }
 
-    /** Adds a request that waits. */
+    /** Adds a waiting request. */
     void addRequest(long tokens, Runnable done) {
         mNeeded += tokens;
         mCallbacks.add(done);
@@ -83,17 +89,17 @@
         askNextPeer(nowMs);
     }
 
-    /** Returns whether all have what they need. */
+    /** Returns whether the free tokens cover the needs of all waiting requests. */
     boolean isSatisfied() {
         return missingTokens() <= 0;
     }
 
-    /** Returns who lent last. */
+    /** Returns the VM that lent tokens last. */
     Optional<String> lastLender() {
         return mLastLender;
     }
 
-    /** Returns who did not answer. */
+    /** Returns the VMs that did not answer. */
     Set<String> unresponsivePeers() {
         return mUnresponsive;
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/escrow/MemberHomes.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/escrow/MemberHomes.java
@@ -16,15 +16,15 @@
 /**
  * Chooses the homes of each pool among the members of the fleet, in different failure domains.
  *
- * <p>Invariants: the choice depends on the pool and the members only, so that VMs that know the
- * same members choose alike; when a member comes or goes, only pools of which it is a home move.
- * Confined to one thread.
+ * <p>Invariants: the choice depends only on the pool and the members, so that VMs that know the
+ * same members choose the same homes; when a member joins or leaves, only the pools for which it is
+ * a home change. Not thread-safe; must be used on one thread.
  */
 public final class MemberHomes implements PoolHomes {
     /**
-     * How many VMs hold the parts of one pool. With one, its death takes all that is held of a
-     * budget, and nobody serves while it is silent; with each more, a pool is cut into smaller
-     * parts and costs calls to the store.
+     * The number of homes of each pool. If a single home is lost, all held tokens of a budget are
+     * lost, and no VM can serve while it is unresponsive; each further home divides the pool into
+     * smaller parts and costs calls to the store.
      */
     public static final int HOMES = 3;
 
@@ -34,12 +34,13 @@
     private boolean mMembersKnown;
 
     /**
-     * Takes the members of the fleet.
+     * Updates the members of the fleet.
      *
      * @param self this VM
-     * @param members all VMs that are up or may be, this one included
-     * @param membersKnown whether they are known well enough to hold a pool by; a VM that has just
-     *     started and knows of few others would take tokens that those hold already
+     * @param members all VMs that are or may be up, including this one
+     * @param membersKnown whether the members are known well enough for this VM to act as a home. A
+     *     VM that has just started and knows few others would take tokens that those VMs already
+     *     hold.
      */
     public void update(Member self, List<Member> members, boolean membersKnown) {
         mMembersKnown = membersKnown;
@@ -62,7 +63,10 @@
         return Math.max(1, homesOf(pool).size());
     }
 
-    /** Those of the own failure domain come first, the others in an order of this VM's own. */
+    /**
+     * Returns the other homes: first those in this VM's failure domain, then the rest in an order
+     * specific to this VM.
+     */
     @Override
     public List<String> otherHomes(int pool) {
         List<String> near = new ArrayList<>();
@@ -91,7 +95,7 @@
         return mHomes.computeIfAbsent(pool, this::chooseHomes);
     }
 
-    /** Returns the members that rank highest for a pool, of each failure domain one at first. */
+    /** Returns the highest-ranked members for a pool, preferring one from each failure domain. */
     private List<Member> chooseHomes(int pool) {
         Map<String, Member> byName = new TreeMap<>();
         mMembers.forEach(m -> byName.put(m.name(), m));
--- a/coordination/src/main/java/org/hornbeampass/coordination/escrow/PoolHomes.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/escrow/PoolHomes.java
@@ -3,26 +3,26 @@
 import java.util.List;
 
 /**
- * Tells which VMs hold the pools of prepaid tokens, as one VM believes it.
+ * Determines which VMs are homes of the pools of prepaid tokens, as seen by one VM.
  *
- * <p>Only they exchange with the store; the others borrow from them. Two VMs that believe
- * differently cost calls or a search and never a token, since tokens are spent only where they were
- * granted or lent. Confined to one thread.
+ * <p>Only the homes exchange with the store; the other VMs borrow from them. If two VMs disagree
+ * about the homes, this costs calls or a search but never tokens, since tokens are spent only where
+ * they were granted or lent. Not thread-safe; must be used on one thread.
  */
 public interface PoolHomes {
     /**
-     * Returns whether this VM holds a part of a pool.
+     * Returns whether this VM is a home of a pool.
      *
-     * @param pool the number of the record in which the pool's budgets lie
+     * @param pool the number of the store record that contains the pool's budgets
      */
     boolean isHome(int pool);
 
-    /** Returns how many VMs hold a part of a pool; at least 1. */
+    /** Returns the number of homes of a pool; at least 1. */
     int homeCount(int pool);
 
-    /** Returns the other VMs that hold a part of a pool, in the order in which to ask them. */
+    /** Returns the other homes of a pool, in the order in which to ask them. */
     List<String> otherHomes(int pool);
 
-    /** Returns all other VMs that are up. */
+    /** Returns the names of all other VMs that are up. */
     List<String> otherVms();
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/escrow/RecordExchange.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/escrow/RecordExchange.java
@@ -10,34 +10,42 @@
 import java.util.SplittableRandom;
 
 /**
- * Reads and conditionally writes one record of budgets in the store.
+ * Reads one record of budgets from the store and writes it by conditional updates.
  *
- * <p>Invariants: at most one call is open; a write is based on the version that was read last; it
- * is known of each version that is read whether an earlier write may still be carried out on it.
- * Confined to one thread.
+ * <p>Invariants: at most one call is open; a write is based on the version that was read last; for
+ * each version read, it is known whether an earlier write may still be applied to it. Not
+ * thread-safe; must be used on one thread.
  */
 final class RecordExchange {
-    /** What an exchange is made for. */
+    /** Supplies the record to write and handles the results of an exchange. */
     interface Handler {
-        /** Returns the record to write, once what the store holds is known. */
+        /** Returns the record to write, now that the record in the store is known. */
         EscrowRecord prepareRecord(long nowMs);
 
-        /** Hears that the known record is what the store holds, before the next write. */
+        /**
+         * Called before the next write, when the known record has been read from the store.
+         *
+         * @param nowMs the current time in milliseconds
+         * @param writePending whether an earlier write may still be applied to this version
+         */
         void onRecordRead(long nowMs, boolean writePending);
 
-        /** Hears that the store holds what was written. */
+        /** Called when the record has been written to the store. */
         void onWritten(long nowMs);
 
-        /** Hears that an exchange ended without an answer. */
+        /** Called when an exchange has failed. */
         void onFailed(long nowMs);
     }
 
-    /** How long to wait after a failed call; calls are priced, and outages last seconds. */
+    /**
+     * The pause after a failed call, in milliseconds. Calls are billed, and outages last seconds.
+     */
     private static final long RETRY_MS = 400;
 
     /**
-     * Waits after the second conflict in a row and each further one: many VMs that write one record
-     * at once, as after a cut, would replace each other's versions at the store's own pace.
+     * The pause after the second and each further conflict in a row. Without it, many VMs that
+     * write the same record at once, as after an outage, would overwrite each other's versions as
+     * fast as the store allows.
      */
     private static final RetryPolicy CONFLICT_BACKOFF = new RetryPolicy(10, 640, Integer.MAX_VALUE);
 
@@ -82,12 +90,12 @@
         return mVersionKnown;
     }
 
-    /** Returns for how long a call has been open, in milliseconds; 0 where none is. */
+    /** Returns how long the current call has been open, in milliseconds; 0 if no call is open. */
     long openForMs(long nowMs) {
         return mCallOpen ? nowMs - mCallStartMs : 0;
     }
 
-    /** Reads the record, and writes it as its side wants it. */
+    /** Reads the record, then writes the one that the handler prepares. */
     void start(long nowMs) {
         if (!mVersionKnown) {
             submit(nowMs, new PlatformCall.Get(mKey));
@@ -166,7 +174,10 @@
         mKnownBudgets.markRecordKnown();
     }
 
-    /** Writes once more at the version that another VM has written, and later where that fails. */
+    /**
+     * Retries the write immediately on the version of another VM; after further conflicts, only
+     * after a pause.
+     */
     private void onConflict(long nowMs, StoredObject current) {
         mConflicts++;
         if (mConflicts == 1) {
@@ -178,9 +189,10 @@
     }
 
     /**
-     * Takes in a version that may be old, only as the base of the next write: the store carries
-     * that out only if it was not. No limit changes by it, nor does it count as news. A write at a
-     * version that another VM has replaced costs two calls; more than half of them did.
+     * Adopts a version that may be outdated, only as the base of the next write, which the store
+     * applies only if the version is current. It changes no limit and does not count as a current
+     * reply of the store. Without this read, more than half of the writes were based on a version
+     * that another VM had replaced, which costs two calls.
      */
     private void adoptStaleRead(PlatformReply reply) {
         boolean newer =
@@ -199,7 +211,7 @@
                 .getOrElseThrow(f -> new IllegalStateException(mKey + ": " + f.message()));
     }
 
-    /** Takes the record in as it is, and goes on with a write where one is due. */
+    /** Adopts the record as read and writes the next one. */
     private void adoptAndWrite(long nowMs, StoredObject object) {
         adoptVersion(nowMs, object);
         write(nowMs);
--- a/coordination/src/main/java/org/hornbeampass/coordination/escrow/ShardLending.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/escrow/ShardLending.java
@@ -6,25 +6,27 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * What this VM hands to other VMs of the budgets of one record, and what it needs of them.
+ * Lends and transfers tokens of the budgets of one store record to other VMs, and determines how
+ * many tokens this VM needs from them.
  *
- * <p>Invariant: what is handed over was free and is taken out before. Confined to one thread.
+ * <p>Invariant: tokens are sent only if they are free and have been deducted before. Not
+ * thread-safe; must be used on one thread.
  */
 final class ShardLending {
     /**
-     * For how much of its own demand a VM that is no home keeps tokens, in milliseconds: long
-     * enough that a busy organisation doesn't ask a home for each request, short enough that a
-     * hundred VMs hold little of a budget together.
+     * The time for which a VM that is not a home keeps tokens to meet its own demand, in
+     * milliseconds. It is long enough that a busy organisation does not ask a home for each
+     * request, and short enough that a hundred VMs together hold little of a budget.
      */
     private static final double KEPT_DEMAND_MS = 1_000;
 
     /**
-     * The part of a budget that is worth handing back by itself. A hundred VMs that each keep less
-     * hold half a percent together.
+     * Tokens are transferred back only if they are at least the budget divided by this number. A
+     * hundred VMs that each keep less hold at most half a percent together.
      */
     private static final long MIN_RETURN_DIVISOR = 20_000;
 
-    /** How often a VM that is no home hands back what it does not need, in milliseconds. */
+    /** The interval at which a VM that is not a home transfers unneeded tokens, in milliseconds. */
     private static final long HAND_OVER_INTERVAL_MS = 500;
 
     private final Map<String, EscrowAccount> mAccounts;
@@ -47,7 +49,7 @@
         mPool = pool;
     }
 
-    /** Adds the tokens that organisations lack at a home that has lost the store. */
+    /** Adds the tokens that organisations lack at a home for which the store is unreachable. */
     void addShortfalls(long nowMs, Map<String, Long> shortfalls) {
         if (!mHomes.isHome(mPool)) {
             return;
@@ -62,8 +64,8 @@
     }
 
     /**
-     * Takes out tokens for requests that will come to another VM: up to half of what is free. VMs
-     * that all miss the store would only pass tokens round.
+     * Lends up to half of the free tokens for future requests at another VM. The limit matters
+     * because VMs that all lack the store would otherwise only pass tokens around.
      */
     long lendAhead(long nowMs, LoanRequest request) {
         EscrowAccount account = mAccounts.get(request.organisation());
@@ -71,9 +73,9 @@
     }
 
     /**
-     * Takes out tokens for requests that wait at another VM: all that are free, if they need them.
-     * A request that is here is worth as much as one that may come later, which can borrow in its
-     * turn.
+     * Lends tokens for requests that wait at another VM: all free ones if they are needed. A
+     * waiting request has priority over one that may come later, since the later one can borrow as
+     * well.
      */
     long lendToWaiting(long nowMs, LoanRequest request) {
         EscrowAccount account = mAccounts.get(request.organisation());
@@ -87,14 +89,14 @@
         return lent;
     }
 
-    /** Returns how many tokens a request's VM asks for beyond those needed. */
+    /** Returns the tokens that this VM requests beyond those that a request needs. */
     long extraTokens(long nowMs, String organisation) {
         return (long) (mAccounts.get(organisation).demandPerMs(nowMs) * KEPT_DEMAND_MS);
     }
 
     /**
-     * Takes out what this VM does not need and hands to a home, where it is time: its surplus and
-     * the reporting of what it spent; all that it has where it shuts down.
+     * Deducts and returns the tokens to transfer to a home, if a transfer is due: this VM's surplus
+     * and the duty to report its spending, or all of its tokens during a shutdown.
      */
     List<TokenTransfer> takeTransfers(
             long nowMs, boolean returning, BooleanSupplier storeReachable) {
@@ -130,7 +132,7 @@
         return new TokenTransfer(organisation, tokens, account.takeUnreportedSpent());
     }
 
-    /** Returns whether a VM that is no home has handed over all that it can. */
+    /** Returns whether a VM that is not a home has transferred all the tokens that it can. */
     boolean hasHandedOverAll() {
         return mAccounts.values().stream()
                 .allMatch(a -> a.free() <= 0 && a.neverWrittenSpent() == 0);
--- a/coordination/src/main/java/org/hornbeampass/coordination/escrow/package-info.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/escrow/package-info.java
@@ -1,2 +1,2 @@
-/** Keeps prepaid budgets as grants in shared records, so that no VM can overspend. */
+/** Manages prepaid budgets as grants in shared store records, so that VMs cannot overspend. */
 package org.hornbeampass.coordination.escrow;
--- a/coordination/src/main/java/org/hornbeampass/state/budget/BudgetRecord.java
+++ b/coordination/src/main/java/org/hornbeampass/state/budget/BudgetRecord.java
@@ -10,15 +10,17 @@
 /**
  * The platform's record of one budget.
  *
- * <p>Invariant: {@code drawn() <= paid}, where {@code drawn()} is what holders, open or closed,
- * ever drew and did not return. Immutable; safe for use by any thread.
+ * <p>Invariant: {@code drawn() <= paid}, where {@code drawn()} is the sum of all tokens that open
+ * and closed holders drew and did not return. Immutable and thread-safe.
  *
- * @param paid the tokens paid for and not taken back
- * @param target what the operator wants {@code paid} lowered to, while holders still hold more
- * @param holders open holders
+ * @param paid the tokens paid for and not refunded
+ * @param target the value to which the operator wants to lower {@code paid}, if holders still hold
+ *     more than that
+ * @param holders the open holders
  * @param closed the sum of all closed holders
- * @param openTopUps ids of top-ups added to {@code paid} whose own objects may not say so yet
- * @param changes the newest operators' changes, as {@code writer:sequence}, oldest first
+ * @param openTopUps the ids of top-ups that were added to {@code paid} but whose own objects may
+ *     not be marked as added yet
+ * @param changes the most recent changes by operators, as {@code writer:sequence}, oldest first
  */
 public record BudgetRecord(
         long paid,
@@ -27,7 +29,7 @@
         HolderRecord closed,
         Set<String> openTopUps,
         List<String> changes) {
-    /** The largest number of tokens that any sum may reach. */
+    /** The maximum value of any sum of tokens. */
     public static final long MAX_TOKENS = 1_000_000_000_000_000L;
 
     private static final int MAX_CHANGES = 32;
@@ -39,13 +41,16 @@
         changes = List.copyOf(changes);
     }
 
-    /** Returns a budget for which nothing was paid. */
+    /** Returns a budget for which no tokens were paid. */
     public static BudgetRecord empty() {
         return new BudgetRecord(
                 0, OptionalLong.empty(), Map.of(), HolderRecord.NONE, Set.of(), List.of());
     }
 
-    /** Returns what counts against the paid tokens. */
+    /**
+     * Returns the tokens that holders have drawn and not returned; they count against the paid
+     * tokens.
+     */
     public long drawn() {
         long sum = closed.drawn();
         for (HolderRecord holder : holders.values()) {
@@ -54,12 +59,12 @@
         return sum;
     }
 
-    /** Returns what may be granted. */
+    /** Returns the tokens that can still be granted. */
     public long available() {
         return paid - drawn();
     }
 
-    /** Returns what is settled, as far as holders have reported. */
+    /** Returns the settled tokens, as reported by the holders. */
     public long settled() {
         long sum = closed.spent();
         for (HolderRecord holder : holders.values()) {
@@ -68,7 +73,7 @@
         return sum;
     }
 
-    /** Returns what counts as spent though no holder reported it. */
+    /** Returns the tokens that count as spent although no holder reported them. */
     public long writtenOff() {
         long sum = closed.outstanding();
         for (HolderRecord holder : holders.values()) {
@@ -77,18 +82,21 @@
         return sum;
     }
 
-    /** Returns what may still be spent somewhere. */
+    /** Returns the tokens that some holder may still spend, including those not granted yet. */
     public long unspent() {
         return paid - settled() - writtenOff();
     }
 
-    /** Returns the record with other holders, {@code paid} lowered as far as the target allows. */
+    /**
+     * Returns the record with other holders, and with {@code paid} lowered as far as the target
+     * allows.
+     */
     public BudgetRecord withHolders(Map<HolderId, HolderRecord> changed, HolderRecord nowClosed) {
         return new BudgetRecord(paid, target, changed, nowClosed, openTopUps, changes)
                 .lowerTowardsTarget();
     }
 
-    /** Returns the record with a top-up added, its id noted. */
+    /** Returns the record with a top-up and its id added. */
     public BudgetRecord withTopUp(String topUpId, long tokens) {
         Set<String> ids = new TreeSet<>(openTopUps);
         ids.add(topUpId);
@@ -98,14 +106,17 @@
                 .lowerTowardsTarget();
     }
 
-    /** Returns the record without the ids of top-ups whose own objects say that they are added. */
+    /** Returns the record without the ids of top-ups whose own objects are marked as added. */
     public BudgetRecord withoutTopUps(Set<String> recorded) {
         Set<String> ids = new TreeSet<>(openTopUps);
         ids.removeAll(recorded);
         return new BudgetRecord(paid, target, holders, closed, ids, changes);
     }
 
-    /** Returns the record with {@code paid} set, or lowered as far as what is drawn allows. */
+    /**
+     * Returns the record with {@code paid} set to a new value, or lowered only as far as the drawn
+     * tokens allow.
+     */
     public BudgetRecord withPaid(long newPaid, String change) {
         List<String> all = new java.util.ArrayList<>(changes);
         all.add(change);
--- a/coordination/src/main/java/org/hornbeampass/state/budget/BudgetStatement.java
+++ b/coordination/src/main/java/org/hornbeampass/state/budget/BudgetStatement.java
@@ -6,21 +6,23 @@
 import java.util.OptionalLong;
 
 /**
- * Where the tokens of one budget are, by the platform's record.
+ * Shows where the tokens of one budget are, according to the platform's record.
  *
- * <p>Invariant: {@code paid = available + settled + reserved + free + lent + writtenOff}.
- * Immutable; safe for use by any thread.
+ * <p>Invariant: {@code paid = available + settled + reserved + free + lent + writtenOff}. Immutable
+ * and thread-safe.
  *
  * @param key the budget
- * @param paid paid for and not taken back
- * @param available not granted to any VM
- * @param settled spent, as reported
- * @param reserved set aside for requests in progress, as reported
- * @param free granted to VMs and neither spent nor reserved, as reported
- * @param lent granted and not reported as any of these: on its way between VMs, or spent since
- * @param writtenOff counted as spent, since the VM that held it is proved gone
- * @param target what {@code paid} is being lowered to, where holders still hold more
- * @param outstanding granted and not settled, by open holder
+ * @param paid the tokens paid for and not refunded
+ * @param available the tokens not granted to any VM
+ * @param settled the tokens reported as spent
+ * @param reserved the tokens reported as reserved for requests in progress
+ * @param free the tokens granted to VMs and reported as neither spent nor reserved
+ * @param lent the granted tokens not reported as any of these: in transit between VMs, or spent
+ *     since the last report
+ * @param writtenOff the tokens counted as spent because the VM that held them is known to be gone
+ * @param target the value to which {@code paid} is being lowered, if holders still hold more than
+ *     that
+ * @param outstanding the tokens granted and not settled, by open holder
  */
 public record BudgetStatement(
         BudgetKey key,
@@ -67,7 +69,7 @@
                 outstanding);
     }
 
-    /** Returns whether the parts add up to what was paid. */
+    /** Returns whether the parts add up to the paid tokens. */
     public boolean reconciles() {
         return paid == available + settled + reserved + free + lent + writtenOff;
     }
--- a/coordination/src/main/java/org/hornbeampass/state/budget/HolderId.java
+++ b/coordination/src/main/java/org/hornbeampass/state/budget/HolderId.java
@@ -8,21 +8,26 @@
 import java.util.Objects;
 
 /**
- * Names a holder of grants: one VM incarnation, and how often it was closed while it still ran.
+ * Identifies a holder of grants: a VM incarnation and a generation, which counts how often its
+ * entry was closed while the VM was still running.
  *
- * <p>Invariant: a holder whose entry was closed is never opened again; its VM goes on as the next
- * generation. Immutable; safe for use by any thread.
+ * <p>Invariant: a closed holder is never reopened; its VM continues as the next generation.
+ * Immutable and thread-safe.
  *
- * @param vm the VM's incarnation
- * @param generation 0, or the number of times that the VM found itself closed
+ * @param vm the VM incarnation
+ * @param generation 0, or the number of times that the VM found its entry closed
  */
 public record HolderId(VmId vm, int generation) implements Comparable<HolderId> {
-    /** Checks that the VM is given. */
+    /** Checks that the VM is not null. */
     public HolderId {
         Objects.requireNonNull(vm, "vm");
     }
 
-    /** Parses the form {@code name~incarnation.generation} that {@link #toString()} gives. */
+    /**
+     * Parses the form {@code name~incarnation.generation} returned by {@link #toString()}.
+     *
+     * @throws IllegalArgumentException if the text does not have this form
+     */
     @JsonCreator(mode = JsonCreator.Mode.DELEGATING)
     public static HolderId parse(String text) {
         int dot = text.lastIndexOf('.');
@@ -33,7 +38,7 @@
                 VmId.parse(text.substring(0, dot)), Integer.parseInt(text.substring(dot + 1)));
     }
 
-    /** Returns the holder under which the VM goes on after this one was closed. */
+    /** Returns the holder that the VM uses after this one was closed. */
     public HolderId next() {
         return new HolderId(vm, generation + 1);
     }
--- a/coordination/src/main/java/org/hornbeampass/state/budget/HolderRecord.java
+++ b/coordination/src/main/java/org/hornbeampass/state/budget/HolderRecord.java
@@ -1,20 +1,20 @@
 package org.hornbeampass.state.budget;
 
 /**
- * One holder's entry in the platform's record of a budget, in tokens.
+ * A holder's entry in the platform's record of a budget, in tokens.
  *
- * <p>Invariant: only {@code granted - returned} bounds spending; the other parts say where the
- * tokens went. Each entry is written by its holder alone, except {@code movedOut}, which the
- * receiver writes together with its own {@code movedIn}. Immutable; safe for use by any thread.
+ * <p>Invariant: only {@code granted - returned} limits spending; the other fields show where the
+ * tokens went. Each entry is written only by its holder, except {@code movedOut}, which the
+ * receiver updates together with its own {@code movedIn}. Immutable and thread-safe.
  *
- * @param granted drawn from the platform since the holder was opened
- * @param returned given back to the platform
- * @param spent settled
- * @param movedIn received from other holders' charge
- * @param movedOut taken over by other holders
- * @param reserved set aside for requests in progress, at the last report
- * @param free neither spent nor reserved, at the last report
- * @param lost lent to VMs that are proved gone, at the last report
+ * @param granted the tokens drawn from the platform since the holder was opened
+ * @param returned the tokens returned to the platform
+ * @param spent the settled tokens
+ * @param movedIn the tokens received that are charged to other holders
+ * @param movedOut the tokens whose charge other holders took over
+ * @param reserved the tokens reserved for requests in progress at the last report
+ * @param free the tokens neither spent nor reserved at the last report
+ * @param lost the tokens lent to VMs that are known to be gone, at the last report
  */
 public record HolderRecord(
         long granted,
@@ -25,26 +25,29 @@
         long reserved,
         long free,
         long lost) {
-    /** The entry of a holder that has nothing yet. */
+    /** The entry of a holder without tokens. */
     public static final HolderRecord NONE = new HolderRecord(0, 0, 0, 0, 0, 0, 0, 0);
 
-    /** Returns what counts against the paid tokens. */
+    /** Returns the tokens drawn and not returned; they count against the paid tokens. */
     public long drawn() {
         return granted - returned;
     }
 
-    /** Returns what is charged to the holder and not settled. */
+    /** Returns the tokens charged to the holder and not settled. */
     public long outstanding() {
         return granted + movedIn - movedOut - returned - spent;
     }
 
-    /** Returns the entry with more taken over by another holder. */
+    /** Returns the entry with further tokens taken over by another holder. */
     public HolderRecord withMovedOut(long tokens) {
         return new HolderRecord(
                 granted, returned, spent, movedIn, movedOut + tokens, reserved, free, lost);
     }
 
-    /** Returns the sum with a holder that is being closed; what it held last is forgotten. */
+    /**
+     * Returns the sum of this entry and that of a holder that is being closed. The reserved, free
+     * and lost tokens of its last report are discarded.
+     */
     public HolderRecord plusClosed(HolderRecord closing) {
         return new HolderRecord(
                 granted + closing.granted,
--- a/coordination/src/main/java/org/hornbeampass/state/budget/LedgerRecord.java
+++ b/coordination/src/main/java/org/hornbeampass/state/budget/LedgerRecord.java
@@ -7,11 +7,11 @@
 import java.util.TreeMap;
 
 /**
- * The platform's record of all budgets of one organisation, kept in one object.
+ * The platform's record of all budgets of one organisation, stored as one object.
  *
- * <p>Immutable; safe for use by any thread.
+ * <p>Immutable and thread-safe.
  *
- * @param budgets budgets by id
+ * @param budgets the budgets by id
  */
 public record LedgerRecord(Map<BudgetId, BudgetRecord> budgets) {
     /** Copies the map. */
@@ -24,7 +24,7 @@
         return new LedgerRecord(Map.of());
     }
 
-    /** Returns a budget's record, empty where nothing was ever paid. */
+    /** Returns a budget's record; an empty one if no tokens were ever paid for it. */
     public BudgetRecord budget(BudgetId id) {
         return budgets.getOrDefault(id, BudgetRecord.empty());
     }
--- a/coordination/src/main/java/org/hornbeampass/state/budget/Reservation.java
+++ b/coordination/src/main/java/org/hornbeampass/state/budget/Reservation.java
@@ -6,18 +6,19 @@
 import java.util.Objects;
 
 /**
- * The worst case of one request, set aside from a grant until it is settled or cancelled.
+ * The maximum tokens of one request, reserved from a grant until the request is settled or
+ * cancelled.
  *
- * <p>It belongs to the VM that made it and lives through all attempts of the request there.
- * Immutable; safe for use by any thread.
+ * <p>A reservation belongs to the VM that made it and is kept through all attempts of the request
+ * there. Immutable and thread-safe.
  *
  * @param key the budget
  * @param request the request
- * @param tokens the tokens set aside, positive
- * @param number unique on the VM that made it
+ * @param tokens the reserved tokens, positive
+ * @param number unique on the VM that made the reservation
  */
 public record Reservation(BudgetKey key, RequestId request, long tokens, long number) {
-    /** Checks that no part is missing. */
+    /** Checks that the budget and the request are not null. */
     public Reservation {
         Objects.requireNonNull(key, "key");
         Objects.requireNonNull(request, "request");
--- a/coordination/src/main/java/org/hornbeampass/state/budget/package-info.java
+++ b/coordination/src/main/java/org/hornbeampass/state/budget/package-info.java
@@ -1,2 +1,2 @@
-/** Immutable values of prepaid budgets: reservations, the platform's record and statements. */
+/** Immutable values of prepaid budgets: reservations, the platform's records and statements. */
 package org.hornbeampass.state.budget;
--- a/coordination/src/test/java/org/hornbeampass/coordination/escrow/AllVmsHomes.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/escrow/AllVmsHomes.java
@@ -5,7 +5,7 @@
 import java.util.function.Supplier;
 
 /**
- * Every VM is a home of every pool.
+ * A {@link PoolHomes} for which every VM is a home of every pool.
  *
  * <p>Not thread-safe.
  */
--- a/coordination/src/test/java/org/hornbeampass/coordination/escrow/EscrowBookTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/escrow/EscrowBookTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Checks that budgets are never overspent, and that what is left can be spent. */
+/** Tests that budgets are never overspent, and that the remaining tokens can be spent. */
 class EscrowBookTest {
     private static final int SEEDS = 4_000;
     private static final int STEPS = 150;
@@ -12,12 +12,12 @@
     @Test
     void randomFaults_neverOverspend() {
         for (int seed = 0; seed < SEEDS; seed++) {
-            RandomizedEscrowFleet world = new RandomizedEscrowFleet(seed, 1 + seed % 5, 3_000);
+            RandomizedEscrowFleet fleet = new RandomizedEscrowFleet(seed, 1 + seed % 5, 3_000);
             for (int step = 0; step < STEPS; step++) {
-                world.step();
-                assertThat(world.usedOrReserved())
+                fleet.step();
+                assertThat(fleet.usedOrReserved())
                         .as("seed %d, step %d", seed, step)
-                        .isLessThanOrEqualTo(world.prepaid());
+                        .isLessThanOrEqualTo(fleet.prepaid());
             }
         }
     }
@@ -25,105 +25,105 @@
     @Test
     void randomlyChangingHomes_neverOverspendOrReportFalseExhaustion() {
         for (int seed = 0; seed < SEEDS; seed++) {
-            RandomizedEscrowFleet world = new RandomizedEscrowFleet(seed, 1 + seed % 5, 3_000);
-            world.randomizeHomes();
+            RandomizedEscrowFleet fleet = new RandomizedEscrowFleet(seed, 1 + seed % 5, 3_000);
+            fleet.randomizeHomes();
             for (int step = 0; step < STEPS; step++) {
-                world.step();
-                assertThat(world.usedOrReserved())
+                fleet.step();
+                assertThat(fleet.usedOrReserved())
                         .as("seed %d, step %d", seed, step)
-                        .isLessThanOrEqualTo(world.prepaid());
+                        .isLessThanOrEqualTo(fleet.prepaid());
             }
-            assertThat(world.falseExhaustions()).as("seed %d", seed).isZero();
+            assertThat(fleet.falseExhaustions()).as("seed %d", seed).isZero();
         }
     }
 
     @Test
     void newBook_reservesNothingBeforeFirstGrant() {
-        RandomizedEscrowFleet world = new RandomizedEscrowFleet(1, 2, 10_000);
-        assertThat(world.request(0, 100)).isEqualTo(Admission.INSUFFICIENT_HERE);
-        world.runWithoutFaults(2_000);
-        assertThat(world.request(0, 100)).isEqualTo(Admission.RESERVED);
+        RandomizedEscrowFleet fleet = new RandomizedEscrowFleet(1, 2, 10_000);
+        assertThat(fleet.request(0, 100)).isEqualTo(Admission.INSUFFICIENT_HERE);
+        fleet.runWithoutFaults(2_000);
+        assertThat(fleet.request(0, 100)).isEqualTo(Admission.RESERVED);
     }
 
     @Test
     void smallBudget_isAlmostFullyReservableAndNeverExceeded() {
-        RandomizedEscrowFleet world = new RandomizedEscrowFleet(1, 2, 1_000);
-        world.runWithoutFaults(2_000);
+        RandomizedEscrowFleet fleet = new RandomizedEscrowFleet(1, 2, 1_000);
+        fleet.runWithoutFaults(2_000);
         int admitted = 0;
         for (int i = 0; i < 400; i++) {
-            if (world.request(i % 2, 10) == Admission.RESERVED) {
+            if (fleet.request(i % 2, 10) == Admission.RESERVED) {
                 admitted++;
             }
-            world.runWithoutFaults(100);
+            fleet.runWithoutFaults(100);
         }
         assertThat(admitted).isGreaterThanOrEqualTo(97);
-        assertThat(world.usedOrReserved()).isLessThanOrEqualTo(1_000);
+        assertThat(fleet.usedOrReserved()).isLessThanOrEqualTo(1_000);
     }
 
     @Test
     void usedUpBudget_isReportedExhausted() {
-        RandomizedEscrowFleet world = fleetWithUsedUpBudget();
-        assertThat(world.request(0, 100)).isEqualTo(Admission.EXHAUSTED);
+        RandomizedEscrowFleet fleet = fleetWithUsedUpBudget();
+        assertThat(fleet.request(0, 100)).isEqualTo(Admission.EXHAUSTED);
     }
 
     @Test
     void raisedBudget_isNotReportedExhaustedFromOldReports() {
-        RandomizedEscrowFleet world = fleetWithUsedUpBudget();
-        world.raiseBudget(1_000);
-        assertThat(world.request(0, 100)).isNotEqualTo(Admission.EXHAUSTED);
-        // As long as a request may wait: what it asked for is granted, and not held for later.
-        world.runWithoutFaults(150);
-        assertThat(world.request(0, 100)).isEqualTo(Admission.RESERVED);
+        RandomizedEscrowFleet fleet = fleetWithUsedUpBudget();
+        fleet.raiseBudget(1_000);
+        assertThat(fleet.request(0, 100)).isNotEqualTo(Admission.EXHAUSTED);
+        // Within the time that a request may wait, the wanted tokens are granted and remain free.
+        fleet.runWithoutFaults(150);
+        assertThat(fleet.request(0, 100)).isEqualTo(Admission.RESERVED);
     }
 
     private static RandomizedEscrowFleet fleetWithUsedUpBudget() {
-        RandomizedEscrowFleet world = new RandomizedEscrowFleet(1, 2, 1_000);
-        world.runWithoutFaults(2_000);
+        RandomizedEscrowFleet fleet = new RandomizedEscrowFleet(1, 2, 1_000);
+        fleet.runWithoutFaults(2_000);
         for (int i = 0; i < 400; i++) {
-            world.request(i % 2, 10);
-            world.runWithoutFaults(100);
+            fleet.request(i % 2, 10);
+            fleet.runWithoutFaults(100);
         }
-        world.finishAllUsingAll(0);
-        world.finishAllUsingAll(1);
-        world.runWithoutFaults(8_000);
-        return world;
+        fleet.finishAllUsingAll(0);
+        fleet.finishAllUsingAll(1);
+        fleet.runWithoutFaults(8_000);
+        return fleet;
     }
 
     @Test
     void killedVm_losesUnspentGrantPermanently() {
-        RandomizedEscrowFleet world = new RandomizedEscrowFleet(1, 2, 10_000);
-        world.runWithoutFaults(2_000);
-        long before = world.freeTokens();
-        world.restart(0);
-        world.runWithoutFaults(2_000);
+        RandomizedEscrowFleet fleet = new RandomizedEscrowFleet(1, 2, 10_000);
+        fleet.runWithoutFaults(2_000);
+        long before = fleet.freeTokens();
+        fleet.restart(0);
+        fleet.runWithoutFaults(2_000);
         assertThat(before).isPositive();
-        assertThat(world.usedOrReserved() + world.freeTokens()).isLessThan(10_000);
+        assertThat(fleet.usedOrReserved() + fleet.freeTokens()).isLessThan(10_000);
     }
 
     @Test
     void vmShuttingDown_returnsItsGrant() {
-        RandomizedEscrowFleet world = new RandomizedEscrowFleet(1, 2, 10_000);
-        world.runWithoutFaults(2_000);
-        long before = world.freeTokens();
-        world.startReturningTokens(0);
-        world.runWithoutFaults(500);
-        assertThat(world.freeTokens()).isLessThan(before);
-        world.restart(0);
-        world.runWithoutFaults(4_000);
-        assertThat(world.freeTokens()).isEqualTo(before);
+        RandomizedEscrowFleet fleet = new RandomizedEscrowFleet(1, 2, 10_000);
+        fleet.runWithoutFaults(2_000);
+        long before = fleet.freeTokens();
+        fleet.startReturningTokens(0);
+        fleet.runWithoutFaults(500);
+        assertThat(fleet.freeTokens()).isLessThan(before);
+        fleet.restart(0);
+        fleet.runWithoutFaults(4_000);
+        assertThat(fleet.freeTokens()).isEqualTo(before);
     }
 
     @Test
     void vmShuttingDown_returnsTokensUnusedByRunningRequests() {
-        RandomizedEscrowFleet world = new RandomizedEscrowFleet(1, 2, 10_000);
-        world.runWithoutFaults(2_000);
-        assertThat(world.request(0, 200)).isEqualTo(Admission.RESERVED);
-        world.startReturningTokens(0);
-        world.runWithoutFaults(2_000);
-        world.finishAll(0, 50);
-        world.runWithoutFaults(2_000);
-        world.restart(0);
-        world.runWithoutFaults(4_000);
-        assertThat(world.unspentTokens(0)).isEqualTo(10_000 - 50);
+        RandomizedEscrowFleet fleet = new RandomizedEscrowFleet(1, 2, 10_000);
+        fleet.runWithoutFaults(2_000);
+        assertThat(fleet.request(0, 200)).isEqualTo(Admission.RESERVED);
+        fleet.startReturningTokens(0);
+        fleet.runWithoutFaults(2_000);
+        fleet.finishAll(0, 50);
+        fleet.runWithoutFaults(2_000);
+        fleet.restart(0);
+        fleet.runWithoutFaults(4_000);
+        assertThat(fleet.unspentTokens(0)).isEqualTo(10_000 - 50);
     }
 }
--- a/coordination/src/test/java/org/hornbeampass/coordination/escrow/EscrowLoansTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/escrow/EscrowLoansTest.java
@@ -22,7 +22,10 @@
 import java.util.Random;
 import java.util.function.BiConsumer;
 
-/** Checks that a VM that the store turns away gets tokens from another, and no token twice. */
+/**
+ * Tests that a VM whose store calls are throttled borrows tokens from another VM, and that no token
+ * is spent twice.
+ */
 class EscrowLoansTest {
     private static final long PREPAID = 100_000;
 
@@ -72,7 +75,7 @@
         return book;
     }
 
-    /** Hands requests straight to the lender. */
+    /** A network that passes requests directly to the lender. */
     private final class LenderNetwork implements PeerNetwork {
         @Override
         public void send(String vmName, PeerMessage message) {
@@ -89,7 +92,7 @@
                 BiConsumer<Long, Either<Failure, PeerMessage>> done) {
             mRequests++;
             if (vmName.equals("dead")) {
-                Failure lost = Failure.of(ErrorKind.DEADLINE_EXCEEDED, "no answer");
+                Failure lost = Failure.of(ErrorKind.DEADLINE_EXCEEDED, "no reply");
                 done.accept(nowMs, Either.left(lost));
                 return;
             }
@@ -140,7 +143,7 @@
         assertThat(mBorrower.shortfalls(3_000)).isEmpty();
     }
 
-    /** Others are the homes of all pools, and this VM none. */
+    /** Other VMs are the homes of all pools; this VM is not a home. */
     private static final class FixedOtherHomes implements PoolHomes {
         private final List<String> mNames;
 
@@ -170,7 +173,8 @@
     }
 
     /**
-     * One request at a VM that has just started, as the relay admits it: it waits, or is refused.
+     * One request at a VM that has just started, admitted in the same way as by the relay: it waits
+     * or is refused.
      */
     private static final class WaitingRequest {
         private final EscrowBook mBook;
@@ -197,15 +201,10 @@
     }
 
     /**
-     * What callers saw: after all VMs had lost power at once, nearly all requests were refused for
-     * a second, and told to come back after another one and a half.
-     *
-     * <p>The order of events: all VMs start; callers come at once; a VM knows no other before one
-     * of its seeds answers, and holds no pool in its first two seconds.
-     *
-     * <p>The cause: with nobody to ask, a request was refused at once, though the store was there
-     * and had the tokens. The evidence: lines that said so 0 ms after a request came, at VMs that
-     * had put their configuration in force, until they wrote that they knew others.
+     * After all VMs had lost power at once, nearly all requests were refused for a second, with the
+     * advice to retry after another 1.5 s. A VM that has just started knows no other VM until one
+     * of its seeds answers, and is not a home in its first two seconds. With no VM to ask, it
+     * refused requests at once, although the store was reachable and had the tokens.
      */
     @Test
     void vmWithoutKnownPeers_takesNeededTokensFromStore() {
@@ -293,7 +292,7 @@
         for (long t = 100; t < 60_000; t += 100) {
             loans.tick(t);
         }
-        // What is too little to be handed back by itself stays.
+        // An amount that is too small to be transferred back stays.
         assertThat(mLender.free("org")).isBetween(before - 405, before - 400);
         assertThat(mLender.holdings().get("org").spent()).isEqualTo(400);
         assertThat(book.holdings().get("org").spent()).isZero();
@@ -305,7 +304,7 @@
         mLender.onTransfer(3_000, new TokenTransfer("org", 3 * mLender.free("org"), 0));
         int before = mWrites;
         run(3_000, 20_000);
-        // 34 before: what others were granted can't be returned by this VM.
+        // Trying to return tokens that were granted to other VMs caused 34 writes.
         assertThat(mWrites - before).isLessThan(3);
     }
 
--- a/coordination/src/test/java/org/hornbeampass/coordination/escrow/EscrowSimulation.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/escrow/EscrowSimulation.java
@@ -25,11 +25,11 @@
 import java.util.function.BiConsumer;
 
 /**
- * A day of callers, cuts from the store and kills of all VMs, in virtual time, for comparing grant
- * policies on the same seeds.
+ * Simulates a fleet with callers, store outages and kills of all VMs, in virtual time, to compare
+ * grant policies with the same seeds.
  *
- * <p>Organisations differ in size; a caller picks any VM; a request that is refused comes back
- * once. Not thread-safe.
+ * <p>Organisations differ in size; a caller sends each request to a random VM and retries a refused
+ * request once. Not thread-safe.
  */
 final class EscrowSimulation {
     private static final int VMS = 8;
@@ -41,48 +41,55 @@
     private static final long MAX_WAIT_MS = 200;
     private static final long RESTART_MS = 1_200;
 
-    /** A request is owed as long as this part of its budget covers it, at its most. */
+    /**
+     * The fraction of a budget that requests, counted by their maximum tokens, must fit into to
+     * count as covered by it.
+     */
     private static final double COVERED_FRACTION = 0.97;
 
-    /** How long after its end a request still counts at its most for what is owed. */
+    /**
+     * The time after the end of a request during which it is still counted by its maximum tokens,
+     * in milliseconds.
+     */
     private static final long SETTLE_MARGIN_MS = 1_500;
 
     private static final long REQUEST_MS = 600;
 
-    /** The worth of an answer that came only when its caller had come back, as a part. */
+    /** The fraction of a request's worth that counts if it is served only on retry. */
     private static final double RETRY_WORTH_FRACTION = 0.3;
 
     /**
-     * What is done to the VMs.
+     * The faults of a simulation.
      *
-     * @param outages spans in milliseconds in which no VM reaches the store
+     * @param outages spans in milliseconds during which no VM can reach the store
      * @param kills times in milliseconds at which all VMs are killed
      */
     record Faults(List<long[]> outages, List<Long> kills) {}
 
     /**
-     * Which fleet serves.
+     * The size of a fleet.
      *
-     * @param vms how many VMs
-     * @param organisations how many organisations
-     * @param allHomes whether each VM holds a part of each pool, as against a few homes
+     * @param vms the number of VMs
+     * @param organisations the number of organisations
+     * @param allHomes whether each VM is a home of each pool; otherwise, each pool has a few homes
      */
     record Size(int vms, int organisations, boolean allHomes) {
-        /** A few VMs, as most fleets have. */
+        /** A few VMs, as in most fleets. */
         static final Size SMALL = new Size(VMS, ORGANISATIONS, false);
     }
 
     /**
-     * What came of a day.
+     * The result of a simulation.
      *
-     * @param requests how many were made
-     * @param lost how many were refused and not served when they came back either
+     * @param requests the number of requests, without retries
+     * @param lost the number of requests that were refused and not served on retry either
      * @param refusals how many times a request was refused
-     * @param writtenOff tokens that a kill took, as a part of all budgets
-     * @param calls calls to the store; reads that may be old count a tenth
-     * @param servedWorth the part of the worth that the budgets covered and callers got
-     * @param messages messages between VMs that are about tokens, replies not counted
-     * @param overspent whether any organisation got more than its budget
+     * @param writtenOff the tokens lost by kills, as a fraction of all budgets
+     * @param calls the calls to the store; reads that may be stale count as a tenth
+     * @param servedWorth the worth of the served requests, as a fraction of that of all requests
+     *     covered by the budgets
+     * @param messages the messages about tokens between VMs, without replies
+     * @param overspent whether any organisation used more than its budget
      */
     record Result(
             int requests,
@@ -102,10 +109,10 @@
         }
     }
 
-    /** Something that happens at a time; the order breaks ties. */
+    /** An action at a point in time; {@code order} breaks ties. */
     private record Event(long atMs, long order, Runnable action) {}
 
-    /** One VM with its present life. */
+    /** A VM with its current incarnation. */
     private final class Vm {
         private final int mNumber;
         private final MemberHomes mMembers = new MemberHomes();
@@ -174,7 +181,7 @@
         }
     }
 
-    /** Asks another VM; it answers some milliseconds later. */
+    /** A network whose messages arrive after a few milliseconds. */
     private final class DelayedNetwork implements PeerNetwork {
         @Override
         public void send(String vmName, PeerMessage message) {
@@ -195,7 +202,7 @@
             Vm lender = mVms.get(Integer.parseInt(vmName));
             mMessages++;
             if (!lender.isUp()) {
-                Failure lost = Failure.of(ErrorKind.DEADLINE_EXCEEDED, "no answer");
+                Failure lost = Failure.of(ErrorKind.DEADLINE_EXCEEDED, "no reply");
                 schedule(timeoutMs, () -> done.accept(mNowMs, Either.left(lost)));
                 return;
             }
@@ -210,7 +217,7 @@
     private final Size mSize;
     private final Random mRandom;
 
-    /** Draws what VMs choose, so that all policies meet the same callers. */
+    /** Random choices of the VMs, kept separate so that all policies receive the same requests. */
     private final Random mVmRandom;
 
     private final SimulatedLoad mLoad;
@@ -264,12 +271,14 @@
         }
     }
 
-    /** Plays one day. */
+    /** Runs one simulation with a small fleet. */
     static Result simulate(long seed, SimulatedLoad load, GrantPolicy policy, Faults faults) {
         return simulate(seed, load, policy, faults, Size.SMALL);
     }
 
-    /** Plays one day with a fleet of a size; the load grows with the number of VMs. */
+    /**
+     * Runs one simulation with a fleet of the given size; the load grows with the number of VMs.
+     */
     static Result simulate(
             long seed, SimulatedLoad load, GrantPolicy policy, Faults faults, Size size) {
         EscrowSimulation simulation = new EscrowSimulation(seed, load, policy, faults, size);
@@ -289,7 +298,7 @@
         mCalls += call instanceof PlatformCall.Get get && get.mayBeOld() ? 0.1 : 1;
         boolean inOutage = mFaults.outages().stream().anyMatch(c -> nowMs >= c[0] && nowMs < c[1]);
         if (inOutage) {
-            PlatformReply lost = new PlatformReply.Unavailable("cut off");
+            PlatformReply lost = new PlatformReply.Unavailable("store unreachable");
             schedule(500, () -> done.accept(mNowMs, lost));
             return;
         }
@@ -304,11 +313,11 @@
 
     private void run() {
         mNowMs = -10_000;
-        for (long t = 0; t < mLoad.dayMs() + 10_000; t += 100) {
+        for (long t = 0; t < mLoad.durationMs() + 10_000; t += 100) {
             schedule(t, this::tick);
         }
         double at = 10_000;
-        while (at < mLoad.dayMs() + 10_000) {
+        while (at < mLoad.durationMs() + 10_000) {
             at += -Math.log(1 - mRandom.nextDouble()) / (loadFactor() * mLoad.requestsPerMs());
             schedule((long) at, this::onArrival);
         }
@@ -364,7 +373,7 @@
         new WaitingRequest(vm, organisation, size, first, mNowMs + MAX_WAIT_MS).tryToReserve();
     }
 
-    /** One request that waits for tokens. */
+    /** A request that waits for tokens. */
     private final class WaitingRequest {
         private final Vm mVm;
         private final EscrowBook mBook;
@@ -434,13 +443,14 @@
         }
     }
 
-    private void refuse(int organisation, SimulatedLoad.Size size, boolean first, long backMs) {
+    private void refuse(
+            int organisation, SimulatedLoad.Size size, boolean first, long retryDelayMs) {
         mRefusals++;
         if (!first) {
             mLost++;
             return;
         }
-        schedule(backMs, () -> sendRequest(organisation, size, false));
+        schedule(retryDelayMs, () -> sendRequest(organisation, size, false));
     }
 
     private Result result() {
--- a/coordination/src/test/java/org/hornbeampass/coordination/escrow/GrantPolicyTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/escrow/GrantPolicyTest.java
@@ -11,9 +11,10 @@
 import java.util.stream.IntStream;
 
 /**
- * Compares grant policies on the same days: what cuts from the store refuse and kills write off.
+ * Compares grant policies in the same simulations: the requests refused in store outages and the
+ * tokens lost when VMs are killed.
  *
- * <p>The bounds are about twice what six seeds gave on average; a day has 1,850 requests.
+ * <p>The bounds are about twice the averages of six seeds. A simulation has 1,850 requests.
  */
 class GrantPolicyTest {
     private static final int SEEDS = 6;
@@ -52,28 +53,29 @@
 
     @Test
     void noFaults_refusesAlmostNothing() {
-        // 2.1 % before requests waited for all that the store had, and for one exchange each.
+        // 2.1 % were refused if requests did not wait for an exchange and all tokens of the store.
         assertThat(mean(GrantPolicy.DEMAND_HORIZON, NONE, Result::refusedFraction))
                 .isLessThan(0.001);
     }
 
     @Test
     void noFaults_makesFewCalls() {
-        // 1,191; 2,065 where writes met versions that others had replaced, and crumbs were moved.
+        // About 1,191; 2,065 with tiny transfers and with writes based on replaced versions.
         assertThat(mean(GrantPolicy.DEMAND_HORIZON, NONE, Result::calls))
                 .isLessThan(MAX_FAULT_FREE_CALLS);
     }
 
     @Test
     void outagesForAllVms_loseFewRequests() {
-        // 0.01 %, 0.07 % with a lower floor; 0.63 % before requests waited for other VMs' tokens.
+        // About 0.01 %; 0.07 % with a lower minimum held without demand, and 0.63 % if requests
+        // did not wait for tokens of other VMs.
         assertThat(mean(GrantPolicy.DEMAND_HORIZON, OUTAGES, Result::lostFraction))
                 .isLessThan(0.0015);
     }
 
     @Test
     void secondKillOfAllVms_leavesTokensForRemainingRequests() {
-        // 5.9 %, 4 % while no VM was up; 13.9 % where VMs held half of what was left.
+        // About 5.9 %, of which 4 % while no VM was up; 13.9 % if VMs held half of the remainder.
         assertThat(mean(GrantPolicy.DEMAND_HORIZON, ALL, Result::lostFraction)).isLessThan(0.08);
     }
 
@@ -82,7 +84,7 @@
         double baseline = mean(GrantPolicy.EQUAL_SHARE, KILL, Result::writtenOff);
         double chosen = mean(GrantPolicy.DEMAND_HORIZON, KILL, Result::writtenOff);
         assertThat(chosen).isLessThan(baseline / 3);
-        // 2.0 %, nearly all while no VM was up; the baseline loses 32 %.
+        // About 2.0 %, nearly all while no VM was up; the baseline loses 32 %.
         assertThat(mean(GrantPolicy.DEMAND_HORIZON, KILL, Result::lostFraction)).isLessThan(0.03);
     }
 
@@ -96,19 +98,19 @@
 
     @Test
     void longPrompts_areServedDespiteOutagesAndKillOfAllVms() {
-        // 86 %; 78.1 % where a quarter of what was left was held throughout.
+        // About 86 %; 78.1 % if a constant quarter of the remainder was held.
         assertThat(servedWorthOfLongPrompts(OUTAGES_AND_KILL)).isGreaterThan(0.82);
     }
 
     @Test
     void longPrompts_areServedAfterKillOfAllVms() {
-        // 97 %; 82.2 % with the quarter.
+        // About 97 %; 82.2 % with the constant quarter.
         assertThat(servedWorthOfLongPrompts(KILL)).isGreaterThan(0.95);
     }
 
     @Test
     void longPrompts_areServedDespiteOutages() {
-        // 90 %; 93.7 % with the quarter: the price of the two above.
+        // About 90 %; 93.7 % with the constant quarter, which is worse in the two tests above.
         assertThat(servedWorthOfLongPrompts(OUTAGES)).isGreaterThan(0.87);
     }
 }
--- a/coordination/src/test/java/org/hornbeampass/coordination/escrow/LoanSearchTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/escrow/LoanSearchTest.java
@@ -22,7 +22,10 @@
 import java.util.Random;
 import java.util.function.BiConsumer;
 
-/** Checks that VMs which all miss the store spend what any of them holds, and nothing twice. */
+/**
+ * Tests that VMs for which the store is unreachable spend the tokens that any of them holds, and
+ * none twice.
+ */
 class LoanSearchTest {
     private static final long PREPAID = 100_000;
     private static final int VMS = 4;
@@ -46,7 +49,8 @@
                 new EscrowBook(
                         (nowMs, call, done) -> {
                             if (mStoreUnreachable) {
-                                done.accept(nowMs, new PlatformReply.Unavailable("cut off"));
+                                done.accept(
+                                        nowMs, new PlatformReply.Unavailable("store unreachable"));
                             } else {
                                 mStore.submit(nowMs, call, done);
                             }
@@ -68,7 +72,7 @@
                 () -> VMS, () -> mBooks.keySet().stream().filter(n -> !n.equals(vm)).toList());
     }
 
-    /** Hands requests straight to the VM that is asked. */
+    /** A network that passes messages directly to the receiving VM. */
     private final class DirectNetwork implements PeerNetwork {
         @Override
         public void send(String vmName, PeerMessage message) {
--- a/coordination/src/test/java/org/hornbeampass/coordination/escrow/MemberHomesTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/escrow/MemberHomesTest.java
@@ -17,7 +17,10 @@
 import java.util.function.Function;
 import java.util.stream.Collectors;
 
-/** Checks where pools lie, and that they stay there while others come and go. */
+/**
+ * Tests which VMs are the homes of pools, and that these stay the same while other VMs join and
+ * leave.
+ */
 class MemberHomesTest {
     private static final int POOLS = 40;
     private static final int DOMAINS = 5;
--- a/coordination/src/test/java/org/hornbeampass/coordination/escrow/PoolHomesTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/escrow/PoolHomesTest.java
@@ -10,10 +10,12 @@
 import java.util.List;
 
 /**
- * Checks what a hundred VMs cost and serve where a few homes exchange with the store for all.
+ * Tests the calls to the store and the served requests of about a hundred VMs, a few of which
+ * exchange with the store on behalf of all.
  *
- * <p>The bounds are about one and a half times what the seed gave. The figures of fleets in which
- * each VM exchanged are of the same load drawn another time, without the wait after conflicts.
+ * <p>The bounds are about one and a half times the results of the seed. The results for fleets in
+ * which each VM exchanges come from another draw of the same load, without pauses after write
+ * conflicts.
  */
 class PoolHomesTest {
     private static final long SEED = 0;
@@ -32,7 +34,7 @@
 
     @Test
     void manyVmsWithoutFaults_callsDoNotGrowWithVms() {
-        // 1,022 calls, 0.00 % refused; 99,930 and 6.98 % where each VM exchanged.
+        // About 1,022 calls and 0.00 % refused; 99,930 and 6.98 % if each VM exchanges.
         Result homes = simulate(SimulatedLoad.MIXED_PROMPTS, NONE, FLEET);
         assertThat(homes.calls()).isLessThan(1_600);
         assertThat(homes.refusedFraction()).isLessThan(0.002);
@@ -40,8 +42,8 @@
 
     @Test
     void outagesAndKillsOfManyVms_causeNoStormOfCalls() {
-        // 1,804 calls; 67,170 where any VM that was asked for tokens became a home, and a write
-        // that met another version was repeated at once.
+        // About 1,804 calls; 67,170 if any VM that is asked for tokens becomes a home and
+        // conflicting writes are retried at once.
         Result homes = simulate(SimulatedLoad.MIXED_PROMPTS, ALL, FLEET);
         assertThat(homes.calls()).isLessThan(2_700);
         assertThat(homes.overspent()).isFalse();
@@ -49,7 +51,7 @@
 
     @Test
     void longPromptsOnManyVms_areServedDespiteOutagesAndKillOfAllVms() {
-        // 70.8 % where each VM exchanged: a fair share of a budget was less than one request.
+        // 70.8 % if each VM exchanges, since a fair share of a budget is less than one request.
         Result homes = simulate(SimulatedLoad.LONG_PROMPTS, OUTAGES_AND_KILL, FLEET);
         assertThat(homes.servedWorth()).isGreaterThan(0.82);
         assertThat(homes.overspent()).isFalse();
--- a/coordination/src/test/java/org/hornbeampass/coordination/escrow/RandomizedEscrowFleet.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/escrow/RandomizedEscrowFleet.java
@@ -13,10 +13,10 @@
 import java.util.function.BiConsumer;
 
 /**
- * Several VMs, an unreliable store and callers, driven by one seed.
+ * Several VMs with callers and an unreliable store, driven by one seed.
  *
- * <p>Writes may be carried out without a reply, or long after their caller gave up; VMs are killed
- * and start again with nothing. Not thread-safe.
+ * <p>Writes may be applied without a reply, or long after the caller gave up. VMs are killed and
+ * restarted without any state. Not thread-safe.
  */
 final class RandomizedEscrowFleet {
     static final String ORGANISATION = "org";
@@ -35,10 +35,10 @@
     private boolean mFaultsEnabled = true;
     private boolean mHomesRandom;
 
-    /** A request that is in progress at a VM. */
+    /** A request in progress at a VM. */
     private record RunningRequest(long reserved) {}
 
-    /** One VM with its present life. */
+    /** A VM with its current incarnation. */
     private final class Vm {
         private final String mName;
         private final List<RunningRequest> mRunning = new ArrayList<>();
@@ -52,13 +52,13 @@
 
         void start() {
             mReservedTokens -= mRunning.stream().mapToLong(RunningRequest::reserved).sum();
-            // What was in progress at a killed VM may have been delivered whole.
+            // Requests in progress at a killed VM may have been answered in full.
             mUsedTokens += mRunning.stream().mapToLong(RunningRequest::reserved).sum();
             mRunning.clear();
-            UnreliableStore link = new UnreliableStore();
+            UnreliableStore store = new UnreliableStore();
             mBook =
                     new EscrowBook(
-                            link,
+                            store,
                             new EscrowOwner(mName, "life-" + mIncarnations++),
                             1,
                             new RandomHomes(),
@@ -75,7 +75,7 @@
         }
     }
 
-    /** All VMs are homes; where homes move, a VM is one or not at each look, as it is drawn. */
+    /** Every VM is a home, or, if homes are randomized, a random result at each call. */
     private final class RandomHomes implements PoolHomes {
         @Override
         public boolean isHome(int pool) {
@@ -98,7 +98,7 @@
         }
     }
 
-    /** One life's way to the store. */
+    /** One incarnation's connection to the store, which may fail or delay calls. */
     private final class UnreliableStore implements Platform {
         @Override
         public void submit(long nowMs, PlatformCall call, BiConsumer<Long, PlatformReply> done) {
@@ -106,18 +106,18 @@
                 readStale(nowMs, get, done);
                 return;
             }
-            int fate = mFaultsEnabled ? mRandom.nextInt(10) : 9;
-            if (fate == 0) {
-                done.accept(nowMs, new PlatformReply.Unavailable("nothing was done"));
-            } else if (fate == 1) {
+            int outcome = mFaultsEnabled ? mRandom.nextInt(10) : 9;
+            if (outcome == 0) {
+                done.accept(nowMs, new PlatformReply.Unavailable("not applied"));
+            } else if (outcome == 1) {
                 mStore.submit(nowMs, call, (t, lost) -> {});
-                done.accept(nowMs, new PlatformReply.Unavailable("done without a reply"));
-            } else if (fate == 2) {
+                done.accept(nowMs, new PlatformReply.Unavailable("applied without a reply"));
+            } else if (outcome == 2) {
                 mDelayed.add(() -> mStore.submit(mNowMs, call, (t, lost) -> {}));
-                done.accept(nowMs, new PlatformReply.Unavailable("done later"));
-            } else if (fate == 3) {
+                done.accept(nowMs, new PlatformReply.Unavailable("applied later"));
+            } else if (outcome == 3) {
                 done.accept(nowMs, new PlatformReply.Throttled());
-            } else if (fate == 4) {
+            } else if (outcome == 4) {
                 mDelayed.add(() -> mStore.submit(mNowMs, call, done));
             } else {
                 mStore.submit(nowMs, call, done);
@@ -125,17 +125,17 @@
         }
     }
 
-    /** Answers a read that may be old: with any former state of the record. */
+    /** Answers a read that may be stale with any earlier state of the record. */
     private void readStale(long nowMs, PlatformCall.Get get, BiConsumer<Long, PlatformReply> done) {
         mStore.submit(
                 nowMs,
                 get,
                 (t, reply) -> {
                     mFormerReads.add(reply);
-                    boolean old = mFaultsEnabled && mRandom.nextBoolean();
-                    int which =
-                            old ? mRandom.nextInt(mFormerReads.size()) : mFormerReads.size() - 1;
-                    done.accept(t, mFormerReads.get(which));
+                    boolean stale = mFaultsEnabled && mRandom.nextBoolean();
+                    int index =
+                            stale ? mRandom.nextInt(mFormerReads.size()) : mFormerReads.size() - 1;
+                    done.accept(t, mFormerReads.get(index));
                 });
     }
 
@@ -147,7 +147,7 @@
         }
     }
 
-    /** Does one thing at random. */
+    /** Performs one random action. */
     void step() {
         mNowMs += mRandom.nextInt(300);
         Vm vm = mVms.get(mRandom.nextInt(mVms.size()));
@@ -171,7 +171,7 @@
         }
     }
 
-    /** Moves tokens from one VM to another; the reply may be lost, or find a new life. */
+    /** Lends tokens from one VM to another; the reply may be lost, or arrive after a restart. */
     private void lend(Vm from, Vm to) {
         EscrowBook borrower = to.mBook;
         long asked = 1L + mRandom.nextInt(300);
@@ -182,22 +182,21 @@
                 reply -> deliver(() -> borrower.onLoanReply(mNowMs, reply)));
     }
 
-    /** Moves what a VM that is no home does not need to another VM. */
+    /** Transfers the tokens that a VM does not need as a non-home to another VM. */
     private void transferUnneeded(Vm from, Vm to) {
         EscrowBook receiver = to.mBook;
         from.mBook
                 .takeTransfers(mNowMs)
                 .values()
-                .forEach(
-                        gifts -> gifts.forEach(g -> deliver(() -> receiver.onTransfer(mNowMs, g))));
+                .forEach(list -> list.forEach(t -> deliver(() -> receiver.onTransfer(mNowMs, t))));
     }
 
-    /** Delivers a message between VMs now, later, or never. */
+    /** Delivers a message between VMs immediately, later or never. */
     private void deliver(Runnable message) {
-        int fate = mFaultsEnabled ? mRandom.nextInt(3) : 2;
-        if (fate == 1) {
+        int outcome = mFaultsEnabled ? mRandom.nextInt(3) : 2;
+        if (outcome == 1) {
             mDelayed.add(message);
-        } else if (fate == 2) {
+        } else if (outcome == 2) {
             message.run();
         }
     }
@@ -221,7 +220,7 @@
         }
     }
 
-    /** Tries to start a request, and returns what came of it. */
+    /** Tries to start a request and returns the result of its admission. */
     private Admission request(Vm vm, long tokens) {
         Admission admission = vm.mBook.admit(mNowMs, ORGANISATION, tokens);
         if (admission == Admission.EXHAUSTED && vm.mConfiguredBudget - mUsedTokens >= tokens) {
@@ -249,24 +248,24 @@
         mUsedTokens += used;
     }
 
-    /** Ends all requests in progress at a VM, which used all that was reserved for them. */
+    /** Ends all requests in progress at a VM, each of which used all of its reserved tokens. */
     void finishAllUsingAll(int vm) {
         finishAll(vm, Long.MAX_VALUE);
     }
 
-    /** Ends all requests in progress at a VM, which used so many tokens each at the most. */
-    void finishAll(int vm, long most) {
-        Vm at = mVms.get(vm);
-        for (RunningRequest running : at.mRunning) {
-            long used = Math.min(most, running.reserved());
-            at.mBook.settle(mNowMs, ORGANISATION, running.reserved(), used);
+    /** Ends all requests in progress at a VM, each of which used at most the given tokens. */
+    void finishAll(int vm, long maxTokens) {
+        Vm target = mVms.get(vm);
+        for (RunningRequest running : target.mRunning) {
+            long used = Math.min(maxTokens, running.reserved());
+            target.mBook.settle(mNowMs, ORGANISATION, running.reserved(), used);
             mReservedTokens -= running.reserved();
             mUsedTokens += used;
         }
-        at.mRunning.clear();
+        target.mRunning.clear();
     }
 
-    /** Lets all VMs work for a time, with nothing failing. */
+    /** Runs all VMs for the given time without faults. */
     void runWithoutFaults(long ms) {
         mFaultsEnabled = false;
         while (!mDelayed.isEmpty()) {
@@ -284,7 +283,7 @@
         mVms.forEach(Vm::configure);
     }
 
-    /** Lets each VM believe at any moment that it is a home, or that it is none. */
+    /** Makes the result of whether a VM is a home random at each call. */
     void randomizeHomes() {
         mHomesRandom = true;
     }
@@ -301,7 +300,9 @@
         mVms.get(vm).mBook.startReturningTokens(mNowMs);
     }
 
-    /** Returns the tokens that can still be spent, as a VM knows it that has just looked. */
+    /**
+     * Returns the tokens that can still be spent, as known to a VM that has just read the store.
+     */
     long unspentTokens(int vm) {
         return mVms.get(vm).mBook.admissionState(mNowMs, ORGANISATION).unallocated() + freeTokens();
     }
@@ -310,12 +311,15 @@
         return mVms.stream().mapToLong(v -> v.mBook.holdings().get(ORGANISATION).free()).sum();
     }
 
-    /** Returns the tokens that callers have had, or may still have. */
+    /** Returns the tokens that callers have used or may still use. */
     long usedOrReserved() {
         return mUsedTokens + mReservedTokens;
     }
 
-    /** Returns how often a budget was called used up of which the tokens asked for were unspent. */
+    /**
+     * Returns how often a budget was reported as used up although the requested tokens were
+     * unspent.
+     */
     int falseExhaustions() {
         return mFalseExhaustions;
     }
--- a/coordination/src/test/java/org/hornbeampass/coordination/escrow/SimulatedLoad.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/escrow/SimulatedLoad.java
@@ -2,9 +2,9 @@
 
 import java.util.Random;
 
-/** What callers send in an {@link EscrowSimulation}. */
+/** The requests that callers send in an {@link EscrowSimulation}. */
 enum SimulatedLoad {
-    /** Three sizes of requests; the budgets last for 1.3 times the day. */
+    /** Requests of three sizes; the budgets last for 1.3 times the simulated time. */
     MIXED_PROMPTS(0.037, 50_000, 50_000) {
         @Override
         Size draw(Random random) {
@@ -16,8 +16,8 @@
         }
     },
     /**
-     * Long prompts of very uneven size beside many short ones; the budgets last for 1.3 times two
-     * thirds of the day, so that each token that is lost is missed before its end.
+     * Long prompts of very uneven size and many short ones. The budgets last for 1.3 times two
+     * thirds of the simulated time, so that each lost token is missed before the end.
      */
     LONG_PROMPTS(0.0443, 51_000, 34_000) {
         @Override
@@ -45,9 +45,9 @@
     /**
      * One request.
      *
-     * @param maxTokens the most tokens that it may use
-     * @param usedFraction the part of them that it does use
-     * @param worth what it is worth to its caller
+     * @param maxTokens the maximum tokens that the request may use
+     * @param usedFraction the fraction of the maximum tokens that the request uses
+     * @param worth the request's worth to its caller
      */
     record Size(long maxTokens, double usedFraction, double worth) {
         static Size of(long maxTokens, double usedFraction, double worth) {
@@ -71,13 +71,13 @@
     private static final int SAMPLES = 20_000;
 
     private final double mRequestsPerMs;
-    private final long mDayMs;
-    private final long mPaidMs;
+    private final long mDurationMs;
+    private final long mBudgetMs;
 
-    SimulatedLoad(double requestsPerMs, long dayMs, long paidMs) {
+    SimulatedLoad(double requestsPerMs, long durationMs, long budgetMs) {
         mRequestsPerMs = requestsPerMs;
-        mDayMs = dayMs;
-        mPaidMs = paidMs;
+        mDurationMs = durationMs;
+        mBudgetMs = budgetMs;
     }
 
     abstract Size draw(Random random);
@@ -86,11 +86,11 @@
         return mRequestsPerMs;
     }
 
-    long dayMs() {
-        return mDayMs;
+    long durationMs() {
+        return mDurationMs;
     }
 
-    /** Returns the tokens of all budgets together. */
+    /** Returns the sum of all budgets, in tokens. */
     double prepaid() {
         Random random = new Random(7);
         double used = 0;
@@ -98,7 +98,7 @@
             Size size = draw(random);
             used += size.maxTokens() * size.usedFraction() / SAMPLES;
         }
-        return BUDGET_FACTOR * mRequestsPerMs * mPaidMs * used;
+        return BUDGET_FACTOR * mRequestsPerMs * mBudgetMs * used;
     }
 
     private static double randomPart(Random random, double mean, double spread, double limit) {
