--- a/coordination/src/main/java/org/hornbeampass/coordination/escrow/EscrowAccount.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/escrow/EscrowAccount.java
@@ -3,21 +3,22 @@
 import java.util.OptionalLong;
 
 /**
- * What one incarnation of a VM may spend of one organisation's budget.
+ * The tokens that one incarnation of a VM may spend of one organisation's budget.
  *
- * <p>Invariant: what is spent and reserved never exceeds the limit, and the limit never exceeds
- * what the store is known to hold for this incarnation. Confined to one thread.
+ * <p>Invariant: the tokens spent and reserved never exceed the limit, and the limit never exceeds
+ * the grant that the store is known to hold for this incarnation. Not thread-safe; must be used on
+ * one thread.
  */
 final class EscrowAccount {
-    /** How fast the observed demand follows, in milliseconds. */
-    private static final double DEMAND_MS = 5_000;
+    /** The time constant of the moving average of demand, in milliseconds. */
+    private static final double DEMAND_DECAY_MS = 5_000;
 
     /**
-     * For how long, in milliseconds, there is taken to have been demand before the first request:
-     * an average over {@link #DEMAND_MS} is too low while it is younger than that, and a first
-     * request alone says little.
+     * The time before the first request for which demand is assumed, in milliseconds. A moving
+     * average over {@link #DEMAND_DECAY_MS} is too low while it is younger than that, and the first
+     * request alone is a poor estimate.
      */
-    private static final long DEMAND_BEFORE_MS = 2_000;
+    private static final long ASSUMED_DEMAND_MS = 2_000;
 
     private long mLimit;
     private long mSpent;
@@ -26,13 +27,13 @@
     private long mBorrowed;
     private long mGranted;
     private long mReportedSpent;
-    private long mWrittenSpent;
+    private long mMaxWrittenSpent;
     private double mDemandPerMs;
     private long mDemandAtMs;
     private long mFirstDemandMs = Long.MAX_VALUE;
     private long mWanted;
-    private long mLeastWanted = Long.MAX_VALUE;
-    private long mLookUntilMs = Long.MIN_VALUE;
+    private long mSmallestWanted = Long.MAX_VALUE;
+    private long mRecheckUntilMs = Long.MIN_VALUE;
 
     long free() {
         return mLimit - used();
@@ -47,65 +48,73 @@
     }
 
     /**
-     * Returns what this VM's own grant must cover: tokens spent, held by requests in progress and
-     * lent, less those borrowed; negative where more was borrowed than used.
+     * Returns the tokens that this VM's own grant must cover: those spent, reserved by requests in
+     * progress and lent, less those borrowed. Negative if more tokens were borrowed than used.
      */
     long used() {
         return mSpent + mReserved + mLent - mBorrowed;
     }
 
-    /** Returns whether the store holds more for this VM than it uses, or an older report. */
-    boolean owesStore() {
+    /**
+     * Returns whether the store holds a larger grant than this VM uses, or an outdated spending
+     * report.
+     */
+    boolean hasUnsettledWithStore() {
         return mGranted > Math.max(0, used()) || mSpent > mReportedSpent;
     }
 
-    /** Takes tokens out for another VM, for ever. */
+    /** Deducts tokens permanently for another VM. */
     void lend(long tokens) {
         mLent += tokens;
     }
 
-    /** Takes tokens out for requests at another VM, which are demand here as well. */
+    /** Deducts tokens for requests at another VM. They count as demand of this VM as well. */
     void lendToRequests(long nowMs, long tokens) {
         mLent += tokens;
-        demand(nowMs, tokens);
+        addDemand(nowMs, tokens);
     }
 
-    /** Takes in tokens that another VM has taken out. */
+    /** Adds tokens that another VM has deducted from its account. */
     void borrow(long tokens) {
         mBorrowed += tokens;
-        forgetWanted();
+        clearWanted();
     }
 
     /**
-     * Takes in what another VM hands over: tokens that its requests did not use, and spent ones
-     * that are to be reported from here. The latter were lent by some VM, so that what this one
-     * uses does not change.
+     * Adds the tokens that another VM transfers: those that its requests did not use, and spent
+     * tokens that this VM is to report. The latter were lent by some VM, so that the tokens used by
+     * this VM do not change.
      */
-    void takeOver(long nowMs, long tokens, long spent) {
+    void acceptTransfer(long nowMs, long tokens, long spent) {
         borrow(tokens);
-        demand(nowMs, -tokens);
+        addDemand(nowMs, -tokens);
         mSpent += spent;
         mLent -= spent;
     }
 
-    /** Takes out the spent tokens that no write of this VM has ever told the store of. */
-    long handOverSpent() {
-        long spent = unwrittenSpent();
+    /**
+     * Deducts and returns the spent tokens that no write of this VM has ever reported to the store.
+     */
+    long takeUnreportedSpent() {
+        long spent = neverWrittenSpent();
         mSpent -= spent;
         mLent += spent;
         return spent;
     }
 
-    long unwrittenSpent() {
-        return Math.max(0, mSpent - mWrittenSpent);
+    long neverWrittenSpent() {
+        return Math.max(0, mSpent - mMaxWrittenSpent);
     }
 
-    /** Notes that a write is sent which reports all that is spent; it may never be answered. */
-    void onWriting() {
-        mWrittenSpent = Math.max(mWrittenSpent, mSpent);
+    /**
+     * Records that a write which reports all spending has been sent. The write may never be
+     * answered.
+     */
+    void onWriteSent() {
+        mMaxWrittenSpent = Math.max(mMaxWrittenSpent, mSpent);
     }
 
-    /** Returns what the store was last seen to hold for this incarnation. */
+    /** Returns the grant of this incarnation that was last read from the store. */
     long granted() {
         return mGranted;
     }
@@ -114,14 +123,17 @@
         return mReportedSpent;
     }
 
-    /** Returns the tokens of all requests that were not admitted since the last exchange. */
+    /** Returns the tokens needed by all requests that were not admitted since the last exchange. */
     long wanted() {
         return mWanted;
     }
 
-    /** Returns the tokens of the smallest request that was not admitted since then. */
-    OptionalLong leastWanted() {
-        return mWanted > 0 ? OptionalLong.of(mLeastWanted) : OptionalLong.empty();
+    /**
+     * Returns the tokens needed by the smallest request that was not admitted since the last
+     * exchange.
+     */
+    OptionalLong smallestWanted() {
+        return mWanted > 0 ? OptionalLong.of(mSmallestWanted) : OptionalLong.empty();
     }
 
     boolean reserve(long tokens) {
@@ -132,61 +144,72 @@
         return true;
     }
 
-    /** Notes a request that was not admitted; the store is looked at for it until a time. */
-    void want(long tokens, long lookUntilMs) {
+    /**
+     * Records a request that was not admitted; the store is checked again for it until the given
+     * time.
+     */
+    void addWanted(long tokens, long recheckUntilMs) {
         mWanted += tokens;
-        mLeastWanted = Math.min(mLeastWanted, tokens);
-        mLookUntilMs = Math.max(mLookUntilMs, lookUntilMs);
+        mSmallestWanted = Math.min(mSmallestWanted, tokens);
+        mRecheckUntilMs = Math.max(mRecheckUntilMs, recheckUntilMs);
     }
 
-    /** Returns whether requests were refused of late without a proof that the budget is used up. */
-    boolean looks(long nowMs) {
-        return nowMs < mLookUntilMs;
+    /**
+     * Returns whether requests were recently refused without confirmation that the budget is used
+     * up.
+     */
+    boolean hasUnconfirmedRefusals(long nowMs) {
+        return nowMs < mRecheckUntilMs;
     }
 
     void settle(long nowMs, long reserved, long used) {
         long spent = Math.min(reserved, used);
         mReserved -= reserved;
         mSpent += spent;
-        demand(nowMs, spent);
+        addDemand(nowMs, spent);
     }
 
-    /** Forgets what requests waited for: an exchange is over, and they ask again. */
-    void forgetWanted() {
+    /**
+     * Clears the tokens that requests wait for: the exchange has ended, and the requests ask again.
+     */
+    void clearWanted() {
         mWanted = 0;
-        mLeastWanted = Long.MAX_VALUE;
+        mSmallestWanted = Long.MAX_VALUE;
     }
 
     void setLimit(long limit) {
         mLimit = limit;
     }
 
-    /** Takes in what the store holds for this incarnation, and what of it may be spent. */
-    void onStored(long granted, long limit, long reportedSpent) {
+    /**
+     * Updates the grant of this incarnation as read from the store, and how much of it may be
+     * spent.
+     */
+    void onStoredGrant(long granted, long limit, long reportedSpent) {
         mGranted = granted;
         mLimit = limit;
         mReportedSpent = reportedSpent;
     }
 
-    /** Returns the tokens used in a millisecond, as observed of late. */
+    /** Returns the recent demand, in tokens per millisecond. */
     double demandPerMs(long nowMs) {
-        fade(nowMs);
+        decayDemand(nowMs);
         if (mFirstDemandMs > nowMs) {
             return 0;
         }
-        long sinceMs = nowMs - mFirstDemandMs + DEMAND_BEFORE_MS;
-        return Math.max(0, mDemandPerMs) / (1 - Math.exp(-sinceMs / DEMAND_MS));
+        long observedMs = nowMs - mFirstDemandMs + ASSUMED_DEMAND_MS;
+        return Math.max(0, mDemandPerMs) / (1 - Math.exp(-observedMs / DEMAND_DECAY_MS));
     }
 
-    private void demand(long nowMs, long tokens) {
-        fade(nowMs);
+    private void addDemand(long nowMs, long tokens) {
+        decayDemand(nowMs);
         mFirstDemandMs = Math.min(mFirstDemandMs, nowMs);
-        mDemandPerMs += tokens / DEMAND_MS;
+        mDemandPerMs += tokens / DEMAND_DECAY_MS;
     }
 
-    private void fade(long nowMs) {
+    private void decayDemand(long nowMs) {
         if (nowMs > mDemandAtMs) {
-            mDemandPerMs *= Math.exp(-(nowMs - mDemandAtMs) / DEMAND_MS);
+            mDemandPerMs *= Math.exp(-(nowMs - mDemandAtMs) / DEMAND_DECAY_MS);
             mDemandAtMs = nowMs;
         }
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/escrow/EscrowLoans.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/escrow/EscrowLoans.java
@@ -18,55 +18,58 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Moves unspent tokens between VMs, so that a few exchange with the store for all, and all have one
- * pool while it can't help.
+ * Moves unspent tokens between VMs, so that only a few VMs need to exchange with the store, and all
+ * VMs can share their tokens while it is unreachable.
  *
- * <p>A request that finds too few tokens waits for a {@link LoanSearch}, first among the homes of
- * its organisation's pool. What requests leave goes back to a home, and so does the reporting of
- * what they spent. A home that the store turns away borrows ahead from those that it serves.
+ * <p>A request for which this VM has too few tokens waits for a {@link LoanSearch}, which first
+ * asks the homes of the organisation's pool. Unused tokens, and the duty to report spent ones, are
+ * transferred back to a home. A home that cannot reach the store borrows from other VMs before
+ * requests need the tokens, from the other homes if there are any.
  *
- * <p>Invariant: tokens are taken from the lender before they are sent, and counted by the borrower
- * once, when the reply arrives; a lost reply loses them and never doubles them. Confined to the
- * book's thread: the network must reply on it.
+ * <p>Invariant: the lender deducts tokens before it sends them, and the borrower adds them once,
+ * when the reply arrives; if the reply is lost, the tokens are lost, never duplicated. Not
+ * thread-safe; must be used on the thread of the {@link EscrowBook}, and the network must reply on
+ * it.
  */
 public final class EscrowLoans {
-    /** How long a reply may take, in milliseconds; peers answer within a few. */
-    private static final long TIMEOUT_MS = 500;
+    /** The timeout of a reply, in milliseconds; other VMs normally answer within a few. */
+    private static final long REPLY_TIMEOUT_MS = 500;
 
-    /** How often loans ahead of requests are looked for, in milliseconds. */
-    private static final long PAUSE_MS = 200;
+    /** The interval at which transfers and loans ahead of requests are started, in milliseconds. */
+    private static final long INTERVAL_MS = 200;
 
     /**
-     * How long a search that found too little is not repeated, in milliseconds: an organisation
-     * whose tokens are used up everywhere would have all its requests ask all VMs.
+     * The time after an unsuccessful search during which it is not repeated, in milliseconds.
+     * Otherwise, each request of an organisation whose tokens are used up everywhere would ask all
+     * VMs.
      */
-    private static final long FRUITLESS_PAUSE_MS = 300;
+    private static final long SEARCH_RETRY_MS = 300;
 
     /**
-     * For how long a VM that did not answer is asked last, in milliseconds; it takes the fleet some
-     * three seconds to see that it is gone.
+     * The time during which a VM that did not answer is asked last, in milliseconds. The fleet
+     * takes about three seconds to detect that a VM is gone.
      */
-    private static final long SILENT_MS = 2_000;
+    private static final long UNRESPONSIVE_MS = 2_000;
 
     private final EscrowBook mBook;
     private final PeerNetwork mPeers;
     private final PoolHomes mHomes;
     private final RandomGenerator mRandom;
-    private final Set<String> mOpen = new HashSet<>();
+    private final Set<String> mOpenRequests = new HashSet<>();
     private final Map<String, LoanSearch> mSearches = new HashMap<>();
-    private final Map<String, Long> mNotBeforeMs = new HashMap<>();
+    private final Map<String, Long> mNextSearchMs = new HashMap<>();
     private final Map<String, String> mLastLender = new HashMap<>();
-    private final Map<Integer, List<String>> mConnected = new HashMap<>();
-    private final Map<String, Long> mSilentUntilMs = new HashMap<>();
-    private long mNextMs;
+    private final Map<Integer, List<String>> mConnectedHomes = new HashMap<>();
+    private final Map<String, Long> mUnresponsiveUntilMs = new HashMap<>();
+    private long mNextTickMs;
 
     /**
-     * Makes the loans of one book.
+     * Creates the loans of one book.
      *
-     * @param book the book
+     * @param book the book whose tokens are lent and borrowed
      * @param peers sends messages to other VMs
-     * @param homes tells which VMs hold the pools, and which others there are
-     * @param random chooses whom to ask
+     * @param homes which VMs are homes of the pools, and which other VMs there are
+     * @param random chooses the VMs to ask
      */
     public EscrowLoans(
             EscrowBook book, PeerNetwork peers, PoolHomes homes, RandomGenerator random) {
@@ -77,32 +80,34 @@
     }
 
     /**
-     * Looks for tokens at other VMs for a request that waits; at the store where none is known.
+     * Looks for tokens for a waiting request, at other VMs or, if no other VM is known, in the
+     * store.
      *
-     * @param nowMs the present time in milliseconds
+     * @param nowMs the current time in milliseconds
      * @param organisation the organisation's name
-     * @param tokens how many the request needs
-     * @param done run once when the search is over, whatever it found; not where false is returned
-     * @return whether a search is under way; false where there is no hope now
+     * @param tokens the tokens that the request needs
+     * @param done run once when the search ends, whatever it found; not run if this method returns
+     *     false
+     * @return whether a search is in progress; false if no tokens can be expected at present
      */
     public boolean search(long nowMs, String organisation, long tokens, Runnable done) {
         LoanSearch open = mSearches.get(organisation);
         if (open != null) {
-            open.join(tokens, done);
+            open.addRequest(tokens, done);
             return true;
         }
-        if (nowMs < mNotBeforeMs.getOrDefault(organisation, Long.MIN_VALUE)) {
+        if (nowMs < mNextSearchMs.getOrDefault(organisation, Long.MIN_VALUE)) {
             return false;
         }
-        List<String> homes = homes(nowMs, mBook.pool(organisation));
+        List<String> homes = homesToAsk(nowMs, mBook.pool(organisation));
         List<String> order =
-                LoanSearch.order(
+                LoanSearch.peerOrder(
                         homes,
                         mHomes.otherVms(),
                         mLastLender.getOrDefault(organisation, ""),
                         mRandom);
         if (order.isEmpty()) {
-            return waitForStore(nowMs, organisation, done);
+            return waitForStoreExchange(nowMs, organisation, done);
         }
         LoanSearch search =
                 new LoanSearch(
@@ -111,122 +116,129 @@
                         organisation,
                         order,
                         homes.size(),
-                        (t, s) -> over(t, organisation, s));
-        search.join(tokens, done);
+                        (t, s) -> onSearchEnded(t, organisation, s));
+        search.addRequest(tokens, done);
         mSearches.put(organisation, search);
         search.start(nowMs);
         return true;
     }
 
-    private boolean waitForStore(long nowMs, String organisation, Runnable done) {
-        boolean helps = mBook.serveAlone(nowMs, organisation);
+    private boolean waitForStoreExchange(long nowMs, String organisation, Runnable done) {
+        boolean helps = mBook.allowStoreExchangesWithoutPeers(nowMs, organisation);
         if (helps) {
             mBook.afterNextExchange(nowMs, organisation, done);
         }
         return helps;
     }
 
-    /** Returns the homes to ask, those that were silent of late last. */
-    private List<String> homes(long nowMs, int pool) {
+    /** Returns the homes to ask, those that recently did not answer last. */
+    private List<String> homesToAsk(long nowMs, int pool) {
         List<String> homes = new ArrayList<>();
-        List<String> silent = new ArrayList<>();
+        List<String> unresponsive = new ArrayList<>();
         for (String each : mHomes.otherHomes(pool)) {
-            boolean answers = nowMs >= mSilentUntilMs.getOrDefault(each, Long.MIN_VALUE);
-            (answers ? homes : silent).add(each);
+            boolean responsive = nowMs >= mUnresponsiveUntilMs.getOrDefault(each, Long.MIN_VALUE);
+            (responsive ? homes : unresponsive).add(each);
         }
-        homes.addAll(silent);
+        homes.addAll(unresponsive);
         return homes;
     }
 
-    private void over(long nowMs, String organisation, LoanSearch search) {
+    private void onSearchEnded(long nowMs, String organisation, LoanSearch search) {
         mSearches.remove(organisation);
-        search.lender().ifPresent(l -> mLastLender.put(organisation, l));
-        search.silent().forEach(n -> mSilentUntilMs.put(n, nowMs + SILENT_MS));
-        if (search.found()) {
+        search.lastLender().ifPresent(l -> mLastLender.put(organisation, l));
+        search.unresponsivePeers()
+                .forEach(n -> mUnresponsiveUntilMs.put(n, nowMs + UNRESPONSIVE_MS));
+        if (search.isSatisfied()) {
             return;
         }
-        mNotBeforeMs.put(organisation, nowMs + FRUITLESS_PAUSE_MS);
-        if (search.silent().containsAll(mHomes.otherHomes(mBook.pool(organisation)))) {
-            mBook.serveItself(nowMs, organisation);
+        mNextSearchMs.put(organisation, nowMs + SEARCH_RETRY_MS);
+        if (search.unresponsivePeers().containsAll(mHomes.otherHomes(mBook.pool(organisation)))) {
+            mBook.allowStoreExchanges(nowMs, organisation);
         }
     }
 
     /**
-     * Hands what this VM does not need to a home of its pool; at a home that has lost the store,
-     * asks another one for each organisation whose tokens run low.
+     * Transfers unneeded tokens to a home of their pool. A home for which the store is unreachable
+     * asks another VM for tokens of each organisation that runs low.
      */
     public void tick(long nowMs) {
-        if (nowMs < mNextMs) {
+        if (nowMs < mNextTickMs) {
             return;
         }
-        mNextMs = nowMs + PAUSE_MS;
+        mNextTickMs = nowMs + INTERVAL_MS;
         if (mHomes.otherVms().isEmpty()) {
             return;
         }
-        mBook.organisationOfEachPool().forEach((pool, name) -> connect(nowMs, pool, name));
-        mBook.takeGifts(nowMs).forEach((pool, gifts) -> give(nowMs, pool, gifts));
-        mBook.lacking(nowMs)
-                .forEach((organisation, tokens) -> askAhead(nowMs, organisation, tokens));
+        mBook.organisationOfEachPool()
+                .forEach((pool, name) -> connectToNewHomes(nowMs, pool, name));
+        mBook.takeTransfers(nowMs)
+                .forEach((pool, transfers) -> sendTransfers(nowMs, pool, transfers));
+        mBook.shortfalls(nowMs)
+                .forEach((organisation, tokens) -> borrowAhead(nowMs, organisation, tokens));
     }
 
     /**
-     * Asks new homes of a pool for nothing, so that the connection to them is there, and what they
-     * know of a budget is known, before a request waits for their tokens.
+     * Sends an empty loan request to each new home of a pool, so that the connection exists and the
+     * home's knowledge of a budget is known before a request has to wait for tokens.
      */
-    private void connect(long nowMs, int pool, String organisation) {
+    private void connectToNewHomes(long nowMs, int pool, String organisation) {
         List<String> homes = mHomes.otherHomes(pool);
-        List<String> before = Optional.ofNullable(mConnected.put(pool, homes)).orElse(List.of());
+        List<String> before =
+                Optional.ofNullable(mConnectedHomes.put(pool, homes)).orElse(List.of());
         for (String home : homes) {
             if (!before.contains(home)) {
                 mPeers.request(
                         nowMs,
                         home,
                         new LoanRequest(organisation, 0, 0, false),
-                        TIMEOUT_MS,
-                        (t, reply) -> take(t, organisation, reply));
+                        REPLY_TIMEOUT_MS,
+                        (t, reply) -> onReply(t, organisation, reply));
             }
         }
     }
 
-    /** Sends to the first home that was not silent of late: what a dead one is sent is lost. */
-    private void give(long nowMs, int pool, List<TokenTransfer> gifts) {
-        List<String> homes = homes(nowMs, pool);
-        String home = homes.isEmpty() ? anyOf(mHomes.otherVms()) : homes.get(0);
-        gifts.forEach(g -> mPeers.send(home, g));
+    /**
+     * Sends transfers to the first home that has not recently failed to answer, since what is sent
+     * to an unreachable home is lost.
+     */
+    private void sendTransfers(long nowMs, int pool, List<TokenTransfer> transfers) {
+        List<String> homes = homesToAsk(nowMs, pool);
+        String home = homes.isEmpty() ? chooseAny(mHomes.otherVms()) : homes.get(0);
+        transfers.forEach(t -> mPeers.send(home, t));
     }
 
-    private String anyOf(List<String> names) {
+    private String chooseAny(List<String> names) {
         return names.get(mRandom.nextInt(names.size()));
     }
 
-    private void askAhead(long nowMs, String organisation, long tokens) {
-        if (!mOpen.add(organisation)) {
+    private void borrowAhead(long nowMs, String organisation, long tokens) {
+        if (!mOpenRequests.add(organisation)) {
             return;
         }
         List<String> homes = mHomes.otherHomes(mBook.pool(organisation));
         mPeers.request(
                 nowMs,
-                anyOf(homes.isEmpty() ? mHomes.otherVms() : homes),
+                chooseAny(homes.isEmpty() ? mHomes.otherVms() : homes),
                 new LoanRequest(organisation, 0, tokens, false),
-                TIMEOUT_MS,
-                (t, reply) -> take(t, organisation, reply));
+                REPLY_TIMEOUT_MS,
+                (t, reply) -> onReply(t, organisation, reply));
     }
 
-    private void take(long nowMs, String organisation, Either<Failure, PeerMessage> reply) {
-        mOpen.remove(organisation);
+    private void onReply(long nowMs, String organisation, Either<Failure, PeerMessage> reply) {
+        mOpenRequests.remove(organisation);
         if (reply.isRight() && reply.get() instanceof LoanReply loan) {
-            mBook.onLoan(nowMs, loan);
+            mBook.onLoanReply(nowMs, loan);
         }
     }
 
-    /** Answers another VM. */
+    /** Answers a loan request of another VM. */
     public void onRequest(long nowMs, VmId from, LoanRequest request, Consumer<PeerMessage> reply) {
         mBook.lend(nowMs, request, reply::accept);
     }
 
-    /** Takes what another VM hands over; dropped where the organisation is not known. */
+    /** Applies a transfer from another VM. Ignored if the organisation is unknown. */
     public void onTransfer(
             long nowMs, VmId from, TokenTransfer transfer, Consumer<PeerMessage> reply) {
-        mBook.accept(nowMs, transfer);
+        mBook.onTransfer(nowMs, transfer);
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/escrow/GrantPlan.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/escrow/GrantPlan.java
@@ -4,29 +4,31 @@
 import java.util.TreeMap;
 
 /**
- * What this VM wants the store to hold: its grants, its reports, and former lives closed.
+ * Plans the record that this VM writes to the store: its own grants and spending reports, with the
+ * entries of its former incarnations closed.
  *
- * <p>Invariant: a plan never raises what is granted of a budget above its level, and changes the
- * grant of no other life than this VM's own and its former ones. Confined to one thread.
+ * <p>Invariant: a plan never raises the granted tokens of a budget above its size, and changes only
+ * the grants of this VM's current and former incarnations. Not thread-safe; must be used on one
+ * thread.
  */
 final class GrantPlan {
     /**
-     * The part of a budget that each VM is taken to have used before any was: a VM that serves all
-     * of an organisation is known for it after some percent of the budget.
+     * The fraction of a budget that each VM is assumed to have used at the start. If one VM serves
+     * all requests of an organisation, this shows after a few percent of the budget.
      */
-    private static final double PRIOR_PART = 0.01;
+    private static final double PRIOR_FRACTION = 0.01;
 
     /**
-     * The part of a budget that is worth an exchange by itself. Near a budget's end eight VMs
-     * passed crumbs to each other, at two calls a crumb.
+     * Tokens are moved only if they are at least the budget divided by this number. Otherwise, near
+     * the end of a budget, eight VMs passed tiny amounts to each other at two calls each.
      */
-    private static final long LEAST_MOVED_PART = 1_000;
+    private static final long MIN_TRANSFER_DIVISOR = 1_000;
 
-    /** Tokens beyond the target are returned once they exceed it by this part of it. */
-    private static final long RETURN_PART = 2;
+    /** Surplus tokens are returned once they exceed the target divided by this number. */
+    private static final long RETURN_DIVISOR = 2;
 
     private final EscrowOwner mOwner;
-    private final KnownBudgets mKnown;
+    private final KnownBudgets mKnownBudgets;
     private final Map<String, EscrowAccount> mAccounts;
     private final GrantPolicy mPolicy;
     private final PoolHomes mHomes;
@@ -34,60 +36,66 @@
 
     GrantPlan(
             EscrowOwner owner,
-            KnownBudgets known,
+            KnownBudgets knownBudgets,
             Map<String, EscrowAccount> accounts,
             GrantPolicy policy,
             PoolHomes homes,
             int pool) {
         mOwner = owner;
-        mKnown = known;
+        mKnownBudgets = knownBudgets;
         mAccounts = accounts;
         mPolicy = policy;
         mHomes = homes;
         mPool = pool;
     }
 
-    /** Returns the record with this VM's wishes in it. */
-    EscrowRecord next(long nowMs, boolean givingBack) {
-        EscrowRecord next = mKnown.record().copy();
-        for (String organisation : mKnown.organisations()) {
-            next.organisations().put(organisation, changed(nowMs, organisation, givingBack));
+    /** Returns the record to write, with this VM's planned grants and reports. */
+    EscrowRecord nextRecord(long nowMs, boolean returning) {
+        EscrowRecord next = mKnownBudgets.record().copy();
+        for (String organisation : mKnownBudgets.organisations()) {
+            next.organisations().put(organisation, plannedGrants(nowMs, organisation, returning));
         }
         return next;
     }
 
-    /** Returns whether so many tokens are worth an exchange, and may be had. */
-    boolean takes(String organisation, long tokens) {
-        return Math.min(mKnown.unallocated(organisation), tokens) >= leastMoved(organisation);
+    /**
+     * Returns whether the given tokens, limited to those still unallocated, are worth an exchange
+     * with the store.
+     */
+    boolean isWorthTaking(String organisation, long tokens) {
+        return Math.min(mKnownBudgets.unallocated(organisation), tokens)
+                >= minTransfer(organisation);
     }
 
-    private long leastMoved(String organisation) {
-        return Math.max(1, mKnown.prepaid(organisation) / LEAST_MOVED_PART);
+    private long minTransfer(String organisation) {
+        return Math.max(1, mKnownBudgets.prepaid(organisation) / MIN_TRANSFER_DIVISOR);
     }
 
-    /** Returns whether so many tokens beyond the target are worth returning. */
-    boolean returns(String organisation, long target, long beyond) {
-        return beyond > target / RETURN_PART && beyond >= leastMoved(organisation);
+    /** Returns whether the given surplus over the target is worth returning. */
+    boolean isWorthReturning(String organisation, long target, long surplus) {
+        return surplus > target / RETURN_DIVISOR && surplus >= minTransfer(organisation);
     }
 
     /**
-     * Returns how many unspent tokens this VM should hold; one that is no home needs only those
-     * that its requests wait for.
+     * Returns how many unspent tokens this VM should hold. A VM that is not a home needs only the
+     * tokens that its requests wait for.
      */
     long target(long nowMs, String organisation) {
         EscrowAccount account = mAccounts.get(organisation);
         if (!mHomes.isHome(mPool)) {
             return account.wanted();
         }
-        EscrowRecord.Organisation stored = mKnown.stored(organisation);
+        EscrowRecord.Organisation stored = mKnownBudgets.stored(organisation);
         long unreported = account.spent() - account.reportedSpent();
         long unspent =
-                mKnown.prepaid(organisation)
+                mKnownBudgets.prepaid(organisation)
                         - stored.closed()
                         - (stored.spent() - stored.closedSpent())
                         - unreported;
-        // Tokens that a dead VM had lent count as its own, and once more as they are spent.
-        long left = Math.max(unspent, mKnown.prepaid(organisation) - stored.granted());
+        // The difference above counts tokens lent by a VM that is gone twice once they are spent:
+        // as
+        // its closed grant and as spending of the borrower.
+        long left = Math.max(unspent, mKnownBudgets.prepaid(organisation) - stored.granted());
         if (left <= 0) {
             return 0;
         }
@@ -96,16 +104,18 @@
                 new GrantPolicy.Inputs(
                         left,
                         homes,
-                        share(organisation, stored, homes),
+                        usageShare(organisation, stored, homes),
                         account.demandPerMs(nowMs),
                         account.wanted(),
-                        mKnown.prepaid(organisation)));
+                        mKnownBudgets.prepaid(organisation)));
     }
 
-    /** Returns this VM's part in what was used; all homes alike while little was. */
-    private double share(String organisation, EscrowRecord.Organisation stored, int homes) {
+    /**
+     * Returns this VM's fraction of the used tokens; about equal for all homes while few were used.
+     */
+    private double usageShare(String organisation, EscrowRecord.Organisation stored, int homes) {
         EscrowAccount account = mAccounts.get(organisation);
-        double prior = PRIOR_PART * mKnown.prepaid(organisation);
+        double prior = PRIOR_FRACTION * mKnownBudgets.prepaid(organisation);
         double others = stored.spent() - stored.closedSpent() - account.reportedSpent();
         double own = Math.max(0, account.used());
         return (own + prior) / (own + others + prior * homes);
@@ -117,25 +127,29 @@
         return own == null ? 0 : own.granted();
     }
 
-    /** Returns an organisation's grants with this VM's wishes, reports and former lives in them. */
-    private EscrowRecord.Organisation changed(long nowMs, String organisation, boolean givingBack) {
-        EscrowRecord.Organisation stored = mKnown.stored(organisation);
+    /**
+     * Returns an organisation's grants with this VM's planned grant and report, and the entries of
+     * its former incarnations closed.
+     */
+    private EscrowRecord.Organisation plannedGrants(
+            long nowMs, String organisation, boolean returning) {
+        EscrowRecord.Organisation stored = mKnownBudgets.stored(organisation);
         EscrowAccount account = mAccounts.get(organisation);
         TreeMap<String, EscrowRecord.Holder> holders = new TreeMap<>(stored.holders());
         long closed = stored.closed();
         long closedSpent = stored.closedSpent();
         for (var entry : stored.holders().entrySet()) {
-            boolean formerLife =
+            boolean formerIncarnation =
                     entry.getValue().vm().equals(mOwner.vm())
                             && !entry.getKey().equals(mOwner.incarnation());
-            if (formerLife) {
+            if (formerIncarnation) {
                 closed += entry.getValue().granted();
                 closedSpent += entry.getValue().spent();
                 holders.remove(entry.getKey());
             }
         }
-        long room = mKnown.prepaid(organisation) - stored.granted();
-        long granted = wanted(nowMs, organisation, room, givingBack);
+        long unallocated = mKnownBudgets.prepaid(organisation) - stored.granted();
+        long granted = plannedOwnGrant(nowMs, organisation, unallocated, returning);
         if (granted > 0 || account.spent() > 0) {
             holders.put(
                     mOwner.incarnation(),
@@ -146,17 +160,18 @@
         return new EscrowRecord.Organisation(closed, closedSpent, holders);
     }
 
-    private long wanted(long nowMs, String organisation, long room, boolean givingBack) {
+    private long plannedOwnGrant(
+            long nowMs, String organisation, long unallocated, boolean returning) {
         EscrowAccount account = mAccounts.get(organisation);
-        long held = ownGrant(mKnown.record(), organisation);
-        if (givingBack) {
+        long held = ownGrant(mKnownBudgets.record(), organisation);
+        if (returning) {
             return Math.max(0, Math.min(held, account.used()));
         }
         long target = target(nowMs, organisation);
-        long aim = Math.max(0, account.used() + target);
-        if (aim > held) {
-            return held + Math.max(0, Math.min(aim - held, room));
+        long desired = Math.max(0, account.used() + target);
+        if (desired > held) {
+            return held + Math.max(0, Math.min(desired - held, unallocated));
         }
-        return returns(organisation, target, held - aim) ? aim : held;
+        return isWorthReturning(organisation, target, held - desired) ? desired : held;
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/escrow/RecordExchange.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/escrow/RecordExchange.java
@@ -10,96 +10,105 @@
 import java.util.SplittableRandom;
 
 /**
- * Reads and conditionally writes one record of budgets in the store.
+ * Reads one record of budgets from the store and writes it by conditional updates.
  *
- * <p>Invariants: at most one call is open; a write is based on the version that was read last; it
- * is known of each version that is read whether an earlier write may still be carried out on it.
- * Confined to one thread.
+ * <p>Invariants: at most one call is open; a write is based on the version that was read last; for
+ * each version read, it is known whether an earlier write may still be applied to it. Not
+ * thread-safe; must be used on one thread.
  */
 final class RecordExchange {
-    /** What an exchange is made for. */
-    interface Side {
-        /** Returns the record to write, once what the store holds is known. */
-        EscrowRecord onWriting(long nowMs);
-
-        /** Hears that the known record is what the store holds, before the next write. */
-        void onRecord(long nowMs, boolean writeStillOpen);
-
-        /** Hears that the store holds what was written. */
+    /** Supplies the record to write and handles the results of an exchange. */
+    interface Handler {
+        /** Returns the record to write, now that the record in the store is known. */
+        EscrowRecord prepareRecord(long nowMs);
+
+        /**
+         * Called before the next write, when the known record has been read from the store.
+         *
+         * @param nowMs the current time in milliseconds
+         * @param writePending whether an earlier write may still be applied to this version
+         */
+        void onRecordRead(long nowMs, boolean writePending);
+
+        /** Called when the record has been written to the store. */
         void onWritten(long nowMs);
 
-        /** Hears that an exchange ended without an answer. */
+        /** Called when an exchange has failed. */
         void onFailed(long nowMs);
     }
 
-    /** How long to wait after a failed call; calls are priced, and outages last seconds. */
+    /**
+     * The pause after a failed call, in milliseconds. Calls are billed, and outages last seconds.
+     */
     private static final long RETRY_MS = 400;
 
     /**
-     * Waits after the second conflict in a row and each further one: many VMs that write one record
-     * at once, as after a cut, would replace each other's versions at the store's own pace.
+     * The pause after the second and each further conflict in a row. Without it, many VMs that
+     * write the same record at once, as after an outage, would overwrite each other's versions as
+     * fast as the store allows.
      */
     private static final RetryPolicy CONFLICT_BACKOFF = new RetryPolicy(10, 640, Integer.MAX_VALUE);
 
     private final Platform mPlatform;
     private final String mKey;
-    private final KnownBudgets mKnown;
+    private final KnownBudgets mKnownBudgets;
     private final SplittableRandom mRandom;
-    private final Side mSide;
-    private boolean mOpen;
-    private boolean mPeeking;
-    private long mOpenedMs;
+    private final Handler mHandler;
+    private boolean mCallOpen;
+    private boolean mStaleReadOpen;
+    private long mCallStartMs;
     private boolean mVersionKnown;
     private boolean mFailing;
     private boolean mMustCreate;
     private int mConflicts;
     private long mVersion;
-    private long mUncertainBase = -1;
-    private EscrowRecord mWritten = EscrowRecord.empty();
+    private long mUncertainBaseVersion = -1;
+    private EscrowRecord mSentRecord = EscrowRecord.empty();
     private long mNotBeforeMs = Long.MIN_VALUE;
 
-    RecordExchange(Platform platform, String key, KnownBudgets known, long seed, Side side) {
+    RecordExchange(
+            Platform platform, String key, KnownBudgets knownBudgets, long seed, Handler handler) {
         mPlatform = platform;
         mKey = key;
-        mKnown = known;
+        mKnownBudgets = knownBudgets;
         mRandom = new SplittableRandom(seed);
-        mSide = side;
+        mHandler = handler;
     }
 
     /** Returns whether an exchange can be started. */
-    boolean ready(long nowMs) {
-        return !mOpen && nowMs >= mNotBeforeMs;
+    boolean isReady(long nowMs) {
+        return !mCallOpen && nowMs >= mNotBeforeMs;
     }
 
     /** Returns whether the last call failed. */
-    boolean failing() {
+    boolean isFailing() {
         return mFailing;
     }
 
     /** Returns whether the record was read, and no call has failed since. */
-    boolean versionKnown() {
+    boolean isVersionKnown() {
         return mVersionKnown;
     }
 
-    /** Returns for how long a call has been open, in milliseconds; 0 where none is. */
+    /** Returns how long the current call has been open, in milliseconds; 0 if no call is open. */
     long openForMs(long nowMs) {
-        return mOpen ? nowMs - mOpenedMs : 0;
+        return mCallOpen ? nowMs - mCallStartMs : 0;
     }
 
-    /** Reads the record, and writes it as its side wants it. */
+    /** Reads the record, then writes the one that the handler prepares. */
     void start(long nowMs) {
         if (!mVersionKnown) {
             submit(nowMs, new PlatformCall.Get(mKey));
             return;
         }
-        mPeeking = true;
+        mStaleReadOpen = true;
         submit(nowMs, new PlatformCall.Get(mKey, true));
     }
 
     private void write(long nowMs) {
-        mWritten = mSide.onWriting(nowMs);
-        mUncertainBase = mVersion;
-        String value = Json.encode(mWritten);
+        mSentRecord = mHandler.prepareRecord(nowMs);
+        mUncertainBaseVersion = mVersion;
+        String value = Json.encode(mSentRecord);
         submit(
                 nowMs,
                 mMustCreate
@@ -108,15 +117,15 @@
     }
 
     private void submit(long nowMs, PlatformCall call) {
-        mOpen = true;
-        mOpenedMs = nowMs;
-        mPlatform.submit(nowMs, call, this::replied);
+        mCallOpen = true;
+        mCallStartMs = nowMs;
+        mPlatform.submit(nowMs, call, this::onReply);
     }
 
-    private void replied(long nowMs, PlatformReply reply) {
-        mOpen = false;
-        boolean peeked = mPeeking;
-        mPeeking = false;
+    private void onReply(long nowMs, PlatformReply reply) {
+        mCallOpen = false;
+        boolean staleRead = mStaleReadOpen;
+        mStaleReadOpen = false;
         mFailing =
                 reply instanceof PlatformReply.Throttled
                         || reply instanceof PlatformReply.Unavailable;
@@ -124,17 +133,17 @@
             onWritten(nowMs, written.version());
             return;
         }
-        if (peeked && !mFailing) {
-            takePeek(reply);
+        if (staleRead && !mFailing) {
+            adoptStaleRead(reply);
             write(nowMs);
             return;
         }
         if (reply instanceof PlatformReply.Found found) {
-            take(nowMs, found.object());
+            adoptAndWrite(nowMs, found.object());
             return;
         }
         if (reply instanceof PlatformReply.Missing) {
-            mKnown.heard(nowMs);
+            mKnownBudgets.onStoreReply(nowMs);
             mVersionKnown = true;
             mMustCreate = true;
             write(nowMs);
@@ -147,29 +156,32 @@
         }
         mVersionKnown = false;
         mNotBeforeMs = nowMs + RETRY_MS;
-        mSide.onFailed(nowMs);
+        mHandler.onFailed(nowMs);
     }
 
     private void onWritten(long nowMs, long version) {
-        mUncertainBase = -1;
+        mUncertainBaseVersion = -1;
         mMustCreate = false;
         mConflicts = 0;
         mVersion = version;
-        know(nowMs, mWritten);
-        mSide.onWritten(nowMs);
+        setKnownRecord(nowMs, mSentRecord);
+        mHandler.onWritten(nowMs);
     }
 
-    private void know(long nowMs, EscrowRecord record) {
-        mKnown.heard(nowMs);
-        mKnown.setRecord(record);
-        mKnown.seen();
+    private void setKnownRecord(long nowMs, EscrowRecord record) {
+        mKnownBudgets.onStoreReply(nowMs);
+        mKnownBudgets.setRecord(record);
+        mKnownBudgets.markRecordKnown();
     }
 
-    /** Writes once more at the version that another VM has written, and later where that fails. */
+    /**
+     * Retries the write immediately on the version of another VM; after further conflicts, only
+     * after a pause.
+     */
     private void onConflict(long nowMs, StoredObject current) {
         mConflicts++;
         if (mConflicts == 1) {
-            take(nowMs, current);
+            adoptAndWrite(nowMs, current);
             return;
         }
         adoptVersion(nowMs, current);
@@ -177,11 +189,12 @@
     }
 
     /**
-     * Takes in a version that may be old, only as the base of the next write: the store carries
-     * that out only if it was not. No limit changes by it, nor does it count as news. A write at a
-     * version that another VM has replaced costs two calls; more than half of them did.
+     * Adopts a version that may be outdated, only as the base of the next write, which the store
+     * applies only if the version is current. It changes no limit and does not count as a current
+     * reply of the store. Without this read, more than half of the writes were based on a version
+     * that another VM had replaced, which costs two calls.
      */
-    private void takePeek(PlatformReply reply) {
+    private void adoptStaleRead(PlatformReply reply) {
         boolean newer =
                 reply instanceof PlatformReply.Found found && found.object().version() > mVersion;
         if (!newer) {
@@ -190,7 +203,7 @@
         StoredObject object = ((PlatformReply.Found) reply).object();
         mVersion = object.version();
         mMustCreate = false;
-        mKnown.setRecord(decode(object));
+        mKnownBudgets.setRecord(decode(object));
     }
 
     private EscrowRecord decode(StoredObject object) {
@@ -198,8 +211,8 @@
                 .getOrElseThrow(f -> new IllegalStateException(mKey + ": " + f.message()));
     }
 
-    /** Takes the record in as it is, and goes on with a write where one is due. */
-    private void take(long nowMs, StoredObject object) {
+    /** Adopts the record as read and writes the next one. */
+    private void adoptAndWrite(long nowMs, StoredObject object) {
         adoptVersion(nowMs, object);
         write(nowMs);
     }
@@ -207,7 +220,7 @@
     private void adoptVersion(long nowMs, StoredObject object) {
         mVersionKnown = true;
         mVersion = object.version();
-        know(nowMs, decode(object));
-        mSide.onRecord(nowMs, mVersion == mUncertainBase);
+        setKnownRecord(nowMs, decode(object));
+        mHandler.onRecordRead(nowMs, mVersion == mUncertainBaseVersion);
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/escrow/ShardLending.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/escrow/ShardLending.java
@@ -6,64 +6,66 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * What this VM hands to other VMs of the budgets of one record, and what it needs of them.
+ * Lends and transfers tokens of the budgets of one store record to other VMs, and determines how
+ * many tokens this VM needs from them.
  *
- * <p>Invariant: what is handed over was free and is taken out before. Confined to one thread.
+ * <p>Invariant: tokens are sent only if they are free and have been deducted before. Not
+ * thread-safe; must be used on one thread.
  */
 final class ShardLending {
     /**
-     * For how much of its own demand a VM that is no home keeps tokens, in milliseconds: long
-     * enough that a busy organisation doesn't ask a home for each request, short enough that a
-     * hundred VMs hold little of a budget together.
+     * The time for which a VM that is not a home keeps tokens to meet its own demand, in
+     * milliseconds. It is long enough that a busy organisation does not ask a home for each
+     * request, and short enough that a hundred VMs together hold little of a budget.
      */
-    private static final double FLOAT_MS = 1_000;
+    private static final double KEPT_DEMAND_MS = 1_000;
 
     /**
-     * The part of a budget that is worth handing back by itself. A hundred VMs that each keep less
-     * hold half a percent together.
+     * Tokens are transferred back only if they are at least the budget divided by this number. A
+     * hundred VMs that each keep less hold at most half a percent together.
      */
-    private static final long LEAST_RETURNED_PART = 20_000;
+    private static final long MIN_RETURN_DIVISOR = 20_000;
 
-    /** How often a VM that is no home hands back what it does not need, in milliseconds. */
-    private static final long HAND_OVER_MS = 500;
+    /** The interval at which a VM that is not a home transfers unneeded tokens, in milliseconds. */
+    private static final long HAND_OVER_INTERVAL_MS = 500;
 
     private final Map<String, EscrowAccount> mAccounts;
-    private final KnownBudgets mKnown;
+    private final KnownBudgets mKnownBudgets;
     private final GrantPlan mPlan;
     private final PoolHomes mHomes;
     private final int mPool;
-    private long mHandedOverMs = Long.MIN_VALUE / 2;
+    private long mLastHandOverMs = Long.MIN_VALUE / 2;
 
     ShardLending(
             Map<String, EscrowAccount> accounts,
-            KnownBudgets known,
+            KnownBudgets knownBudgets,
             GrantPlan plan,
             PoolHomes homes,
             int pool) {
         mAccounts = accounts;
-        mKnown = known;
+        mKnownBudgets = knownBudgets;
         mPlan = plan;
         mHomes = homes;
         mPool = pool;
     }
 
-    /** Adds the tokens that organisations lack at a home that has lost the store. */
-    void addLacking(long nowMs, Map<String, Long> lacking) {
+    /** Adds the tokens that organisations lack at a home for which the store is unreachable. */
+    void addShortfalls(long nowMs, Map<String, Long> shortfalls) {
         if (!mHomes.isHome(mPool)) {
             return;
         }
-        for (String organisation : mKnown.organisations()) {
+        for (String organisation : mKnownBudgets.organisations()) {
             EscrowAccount account = mAccounts.get(organisation);
             long target = Math.max(account.wanted(), mPlan.target(nowMs, organisation));
             if (account.free() < target / 2) {
-                lacking.put(organisation, target - account.free());
+                shortfalls.put(organisation, target - account.free());
             }
         }
     }
 
     /**
-     * Takes out tokens for requests that will come to another VM: up to half of what is free. VMs
-     * that all miss the store would only pass tokens round.
+     * Lends up to half of the free tokens for future requests at another VM. The limit matters
+     * because VMs that all lack the store would otherwise only pass tokens around.
      */
     long lendAhead(long nowMs, LoanRequest request) {
         EscrowAccount account = mAccounts.get(request.organisation());
@@ -71,9 +73,9 @@
     }
 
     /**
-     * Takes out tokens for requests that wait at another VM: all that are free, if they need them.
-     * A request that is here is worth as much as one that may come later, which can borrow in its
-     * turn.
+     * Lends tokens for requests that wait at another VM: all free ones if they are needed. A
+     * waiting request has priority over one that may come later, since the later one can borrow as
+     * well.
      */
     long lendToWaiting(long nowMs, LoanRequest request) {
         EscrowAccount account = mAccounts.get(request.organisation());
@@ -81,54 +83,58 @@
         return lend(nowMs, request, Math.max(Math.min(free, request.needed()), free / 2));
     }
 
-    private long lend(long nowMs, LoanRequest request, long spare) {
-        long lent = Math.max(0, Math.min(request.tokens(), spare));
+    private long lend(long nowMs, LoanRequest request, long available) {
+        long lent = Math.max(0, Math.min(request.tokens(), available));
         mAccounts.get(request.organisation()).lendToRequests(nowMs, lent);
         return lent;
     }
 
-    /** Returns how many tokens a request's VM asks for beyond those needed. */
-    long ahead(long nowMs, String organisation) {
-        return (long) (mAccounts.get(organisation).demandPerMs(nowMs) * FLOAT_MS);
+    /** Returns the tokens that this VM requests beyond those that a request needs. */
+    long extraTokens(long nowMs, String organisation) {
+        return (long) (mAccounts.get(organisation).demandPerMs(nowMs) * KEPT_DEMAND_MS);
     }
 
     /**
-     * Takes out what this VM does not need and hands to a home, where it is time: its surplus and
-     * the reporting of what it spent; all that it has where it shuts down.
+     * Deducts and returns the tokens to transfer to a home, if a transfer is due: this VM's surplus
+     * and the duty to report its spending, or all of its tokens during a shutdown.
      */
-    List<TokenTransfer> takeGifts(long nowMs, boolean givingBack, BooleanSupplier storeHelps) {
-        boolean early = nowMs - mHandedOverMs < HAND_OVER_MS && !givingBack;
-        if (early || mHomes.otherVms().isEmpty()) {
+    List<TokenTransfer> takeTransfers(
+            long nowMs, boolean returning, BooleanSupplier storeReachable) {
+        boolean tooEarly = nowMs - mLastHandOverMs < HAND_OVER_INTERVAL_MS && !returning;
+        if (tooEarly || mHomes.otherVms().isEmpty()) {
             return List.of();
         }
         boolean home = mHomes.isHome(mPool);
-        if (home && (!givingBack || storeHelps.getAsBoolean())) {
+        if (home && (!returning || storeReachable.getAsBoolean())) {
             return List.of();
         }
-        mHandedOverMs = nowMs;
-        List<TokenTransfer> gifts = new ArrayList<>();
-        for (String organisation : mKnown.organisations()) {
-            TokenTransfer gift = gift(nowMs, organisation, givingBack);
-            if (gift.tokens() > 0 || gift.spent() > 0) {
-                gifts.add(gift);
+        mLastHandOverMs = nowMs;
+        List<TokenTransfer> transfers = new ArrayList<>();
+        for (String organisation : mKnownBudgets.organisations()) {
+            TokenTransfer transfer = takeTransfer(nowMs, organisation, returning);
+            if (transfer.tokens() > 0 || transfer.spent() > 0) {
+                transfers.add(transfer);
             }
         }
-        return gifts;
+        return transfers;
     }
 
-    private TokenTransfer gift(long nowMs, String organisation, boolean givingBack) {
+    private TokenTransfer takeTransfer(long nowMs, String organisation, boolean returning) {
         EscrowAccount account = mAccounts.get(organisation);
-        long keep = givingBack ? 0 : ahead(nowMs, organisation);
-        long surplus = account.free() - keep;
-        long least =
-                givingBack ? 1 : Math.max(1, mKnown.prepaid(organisation) / LEAST_RETURNED_PART);
-        long tokens = surplus >= least ? surplus : 0;
+        long kept = returning ? 0 : extraTokens(nowMs, organisation);
+        long surplus = account.free() - kept;
+        long minimum =
+                returning
+                        ? 1
+                        : Math.max(1, mKnownBudgets.prepaid(organisation) / MIN_RETURN_DIVISOR);
+        long tokens = surplus >= minimum ? surplus : 0;
         account.lend(tokens);
-        return new TokenTransfer(organisation, tokens, account.handOverSpent());
+        return new TokenTransfer(organisation, tokens, account.takeUnreportedSpent());
     }
 
-    /** Returns whether a VM that is no home has handed over all that it can. */
-    boolean handedOver() {
-        return mAccounts.values().stream().allMatch(a -> a.free() <= 0 && a.unwrittenSpent() == 0);
+    /** Returns whether a VM that is not a home has transferred all the tokens that it can. */
+    boolean hasHandedOverAll() {
+        return mAccounts.values().stream()
+                .allMatch(a -> a.free() <= 0 && a.neverWrittenSpent() == 0);
     }
 }
--- a/coordination/src/test/java/org/hornbeampass/coordination/escrow/EscrowLoansTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/escrow/EscrowLoansTest.java
@@ -22,33 +22,38 @@
 import java.util.Random;
 import java.util.function.BiConsumer;
 
-/** Checks that a VM that the store turns away gets tokens from another, and no token twice. */
+/**
+ * Tests that a VM whose store calls are throttled borrows tokens from another VM, and that no token
+ * is spent twice.
+ */
 class EscrowLoansTest {
     private static final long PREPAID = 100_000;
 
     private final MemoryPlatform mStore = new MemoryPlatform();
     private int mWrites;
-    private final EscrowBook mLender = book("lender", this::count);
+    private final EscrowBook mLender = book("lender", this::submitCounted);
     private int mCalls;
-    private boolean mTurnedAway;
+    private boolean mStoreThrottled;
     private int mRequests;
-    private final List<String> mGiftsTo = new ArrayList<>();
-    private final Platform mLink =
+    private final List<String> mTransferReceivers = new ArrayList<>();
+    private final Platform mBorrowerStore =
             (nowMs, call, done) -> {
                 mCalls++;
-                if (mTurnedAway) {
+                if (mStoreThrottled) {
                     done.accept(nowMs, new PlatformReply.Throttled());
                 } else {
                     mStore.submit(nowMs, call, done);
                 }
             };
-    private final EscrowBook mBorrower = book("borrower", mLink);
+    private final EscrowBook mBorrower = book("borrower", mBorrowerStore);
     private final EscrowLoans mLenderLoans =
-            new EscrowLoans(mLender, new ToLender(), homes(List.of()), new Random(1));
-    private final EscrowLoans mLoans =
-            new EscrowLoans(mBorrower, new ToLender(), homes(List.of("lender")), new Random(1));
+            new EscrowLoans(mLender, new LenderNetwork(), homes(List.of()), new Random(1));
+    private final EscrowLoans mBorrowerLoans =
+            new EscrowLoans(
+                    mBorrower, new LenderNetwork(), homes(List.of("lender")), new Random(1));
 
-    private void count(long nowMs, PlatformCall call, BiConsumer<Long, PlatformReply> done) {
+    private void submitCounted(
+            long nowMs, PlatformCall call, BiConsumer<Long, PlatformReply> done) {
         mWrites += call.kind() == PlatformCall.Kind.WRITE ? 1 : 0;
         mStore.submit(nowMs, call, done);
     }
@@ -70,12 +75,12 @@
         return book;
     }
 
-    /** Hands requests straight to the lender. */
-    private final class ToLender implements PeerNetwork {
+    /** A network that passes requests directly to the lender. */
+    private final class LenderNetwork implements PeerNetwork {
         @Override
         public void send(String vmName, PeerMessage message) {
-            mGiftsTo.add(vmName);
-            mLender.accept(0, (TokenTransfer) message);
+            mTransferReceivers.add(vmName);
+            mLender.onTransfer(0, (TokenTransfer) message);
         }
 
         @Override
@@ -87,7 +92,7 @@
                 BiConsumer<Long, Either<Failure, PeerMessage>> done) {
             mRequests++;
             if (vmName.equals("dead")) {
-                Failure lost = Failure.of(ErrorKind.DEADLINE_EXCEEDED, "no answer");
+                Failure lost = Failure.of(ErrorKind.DEADLINE_EXCEEDED, "no reply");
                 done.accept(nowMs, Either.left(lost));
                 return;
             }
@@ -103,20 +108,20 @@
         for (long t = fromMs; t < toMs; t += 100) {
             mLender.tick(t);
             mBorrower.tick(t);
-            mLoans.tick(t);
+            mBorrowerLoans.tick(t);
         }
     }
 
     @Test
-    void vmThatWasNeverServed_getsTokensFromItsPeer() {
-        mTurnedAway = true;
+    void vmWithThrottledStore_borrowsTokensFromPeer() {
+        mStoreThrottled = true;
         run(0, 3_000);
         assertThat(mBorrower.admit(3_000, "org", 1_000)).isEqualTo(Admission.RESERVED);
     }
 
     @Test
-    void bothTogether_neverHoldMoreThanTheBudget() {
-        mTurnedAway = true;
+    void lenderAndBorrower_neverSpendMoreThanBudget() {
+        mStoreThrottled = true;
         run(0, 10_000);
         long admitted = 0;
         for (long t = 10_000; t < 40_000; t += 100) {
@@ -127,22 +132,22 @@
                     book.settle(t, "org", 700, 700);
                 }
             }
-            mTurnedAway = t % 8_000 < 4_000;
+            mStoreThrottled = t % 8_000 < 4_000;
         }
         assertThat(admitted).isLessThanOrEqualTo(PREPAID).isGreaterThan(PREPAID * 9 / 10);
     }
 
     @Test
-    void vmThatTheStoreServes_borrowsNothing() {
+    void vmServedByStore_hasNoShortfall() {
         run(0, 3_000);
-        assertThat(mBorrower.lacking(3_000)).isEmpty();
+        assertThat(mBorrower.shortfalls(3_000)).isEmpty();
     }
 
-    /** Others are the homes of all pools, and this VM none. */
-    private static final class OtherHomes implements PoolHomes {
+    /** Other VMs are the homes of all pools; this VM is not a home. */
+    private static final class FixedOtherHomes implements PoolHomes {
         private final List<String> mNames;
 
-        OtherHomes(String... names) {
+        FixedOtherHomes(String... names) {
             mNames = List.of(names);
         }
 
@@ -168,7 +173,8 @@
     }
 
     /**
-     * One request at a VM that has just started, as the relay admits it: it waits, or is refused.
+     * One request at a VM that has just started, admitted in the same way as by the relay: it waits
+     * or is refused.
      */
     private static final class WaitingRequest {
         private final EscrowBook mBook;
@@ -195,20 +201,16 @@
     }
 
     /**
-     * What callers saw: after all VMs had lost power at once, nearly all requests were refused for
-     * a second, and told to come back after another one and a half.
-     *
-     * <p>The order of events: all VMs start; callers come at once; a VM knows no other before one
-     * of its seeds answers, and holds no pool in its first two seconds.
-     *
-     * <p>The cause: with nobody to ask, a request was refused at once, though the store was there
-     * and had the tokens. The evidence: lines that said so 0 ms after a request came, at VMs that
-     * had put their configuration in force, until they wrote that they knew others.
+     * After all VMs had lost power at once, nearly all requests were refused for a second, with the
+     * advice to retry after another 1.5 s. A VM that has just started knows no other VM until one
+     * of its seeds answers, and is not a home in its first two seconds. With no VM to ask, it
+     * refused requests at once, although the store was reachable and had the tokens.
      */
     @Test
-    void vmThatKnowsNobodyYet_getsFromTheStoreWhatItsRequestNeeds() {
-        EscrowBook book = bookOfNoHome(new OtherHomes());
-        EscrowLoans loans = new EscrowLoans(book, new ToLender(), new OtherHomes(), new Random(1));
+    void vmWithoutKnownPeers_takesNeededTokensFromStore() {
+        EscrowBook book = nonHomeBook(new FixedOtherHomes());
+        EscrowLoans loans =
+                new EscrowLoans(book, new LenderNetwork(), new FixedOtherHomes(), new Random(1));
         WaitingRequest request = new WaitingRequest(book, loans, 700);
         WaitingRequest next = new WaitingRequest(book, loans, 300);
         request.admit(0);
@@ -220,9 +222,10 @@
     }
 
     @Test
-    void vmThatKnowsNobodyYet_refusesWhatTheStoreLacks_afterFewCalls() {
-        EscrowBook book = bookOfNoHome(new OtherHomes());
-        EscrowLoans loans = new EscrowLoans(book, new ToLender(), new OtherHomes(), new Random(1));
+    void vmWithoutKnownPeers_refusesTokensStoreLacks_afterFewCalls() {
+        EscrowBook book = nonHomeBook(new FixedOtherHomes());
+        EscrowLoans loans =
+                new EscrowLoans(book, new LenderNetwork(), new FixedOtherHomes(), new Random(1));
         WaitingRequest all = new WaitingRequest(book, loans, PREPAID);
         all.admit(0);
         runAlone(book, loans, 0, 500);
@@ -242,14 +245,14 @@
         }
     }
 
-    private EscrowBook bookOfNoHome() {
-        return bookOfNoHome(new OtherHomes("lender"));
+    private EscrowBook nonHomeBook() {
+        return nonHomeBook(new FixedOtherHomes("lender"));
     }
 
-    private EscrowBook bookOfNoHome(PoolHomes homes) {
+    private EscrowBook nonHomeBook(PoolHomes homes) {
         EscrowBook book =
                 new EscrowBook(
-                        mLink,
+                        mBorrowerStore,
                         new EscrowOwner("borrower", "borrower-2"),
                         1,
                         homes,
@@ -260,11 +263,12 @@
     }
 
     @Test
-    void newHome_isConnectedToOnceBeforeAnyRequest() {
+    void newHome_isContactedOnceBeforeAnyRequest() {
         mLender.tick(0);
-        EscrowBook book = bookOfNoHome();
+        EscrowBook book = nonHomeBook();
         EscrowLoans loans =
-                new EscrowLoans(book, new ToLender(), new OtherHomes("lender"), new Random(1));
+                new EscrowLoans(
+                        book, new LenderNetwork(), new FixedOtherHomes("lender"), new Random(1));
         assertThat(book.admissionState(0, "org").unspent()).isGreaterThan(PREPAID);
         for (long t = 0; t < 3_000; t += 100) {
             loans.tick(t);
@@ -274,11 +278,12 @@
     }
 
     @Test
-    void vmThatIsNoHome_handsBackWhatItsRequestsLeave() {
+    void nonHomeVm_returnsUnusedTokens() {
         mLender.tick(0);
-        EscrowBook book = bookOfNoHome();
+        EscrowBook book = nonHomeBook();
         EscrowLoans loans =
-                new EscrowLoans(book, new ToLender(), new OtherHomes("lender"), new Random(1));
+                new EscrowLoans(
+                        book, new LenderNetwork(), new FixedOtherHomes("lender"), new Random(1));
         long before = mLender.free("org");
         loans.search(0, "org", 1_000, () -> {});
         assertThat(book.admit(0, "org", 1_000)).isEqualTo(Admission.RESERVED);
@@ -287,35 +292,38 @@
         for (long t = 100; t < 60_000; t += 100) {
             loans.tick(t);
         }
-        // What is too little to be handed back by itself stays.
+        // An amount that is too small to be transferred back stays.
         assertThat(mLender.free("org")).isBetween(before - 405, before - 400);
         assertThat(mLender.holdings().get("org").spent()).isEqualTo(400);
         assertThat(book.holdings().get("org").spent()).isZero();
     }
 
     @Test
-    void homeThatWasHandedTokens_doesNotTryToReturnThemAgainAndAgain() {
+    void homeWithReceivedTokens_doesNotWriteRepeatedlyToReturnThem() {
         run(0, 3_000);
-        mLender.accept(3_000, new TokenTransfer("org", 3 * mLender.free("org"), 0));
+        mLender.onTransfer(3_000, new TokenTransfer("org", 3 * mLender.free("org"), 0));
         int before = mWrites;
         run(3_000, 20_000);
-        // 34 before: what others were granted can't be returned by this VM.
+        // Trying to return tokens that were granted to other VMs caused 34 writes.
         assertThat(mWrites - before).isLessThan(3);
     }
 
     @Test
-    void homeThatWasSilentOfLate_isHandedNothing() {
+    void unresponsiveHome_receivesNoTransfers() {
         mLender.tick(0);
-        EscrowBook book = bookOfNoHome();
+        EscrowBook book = nonHomeBook();
         EscrowLoans loans =
                 new EscrowLoans(
-                        book, new ToLender(), new OtherHomes("dead", "lender"), new Random(1));
+                        book,
+                        new LenderNetwork(),
+                        new FixedOtherHomes("dead", "lender"),
+                        new Random(1));
         loans.search(0, "org", 1_000, () -> {});
         assertThat(book.admit(0, "org", 1_000)).isEqualTo(Admission.RESERVED);
         book.settle(10, "org", 1_000, 100);
         for (long t = 100; t < 1_000; t += 100) {
             loans.tick(t);
         }
-        assertThat(mGiftsTo).isNotEmpty().doesNotContain("dead");
+        assertThat(mTransferReceivers).isNotEmpty().doesNotContain("dead");
     }
 }
--- a/coordination/src/test/java/org/hornbeampass/coordination/escrow/GrantPolicyTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/escrow/GrantPolicyTest.java
@@ -11,20 +11,21 @@
 import java.util.stream.IntStream;
 
 /**
- * Compares grant policies on the same days: what cuts from the store refuse and kills write off.
+ * Compares grant policies in the same simulations: the requests refused in store outages and the
+ * tokens lost when VMs are killed.
  *
- * <p>The bounds are about twice what six seeds gave on average; a day has 1,850 requests.
+ * <p>The bounds are about twice the averages of six seeds. A simulation has 1,850 requests.
  */
 class GrantPolicyTest {
     private static final int SEEDS = 6;
-    private static final List<long[]> CUTS =
+    private static final List<long[]> OUTAGE_SPANS =
             List.of(new long[] {6_000, 14_000}, new long[] {24_000, 31_000});
-    private static final double CALM_CALLS = 1_400;
+    private static final double MAX_FAULT_FREE_CALLS = 1_400;
     private static final Faults NONE = new Faults(List.of(), List.of());
-    private static final Faults CUT = new Faults(CUTS, List.of());
+    private static final Faults OUTAGES = new Faults(OUTAGE_SPANS, List.of());
     private static final Faults KILL = new Faults(List.of(), List.of(34_000L));
-    private static final Faults CUTS_AND_KILL = new Faults(CUTS, List.of(34_000L));
-    private static final Faults ALL = new Faults(CUTS, List.of(17_000L, 34_000L));
+    private static final Faults OUTAGES_AND_KILL = new Faults(OUTAGE_SPANS, List.of(34_000L));
+    private static final Faults ALL = new Faults(OUTAGE_SPANS, List.of(17_000L, 34_000L));
 
     private static double mean(GrantPolicy policy, Faults faults, ToDoubleFunction<Result> part) {
         return mean(SimulatedLoad.MIXED_PROMPTS, policy, faults, part);
@@ -33,14 +34,14 @@
     private static double mean(
             SimulatedLoad load, GrantPolicy policy, Faults faults, ToDoubleFunction<Result> part) {
         return IntStream.range(0, SEEDS)
-                .mapToObj(seed -> EscrowSimulation.play(seed, load, policy, faults))
+                .mapToObj(seed -> EscrowSimulation.simulate(seed, load, policy, faults))
                 .mapToDouble(part)
                 .average()
                 .orElseThrow();
     }
 
     @Test
-    void noPolicy_overspendsThroughCutsAndKills() {
+    void outagesAndKills_noPolicyOverspends() {
         for (GrantPolicy policy : GrantPolicy.values()) {
             for (SimulatedLoad load : SimulatedLoad.values()) {
                 assertThat(mean(load, policy, ALL, r -> r.overspent() ? 1 : 0))
@@ -51,39 +52,43 @@
     }
 
     @Test
-    void calmDay_refusesNothing() {
-        // 2.1 % before requests waited for all that the store had, and for one exchange each.
-        assertThat(mean(GrantPolicy.DEMAND_HORIZON, NONE, Result::refusedPart)).isLessThan(0.001);
+    void noFaults_refusesAlmostNothing() {
+        // 2.1 % were refused if requests did not wait for an exchange and all tokens of the store.
+        assertThat(mean(GrantPolicy.DEMAND_HORIZON, NONE, Result::refusedFraction))
+                .isLessThan(0.001);
     }
 
     @Test
-    void calmDay_makesFewCalls() {
-        // 1,191; 2,065 where writes met versions that others had replaced, and crumbs were moved.
-        assertThat(mean(GrantPolicy.DEMAND_HORIZON, NONE, Result::calls)).isLessThan(CALM_CALLS);
+    void noFaults_makesFewCalls() {
+        // About 1,191; 2,065 with tiny transfers and with writes based on replaced versions.
+        assertThat(mean(GrantPolicy.DEMAND_HORIZON, NONE, Result::calls))
+                .isLessThan(MAX_FAULT_FREE_CALLS);
     }
 
     @Test
-    void cutsOfAllVms_loseFewRequests() {
-        // 0.01 %, 0.07 % with a lower floor; 0.63 % before requests waited for other VMs' tokens.
-        assertThat(mean(GrantPolicy.DEMAND_HORIZON, CUT, Result::lostPart)).isLessThan(0.0015);
+    void outagesForAllVms_loseFewRequests() {
+        // About 0.01 %; 0.07 % with a lower minimum held without demand, and 0.63 % if requests
+        // did not wait for tokens of other VMs.
+        assertThat(mean(GrantPolicy.DEMAND_HORIZON, OUTAGES, Result::lostFraction))
+                .isLessThan(0.0015);
     }
 
     @Test
-    void secondKillOfAllVms_leavesTokensForTheRestOfTheDay() {
-        // 5.9 %, 4 % while no VM was up; 13.9 % where VMs held half of what was left.
-        assertThat(mean(GrantPolicy.DEMAND_HORIZON, ALL, Result::lostPart)).isLessThan(0.08);
+    void secondKillOfAllVms_leavesTokensForRemainingRequests() {
+        // About 5.9 %, of which 4 % while no VM was up; 13.9 % if VMs held half of the remainder.
+        assertThat(mean(GrantPolicy.DEMAND_HORIZON, ALL, Result::lostFraction)).isLessThan(0.08);
     }
 
     @Test
-    void killOfAllVms_writesOffAThirdOfTheBaseline() {
+    void killOfAllVms_writesOffLessThanThirdOfBaseline() {
         double baseline = mean(GrantPolicy.EQUAL_SHARE, KILL, Result::writtenOff);
         double chosen = mean(GrantPolicy.DEMAND_HORIZON, KILL, Result::writtenOff);
         assertThat(chosen).isLessThan(baseline / 3);
-        // 2.0 %, nearly all while no VM was up; the baseline loses 32 %.
-        assertThat(mean(GrantPolicy.DEMAND_HORIZON, KILL, Result::lostPart)).isLessThan(0.03);
+        // About 2.0 %, nearly all while no VM was up; the baseline loses 32 %.
+        assertThat(mean(GrantPolicy.DEMAND_HORIZON, KILL, Result::lostFraction)).isLessThan(0.03);
     }
 
-    private static double servedOfLongPrompts(Faults faults) {
+    private static double servedWorthOfLongPrompts(Faults faults) {
         return mean(
                 SimulatedLoad.LONG_PROMPTS,
                 GrantPolicy.DEMAND_HORIZON,
@@ -92,20 +97,20 @@
     }
 
     @Test
-    void longPrompts_areServedThroughCutsAndAKillOfAllVms() {
-        // 86 %; 78.1 % where a quarter of what was left was held throughout.
-        assertThat(servedOfLongPrompts(CUTS_AND_KILL)).isGreaterThan(0.82);
+    void longPrompts_areServedDespiteOutagesAndKillOfAllVms() {
+        // About 86 %; 78.1 % if a constant quarter of the remainder was held.
+        assertThat(servedWorthOfLongPrompts(OUTAGES_AND_KILL)).isGreaterThan(0.82);
     }
 
     @Test
-    void longPrompts_areServedAfterAKillOfAllVms() {
-        // 97 %; 82.2 % with the quarter.
-        assertThat(servedOfLongPrompts(KILL)).isGreaterThan(0.95);
+    void longPrompts_areServedAfterKillOfAllVms() {
+        // About 97 %; 82.2 % with the constant quarter.
+        assertThat(servedWorthOfLongPrompts(KILL)).isGreaterThan(0.95);
     }
 
     @Test
-    void longPrompts_areServedThroughCuts() {
-        // 90 %; 93.7 % with the quarter: the price of the two above.
-        assertThat(servedOfLongPrompts(CUT)).isGreaterThan(0.87);
+    void longPrompts_areServedDespiteOutages() {
+        // About 90 %; 93.7 % with the constant quarter, which is worse in the two tests above.
+        assertThat(servedWorthOfLongPrompts(OUTAGES)).isGreaterThan(0.87);
     }
 }
--- a/coordination/src/test/java/org/hornbeampass/coordination/escrow/PoolHomesTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/escrow/PoolHomesTest.java
@@ -10,47 +10,49 @@
 import java.util.List;
 
 /**
- * Checks what a hundred VMs cost and serve where a few homes exchange with the store for all.
+ * Tests the calls to the store and the served requests of about a hundred VMs, a few of which
+ * exchange with the store on behalf of all.
  *
- * <p>The bounds are about one and a half times what the seed gave. The figures of fleets in which
- * each VM exchanged are of the same load drawn another time, without the wait after conflicts.
+ * <p>The bounds are about one and a half times the results of the seed. The results for fleets in
+ * which each VM exchanges come from another draw of the same load, without pauses after write
+ * conflicts.
  */
 class PoolHomesTest {
     private static final long SEED = 0;
     private static final int VMS = 95;
     private static final int ORGANISATIONS = 40;
-    private static final Size HOMES = new Size(VMS, ORGANISATIONS, false);
+    private static final Size FLEET = new Size(VMS, ORGANISATIONS, false);
     private static final Faults NONE = new Faults(List.of(), List.of());
-    private static final List<long[]> CUTS =
+    private static final List<long[]> OUTAGE_SPANS =
             List.of(new long[] {6_000, 14_000}, new long[] {24_000, 31_000});
-    private static final Faults CUTS_AND_KILL = new Faults(CUTS, List.of(34_000L));
-    private static final Faults ALL = new Faults(CUTS, List.of(17_000L, 34_000L));
+    private static final Faults OUTAGES_AND_KILL = new Faults(OUTAGE_SPANS, List.of(34_000L));
+    private static final Faults ALL = new Faults(OUTAGE_SPANS, List.of(17_000L, 34_000L));
 
-    private static Result play(SimulatedLoad load, Faults faults, Size size) {
-        return EscrowSimulation.play(SEED, load, GrantPolicy.DEMAND_HORIZON, faults, size);
+    private static Result simulate(SimulatedLoad load, Faults faults, Size size) {
+        return EscrowSimulation.simulate(SEED, load, GrantPolicy.DEMAND_HORIZON, faults, size);
     }
 
     @Test
-    void calmDayOfAHundredVms_makesCallsByOrganisationsNotByVms() {
-        // 1,022 calls, 0.00 % refused; 99,930 and 6.98 % where each VM exchanged.
-        Result homes = play(SimulatedLoad.MIXED_PROMPTS, NONE, HOMES);
+    void manyVmsWithoutFaults_callsDoNotGrowWithVms() {
+        // About 1,022 calls and 0.00 % refused; 99,930 and 6.98 % if each VM exchanges.
+        Result homes = simulate(SimulatedLoad.MIXED_PROMPTS, NONE, FLEET);
         assertThat(homes.calls()).isLessThan(1_600);
-        assertThat(homes.refusedPart()).isLessThan(0.002);
+        assertThat(homes.refusedFraction()).isLessThan(0.002);
     }
 
     @Test
-    void cutsAndKillsOfAHundredVms_endInNoStormOfCalls() {
-        // 1,804 calls; 67,170 where any VM that was asked for tokens became a home, and a write
-        // that met another version was repeated at once.
-        Result homes = play(SimulatedLoad.MIXED_PROMPTS, ALL, HOMES);
+    void outagesAndKillsOfManyVms_causeNoStormOfCalls() {
+        // About 1,804 calls; 67,170 if any VM that is asked for tokens becomes a home and
+        // conflicting writes are retried at once.
+        Result homes = simulate(SimulatedLoad.MIXED_PROMPTS, ALL, FLEET);
         assertThat(homes.calls()).isLessThan(2_700);
         assertThat(homes.overspent()).isFalse();
     }
 
     @Test
-    void longPromptsOfAHundredVms_areServedThroughCutsAndAKillOfAllVms() {
-        // 70.8 % where each VM exchanged: a fair share of a budget was less than one request.
-        Result homes = play(SimulatedLoad.LONG_PROMPTS, CUTS_AND_KILL, HOMES);
+    void longPromptsOnManyVms_areServedDespiteOutagesAndKillOfAllVms() {
+        // 70.8 % if each VM exchanges, since a fair share of a budget is less than one request.
+        Result homes = simulate(SimulatedLoad.LONG_PROMPTS, OUTAGES_AND_KILL, FLEET);
         assertThat(homes.servedWorth()).isGreaterThan(0.82);
         assertThat(homes.overspent()).isFalse();
     }
--- a/coordination/src/test/java/org/hornbeampass/coordination/escrow/SimulatedLoad.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/escrow/SimulatedLoad.java
@@ -2,9 +2,9 @@
 
 import java.util.Random;
 
-/** What callers send in an {@link EscrowSimulation}. */
+/** The requests that callers send in an {@link EscrowSimulation}. */
 enum SimulatedLoad {
-    /** Three sizes of requests; the budgets last for 1.3 times the day. */
+    /** Requests of three sizes; the budgets last for 1.3 times the simulated time. */
     MIXED_PROMPTS(0.037, 50_000, 50_000) {
         @Override
         Size draw(Random random) {
@@ -16,8 +16,8 @@
         }
     },
     /**
-     * Long prompts of very uneven size beside many short ones; the budgets last for 1.3 times two
-     * thirds of the day, so that each token that is lost is missed before its end.
+     * Long prompts of very uneven size and many short ones. The budgets last for 1.3 times two
+     * thirds of the simulated time, so that each lost token is missed before the end.
      */
     LONG_PROMPTS(0.0443, 51_000, 34_000) {
         @Override
@@ -25,17 +25,19 @@
             double kind = random.nextDouble();
             if (kind < 0.287) {
                 double prompt =
-                        part(random, 13_300, 0.7, 39_900) + part(random, 3_720, 1.1, 53_200);
+                        randomPart(random, 13_300, 0.7, 39_900)
+                                + randomPart(random, 3_720, 1.1, 53_200);
                 return Size.ofPrompt(prompt, 120, 0.2);
             }
             if (kind < 0.501) {
                 double prompt =
-                        part(random, 2_520, 0.4, 6_290)
-                                + part(random, 3_780, 0.7, 11_300)
-                                + part(random, 2_890, 1.0, 39_600);
+                        randomPart(random, 2_520, 0.4, 6_290)
+                                + randomPart(random, 3_780, 0.7, 11_300)
+                                + randomPart(random, 2_890, 1.0, 39_600);
                 return Size.ofPrompt(prompt, 50, 0.3);
             }
-            double prompt = part(random, 350, 0.6, 943) + part(random, 1_110, 1.0, 3_790);
+            double prompt =
+                    randomPart(random, 350, 0.6, 943) + randomPart(random, 1_110, 1.0, 3_790);
             return Size.ofPrompt(prompt, 170, 0.2);
         }
     };
@@ -43,37 +45,39 @@
     /**
      * One request.
      *
-     * @param most the most tokens that it may use
-     * @param used the part of them that it does use
-     * @param worth what it is worth to its caller
+     * @param maxTokens the maximum tokens that the request may use
+     * @param usedFraction the fraction of the maximum tokens that the request uses
+     * @param worth the request's worth to its caller
      */
-    record Size(long most, double used, double worth) {
-        static Size of(long most, double used, double worth) {
-            return new Size(most, used, worth);
+    record Size(long maxTokens, double usedFraction, double worth) {
+        static Size of(long maxTokens, double usedFraction, double worth) {
+            return new Size(maxTokens, usedFraction, worth);
         }
 
-        static Size ofPrompt(double prompt, double output, double worthOfAThousandTokens) {
-            double most = prompt + 2 * output;
+        static Size ofPrompt(double prompt, double output, double worthPerThousandTokens) {
+            double maxTokens = prompt + 2 * output;
             return new Size(
-                    (long) most, (prompt + output) / most, worthOfAThousandTokens * most / 1_000);
+                    (long) maxTokens,
+                    (prompt + output) / maxTokens,
+                    worthPerThousandTokens * maxTokens / 1_000);
         }
 
         long usedTokens() {
-            return (long) (most * used);
+            return (long) (maxTokens * usedFraction);
         }
     }
 
-    private static final double SPARE = 1.3;
+    private static final double BUDGET_FACTOR = 1.3;
     private static final int SAMPLES = 20_000;
 
     private final double mRequestsPerMs;
-    private final long mDayMs;
-    private final long mPaidMs;
+    private final long mDurationMs;
+    private final long mBudgetMs;
 
-    SimulatedLoad(double requestsPerMs, long dayMs, long paidMs) {
+    SimulatedLoad(double requestsPerMs, long durationMs, long budgetMs) {
         mRequestsPerMs = requestsPerMs;
-        mDayMs = dayMs;
-        mPaidMs = paidMs;
+        mDurationMs = durationMs;
+        mBudgetMs = budgetMs;
     }
 
     abstract Size draw(Random random);
@@ -82,23 +86,23 @@
         return mRequestsPerMs;
     }
 
-    long dayMs() {
-        return mDayMs;
+    long durationMs() {
+        return mDurationMs;
     }
 
-    /** Returns the tokens of all budgets together. */
+    /** Returns the sum of all budgets, in tokens. */
     double prepaid() {
         Random random = new Random(7);
         double used = 0;
         for (int i = 0; i < SAMPLES; i++) {
             Size size = draw(random);
-            used += size.most() * size.used() / SAMPLES;
+            used += size.maxTokens() * size.usedFraction() / SAMPLES;
         }
-        return SPARE * mRequestsPerMs * mPaidMs * used;
+        return BUDGET_FACTOR * mRequestsPerMs * mBudgetMs * used;
     }
 
-    private static double part(Random random, double mean, double spread, double most) {
+    private static double randomPart(Random random, double mean, double spread, double limit) {
         double drawn = mean * Math.exp(spread * random.nextGaussian() - spread * spread / 2);
-        return Math.min(most, drawn);
+        return Math.min(limit, drawn);
     }
 }
