--- a/coordination/src/main/java/org/hornbeampass/coordination/address/AddressBook.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/address/AddressBook.java
@@ -131,17 +131,17 @@
         int max = mSettings.maxAddresses();
         int forOthers = Math.max(1, max / OTHER_REGIONS_SHARE);
         Set<Member> chosen = new LinkedHashSet<>();
-        take(chosen, live, near, max - 2 * forOthers);
-        take(chosen, live, inRegion.and(near.negate()), max - forOthers);
+        addMatching(chosen, live, near, max - 2 * forOthers);
+        addMatching(chosen, live, inRegion.and(near.negate()), max - forOthers);
         if (region.isEmpty()) {
-            take(chosen, live, m -> true, max);
+            addMatching(chosen, live, m -> true, max);
         }
-        take(chosen, live, inRegion.negate(), max);
-        take(chosen, live, m -> true, max);
+        addMatching(chosen, live, inRegion.negate(), max);
+        addMatching(chosen, live, m -> true, max);
         return chosen;
     }
 
-    private static void take(
+    private static void addMatching(
             Set<Member> chosen, List<Member> live, Predicate<Member> wanted, int upTo) {
         for (Member member : live) {
             if (chosen.size() >= upTo) {
--- a/coordination/src/main/java/org/hornbeampass/coordination/address/HomeSelector.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/address/HomeSelector.java
@@ -53,13 +53,13 @@
         int perRegion = homesPerRegion(requestsPerSecond, places.size());
         List<Member> homes = new ArrayList<>();
         for (Map<FailureDomain, List<Member>> domains : places.values()) {
-            homes.addAll(inRegion(domains, organisation.value(), perRegion));
+            homes.addAll(homesInRegion(domains, organisation.value(), perRegion));
         }
         return homes;
     }
 
     /** Takes the best VM of each failure domain in turn until there are enough. */
-    private static List<Member> inRegion(
+    private static List<Member> homesInRegion(
             Map<FailureDomain, List<Member>> domains, String key, int count) {
         List<List<Member>> ranked = new ArrayList<>();
         for (FailureDomain domain : ranked(key, domains.keySet())) {
--- a/coordination/src/main/java/org/hornbeampass/coordination/config/ConfigCore.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/config/ConfigCore.java
@@ -25,7 +25,7 @@
     final PeerNetwork mNetwork;
     final ConfigSettings mSettings;
     final Random mRandom;
-    final Outbox.Guard mGuard;
+    final Outbox.LockedRunner mGuard;
     final Supplier<MembershipView> mView;
     final ConfigHistory mHistory;
     private long mNewestHeard;
@@ -40,7 +40,7 @@
             Supplier<MembershipView> view,
             ConfigSettings settings,
             Random random,
-            Outbox.Guard guard) {
+            Outbox.LockedRunner guard) {
         mSelf = self;
         mPlatform = platform;
         mLog = new ShardLog(platform, LOG_PREFIX);
--- a/coordination/src/main/java/org/hornbeampass/coordination/config/ConfigStore.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/config/ConfigStore.java
@@ -77,7 +77,7 @@
         membership.addListener(
                 new MembershipListener() {
                     @Override
-                    public void onRevisionHeard(long nowMs, VmId from, long revision) {
+                    public void onPeerRevision(long nowMs, VmId from, long revision) {
                         locked(nowMs, o -> mPeerFollower.heard(nowMs, from, revision, o));
                     }
                 });
--- a/coordination/src/main/java/org/hornbeampass/coordination/log/LogBatch.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/log/LogBatch.java
@@ -28,12 +28,12 @@
     }
 
     /** Returns whether both were written by the same VM as the same batch. */
-    public boolean sameWrite(LogBatch other) {
+    public boolean matchesWrite(LogBatch other) {
         return writerSequence == other.writerSequence && writer.equals(other.writer);
     }
 
     /** Returns the same entries at another place in the log. */
-    public LogBatch at(long newSequence) {
+    public LogBatch withSequence(long newSequence) {
         return new LogBatch(newSequence, writer, writerSequence, entries);
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/log/LogTruncation.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/log/LogTruncation.java
@@ -41,16 +41,16 @@
                 new PlatformCall.Get(mFloorKey),
                 (atMs, reply) -> {
                     if (reply instanceof PlatformReply.Missing) {
-                        raise(atMs, wanted, Optional.empty(), done);
+                        raiseFloor(atMs, wanted, Optional.empty(), done);
                     } else if (reply instanceof PlatformReply.Found found) {
-                        compare(atMs, wanted, found.object(), done);
+                        compareFloor(atMs, wanted, found.object(), done);
                     } else {
-                        done.accept(atMs, Either.left(ShardLog.unexpected(reply)));
+                        done.accept(atMs, Either.left(ShardLog.unexpectedReply(reply)));
                     }
                 });
     }
 
-    private void compare(
+    private void compareFloor(
             long nowMs,
             LogFloor wanted,
             StoredObject stored,
@@ -59,13 +59,13 @@
         if (floor.isLeft()) {
             done.accept(nowMs, Either.left(floor.getLeft()));
         } else if (floor.get().sequence() >= wanted.sequence()) {
-            list(nowMs, done);
+            listBatches(nowMs, done);
         } else {
-            raise(nowMs, wanted, Optional.of(stored), done);
+            raiseFloor(nowMs, wanted, Optional.of(stored), done);
         }
     }
 
-    private void raise(
+    private void raiseFloor(
             long nowMs,
             LogFloor wanted,
             Optional<StoredObject> stored,
@@ -80,27 +80,27 @@
                 write,
                 (atMs, reply) -> {
                     if (reply instanceof PlatformReply.Written) {
-                        list(atMs, done);
+                        listBatches(atMs, done);
                     } else {
-                        done.accept(atMs, Either.left(ShardLog.unexpected(reply)));
+                        done.accept(atMs, Either.left(ShardLog.unexpectedReply(reply)));
                     }
                 });
     }
 
-    private void list(long nowMs, BiConsumer<Long, Either<Failure, Integer>> done) {
+    private void listBatches(long nowMs, BiConsumer<Long, Either<Failure, Integer>> done) {
         mPlatform.submit(
                 nowMs,
                 new PlatformCall.ListObjects(mPrefix + "/", mPrefix + "/", mLimit),
                 (atMs, reply) -> {
                     if (reply instanceof PlatformReply.Listed listed) {
-                        delete(atMs, listed.objects(), done);
+                        deleteBelowFloor(atMs, listed.objects(), done);
                     } else {
-                        done.accept(atMs, Either.left(ShardLog.unexpected(reply)));
+                        done.accept(atMs, Either.left(ShardLog.unexpectedReply(reply)));
                     }
                 });
     }
 
-    private void delete(
+    private void deleteBelowFloor(
             long nowMs,
             List<StoredObject> objects,
             BiConsumer<Long, Either<Failure, Integer>> done) {
--- a/coordination/src/main/java/org/hornbeampass/coordination/log/ShardLog.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/log/ShardLog.java
@@ -74,7 +74,7 @@
             long sequence,
             LogBatch batch,
             BiConsumer<Long, Either<Failure, AppendResult>> done) {
-        LogBatch placed = batch.at(sequence);
+        LogBatch placed = batch.withSequence(sequence);
         String value = Json.encode(placed);
         int bytes = value.getBytes(StandardCharsets.UTF_8).length;
         if (bytes > PlatformCall.MAX_VALUE_BYTES) {
@@ -89,23 +89,23 @@
         mPlatform.submit(
                 nowMs,
                 new PlatformCall.Create(key(sequence), value),
-                (atMs, reply) -> created(atMs, placed, reply, done));
+                (atMs, reply) -> onCreateReply(atMs, placed, reply, done));
     }
 
-    private void created(
+    private void onCreateReply(
             long nowMs,
             LogBatch batch,
             PlatformReply reply,
             BiConsumer<Long, Either<Failure, AppendResult>> done) {
         if (reply instanceof PlatformReply.Written) {
-            confirm(nowMs, batch, done);
+            confirmWon(nowMs, batch, done);
         } else if (reply instanceof PlatformReply.Conflict conflict
                 && conflict.current().isPresent()) {
-            settle(nowMs, batch, conflict.current().get(), done);
+            decide(nowMs, batch, conflict.current().get(), done);
         } else if (reply instanceof PlatformReply.Unavailable) {
             readBack(nowMs, batch, done);
         } else {
-            done.accept(nowMs, Either.left(unexpected(reply)));
+            done.accept(nowMs, Either.left(unexpectedReply(reply)));
         }
     }
 
@@ -117,14 +117,14 @@
                 new PlatformCall.Get(key(batch.sequence())),
                 (atMs, reply) -> {
                     if (reply instanceof PlatformReply.Found found) {
-                        settle(atMs, batch, found.object(), done);
+                        decide(atMs, batch, found.object(), done);
                     } else {
-                        done.accept(atMs, Either.left(unexpected(reply)));
+                        done.accept(atMs, Either.left(unexpectedReply(reply)));
                     }
                 });
     }
 
-    private void settle(
+    private void decide(
             long nowMs,
             LogBatch batch,
             StoredObject stored,
@@ -132,15 +132,15 @@
         Either<Failure, LogBatch> decoded = Json.decode(stored.value(), LogBatch.class);
         if (decoded.isLeft()) {
             done.accept(nowMs, Either.left(decoded.getLeft()));
-        } else if (decoded.get().sameWrite(batch)) {
-            confirm(nowMs, batch, done);
+        } else if (decoded.get().matchesWrite(batch)) {
+            confirmWon(nowMs, batch, done);
         } else {
             AppendResult lost = new AppendResult.Lost(decoded.get());
             checkFloor(nowMs, batch.sequence(), lost, done);
         }
     }
 
-    private void confirm(
+    private void confirmWon(
             long nowMs, LogBatch batch, BiConsumer<Long, Either<Failure, AppendResult>> done) {
         checkFloor(nowMs, batch.sequence(), new AppendResult.Won(), done);
     }
@@ -154,22 +154,22 @@
                 (atMs, reply) ->
                         done.accept(
                                 atMs,
-                                floorOf(reply)
-                                        .flatMap(f -> atOrAbove(f.sequence(), sequence))
+                                decodeFloor(reply)
+                                        .flatMap(f -> checkAtOrAbove(f.sequence(), sequence))
                                         .map(s -> result)));
     }
 
-    private static Either<Failure, LogFloor> floorOf(PlatformReply reply) {
+    private static Either<Failure, LogFloor> decodeFloor(PlatformReply reply) {
         if (reply instanceof PlatformReply.Missing) {
             return Either.right(new LogFloor(0));
         }
         if (reply instanceof PlatformReply.Found found) {
             return Json.decode(found.object().value(), LogFloor.class);
         }
-        return Either.left(unexpected(reply));
+        return Either.left(unexpectedReply(reply));
     }
 
-    private Either<Failure, Long> atOrAbove(long floor, long sequence) {
+    private Either<Failure, Long> checkAtOrAbove(long floor, long sequence) {
         if (sequence >= floor) {
             return Either.right(sequence);
         }
@@ -197,17 +197,17 @@
         mPlatform.submit(
                 nowMs,
                 new PlatformCall.ListObjects(mPrefix + "/", afterKey, limit + 1),
-                (atMs, reply) -> listed(atMs, fromSequence, limit, reply, done));
+                (atMs, reply) -> onListReply(atMs, fromSequence, limit, reply, done));
     }
 
-    private void listed(
+    private void onListReply(
             long nowMs,
             long fromSequence,
             int limit,
             PlatformReply reply,
             BiConsumer<Long, Either<Failure, List<LogBatch>>> done) {
         if (!(reply instanceof PlatformReply.Listed listed)) {
-            done.accept(nowMs, Either.left(unexpected(reply)));
+            done.accept(nowMs, Either.left(unexpectedReply(reply)));
             return;
         }
         Either<Failure, List<LogBatch>> batches = consecutive(listed, fromSequence, limit);
@@ -223,8 +223,8 @@
                             .orElseGet(PlatformReply.Missing::new);
             done.accept(
                     nowMs,
-                    floorOf(floorReply)
-                            .flatMap(f -> atOrAbove(f.sequence(), fromSequence))
+                    decodeFloor(floorReply)
+                            .flatMap(f -> checkAtOrAbove(f.sequence(), fromSequence))
                             .flatMap(s -> batches));
             return;
         }
@@ -266,7 +266,7 @@
                 .start(nowMs, new LogFloor(belowSequence), done);
     }
 
-    static Failure unexpected(PlatformReply reply) {
+    static Failure unexpectedReply(PlatformReply reply) {
         String reason =
                 reply instanceof PlatformReply.Unavailable unavailable
                         ? unavailable.reason()
--- a/coordination/src/main/java/org/hornbeampass/coordination/membership/GoneEvidence.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/membership/GoneEvidence.java
@@ -31,7 +31,7 @@
     }
 
     /** Takes a list; returns whether it is newer than those seen before. */
-    boolean take(long nowMs, long version, List<ListedVm> list) {
+    boolean updateList(long nowMs, long version, List<ListedVm> list) {
         if (version < mVersion) {
             return false;
         }
@@ -39,7 +39,7 @@
         mFirstListMs = Math.min(mFirstListMs, nowMs);
         mLastListMs = Math.max(mLastListMs, nowMs);
         Map<String, ListedVm> now = new TreeMap<>();
-        list.forEach(vm -> now.merge(vm.vm().name(), vm, (a, b) -> newer(a, b) ? a : b));
+        list.forEach(vm -> now.merge(vm.vm().name(), vm, (a, b) -> isNewer(a, b) ? a : b));
         mListed.keySet().stream()
                 .filter(name -> !now.containsKey(name))
                 .forEach(name -> mAbsentSinceMs.put(name, nowMs));
@@ -49,7 +49,7 @@
         return true;
     }
 
-    private static boolean newer(ListedVm a, ListedVm b) {
+    private static boolean isNewer(ListedVm a, ListedVm b) {
         return a.vm().incarnation() > b.vm().incarnation();
     }
 
@@ -57,8 +57,8 @@
         return mListed.values();
     }
 
-    boolean provedGone(VmId vm) {
-        if (mTable.knowsNewerThan(vm)) {
+    boolean isProvedGone(VmId vm) {
+        if (mTable.hasNewerIncarnation(vm)) {
             return true;
         }
         ListedVm listed = mListed.get(vm.name());
@@ -71,7 +71,7 @@
         long absentSinceMs = mAbsentSinceMs.getOrDefault(vm.name(), mFirstListMs);
         long quietSinceMs =
                 mTable.entry(vm.name())
-                        .map(e -> e.health() == Health.GONE ? e.heardMs() : mLastListMs)
+                        .map(e -> e.health() == Health.GONE ? e.lastContactMs() : mLastListMs)
                         .orElse(mFirstListMs);
         return mLastListMs - Math.max(absentSinceMs, quietSinceMs) >= mSilenceMs;
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/membership/Health.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/membership/Health.java
@@ -22,7 +22,7 @@
     }
 
     /** Returns the value that a number stands for; {@link #GONE} for all greater numbers. */
-    static Health ofCode(int code) {
+    static Health fromCode(int code) {
         return switch (code) {
             case 0 -> LIVE;
             case 1 -> SUSPECT;
@@ -30,7 +30,7 @@
         };
     }
 
-    boolean strongerThan(Health other) {
+    boolean overrides(Health other) {
         return mCode > other.mCode;
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/membership/MemberEntry.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/membership/MemberEntry.java
@@ -20,14 +20,14 @@
     private long mCounter;
     private Health mHealth;
     private boolean mLeaving;
-    private long mSinceMs;
-    private long mHeardMs;
+    private long mChangedMs;
+    private long mLastContactMs;
 
     MemberEntry(long nowMs, MemberUpdate update, MemberDetails details) {
         mVm = update.vm();
         mDetails = details;
-        mHeardMs = nowMs;
-        set(nowMs, update.counter(), update.health());
+        mLastContactMs = nowMs;
+        setHealth(nowMs, update.counter(), update.health());
         mLeaving = update.leaving();
     }
 
@@ -64,34 +64,34 @@
     }
 
     /** Returns the time of the last change of health or counter, in milliseconds. */
-    long sinceMs() {
-        return mSinceMs;
+    long changedMs() {
+        return mChangedMs;
     }
 
     /** Returns when a message from the VM itself, or a rumour that it is live, last came. */
-    long heardMs() {
-        return mHeardMs;
+    long lastContactMs() {
+        return mLastContactMs;
     }
 
-    void heard(long nowMs) {
-        mHeardMs = Math.max(mHeardMs, nowMs);
+    void recordContact(long nowMs) {
+        mLastContactMs = Math.max(mLastContactMs, nowMs);
     }
 
-    void set(long nowMs, long counter, Health health) {
+    void setHealth(long nowMs, long counter, Health health) {
         mCounter = counter;
         mHealth = health;
-        mSinceMs = nowMs;
+        mChangedMs = nowMs;
     }
 
-    void postpone(long byMs) {
-        mSinceMs += byMs;
+    void extendSuspicion(long byMs) {
+        mChangedMs += byMs;
     }
 
     void markLeaving() {
         mLeaving = true;
     }
 
-    MemberUpdate update(boolean withDetails) {
+    MemberUpdate toUpdate(boolean withDetails) {
         Optional<MemberDetails> details = withDetails ? Optional.of(mDetails) : Optional.empty();
         return MemberUpdate.of(mVm, mCounter, mHealth, mLeaving, details);
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/membership/MemberTable.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/membership/MemberTable.java
@@ -19,12 +19,12 @@
  */
 final class MemberTable {
     /** The number of buckets in which tables are compared; one bit each in an int. */
-    static final int BUCKETS = 32;
+    static final int BUCKET_COUNT = 32;
 
     private final VmId mSelf;
     private final Region mSelfRegion;
     private final TreeMap<String, MemberEntry> mEntries = new TreeMap<>();
-    private final TreeMap<String, Long> mForgotten = new TreeMap<>();
+    private final TreeMap<String, Long> mForgottenIncarnations = new TreeMap<>();
 
     MemberTable(long nowMs, MemberUpdate self, MemberDetails details) {
         mSelf = self.vm();
@@ -54,9 +54,9 @@
     }
 
     /** Returns whether a newer incarnation of the name is or was known. */
-    boolean knowsNewerThan(VmId vm) {
+    boolean hasNewerIncarnation(VmId vm) {
         long newest = entry(vm.name()).map(e -> e.vm().incarnation()).orElse(Long.MIN_VALUE);
-        long forgotten = mForgotten.getOrDefault(vm.name(), Long.MIN_VALUE);
+        long forgotten = mForgottenIncarnations.getOrDefault(vm.name(), Long.MIN_VALUE);
         return Math.max(newest, forgotten) > vm.incarnation();
     }
 
@@ -76,14 +76,14 @@
             return mergeNewIncarnation(nowMs, update);
         }
         if (update.incarnation() < entry.vm().incarnation()) {
-            return MergeResult.KNOWN;
+            return MergeResult.UNCHANGED;
         }
         boolean leaves = update.leaving() && !entry.leaving();
         if (leaves) {
             entry.markLeaving();
         }
         MergeResult result = mergeHealth(nowMs, entry, update, senderRegion);
-        return leaves && result == MergeResult.KNOWN ? MergeResult.CHANGED : result;
+        return leaves && result == MergeResult.UNCHANGED ? MergeResult.CHANGED : result;
     }
 
     private MergeResult mergeSelf(MemberUpdate update) {
@@ -92,18 +92,19 @@
         }
         MemberEntry self = self();
         if (update.incarnation() < mSelf.incarnation() || update.counter() < self.counter()) {
-            return MergeResult.KNOWN;
+            return MergeResult.UNCHANGED;
         }
         boolean news = update.health() != Health.LIVE || update.counter() > self.counter();
         boolean leaves = update.leaving() && !self.leaving();
-        return news || leaves ? MergeResult.ACCUSES_SELF : MergeResult.KNOWN;
+        return news || leaves ? MergeResult.NEEDS_REFUTATION : MergeResult.UNCHANGED;
     }
 
     private MergeResult mergeNewIncarnation(long nowMs, MemberUpdate update) {
         boolean forgotten =
-                mForgotten.getOrDefault(update.name(), Long.MIN_VALUE) >= update.incarnation();
+                mForgottenIncarnations.getOrDefault(update.name(), Long.MIN_VALUE)
+                        >= update.incarnation();
         if (update.health() == Health.GONE || forgotten) {
-            return MergeResult.KNOWN;
+            return MergeResult.UNCHANGED;
         }
         if (update.details().isEmpty()) {
             return MergeResult.LACKS_DETAILS;
@@ -116,20 +117,20 @@
             long nowMs, MemberEntry entry, MemberUpdate update, Optional<Region> senderRegion) {
         boolean newer = update.counter() > entry.counter();
         boolean stronger =
-                update.counter() == entry.counter() && update.health().strongerThan(entry.health());
+                update.counter() == entry.counter() && update.health().overrides(entry.health());
         if (!newer && !stronger) {
-            return MergeResult.KNOWN;
+            return MergeResult.UNCHANGED;
         }
         if (update.health() == Health.LIVE) {
-            entry.heard(nowMs);
-            entry.set(nowMs, update.counter(), Health.LIVE);
+            entry.recordContact(nowMs);
+            entry.setHealth(nowMs, update.counter(), Health.LIVE);
             return MergeResult.CHANGED;
         }
-        if (!countsAgainst(entry, senderRegion)) {
-            return MergeResult.REFUSED;
+        if (!isAccusationAccepted(entry, senderRegion)) {
+            return MergeResult.REJECTED;
         }
         boolean mayRefute = entry.health() == Health.LIVE && !entry.leaving();
-        entry.set(nowMs, update.counter(), mayRefute ? Health.SUSPECT : update.health());
+        entry.setHealth(nowMs, update.counter(), mayRefute ? Health.SUSPECT : update.health());
         return MergeResult.CHANGED;
     }
 
@@ -137,7 +138,7 @@
      * Returns whether a sender's accusation counts: only that of a VM in the accused VM's region or
      * in our own, so that two regions that lost each other don't accuse each other to a third.
      */
-    private boolean countsAgainst(MemberEntry accused, Optional<Region> senderRegion) {
+    private boolean isAccusationAccepted(MemberEntry accused, Optional<Region> senderRegion) {
         return senderRegion
                 .filter(r -> r.equals(accused.region()) || r.equals(mSelfRegion))
                 .isPresent();
@@ -146,7 +147,7 @@
     /** Drops an entry for good; older or equal incarnations of the name are never taken again. */
     void forget(MemberEntry entry) {
         mEntries.remove(entry.name());
-        mForgotten.merge(entry.name(), entry.vm().incarnation(), Math::max);
+        mForgottenIncarnations.merge(entry.name(), entry.vm().incarnation(), Math::max);
     }
 
     /** Returns a hash that two tables share where they hold the same entries that are not gone. */
@@ -159,22 +160,22 @@
     }
 
     List<Long> bucketDigests() {
-        long[] sums = new long[BUCKETS];
+        long[] sums = new long[BUCKET_COUNT];
         for (MemberEntry entry : mEntries.values()) {
-            sums[bucket(entry.name())] += entry.digest();
+            sums[bucketOf(entry.name())] += entry.digest();
         }
-        List<Long> digests = new ArrayList<>(BUCKETS);
+        List<Long> digests = new ArrayList<>(BUCKET_COUNT);
         for (long sum : sums) {
             digests.add(sum);
         }
         return digests;
     }
 
-    List<MemberEntry> inBucket(int bucket) {
-        return mEntries.values().stream().filter(e -> bucket(e.name()) == bucket).toList();
+    List<MemberEntry> entriesInBucket(int bucket) {
+        return mEntries.values().stream().filter(e -> bucketOf(e.name()) == bucket).toList();
     }
 
-    static int bucket(String name) {
+    static int bucketOf(String name) {
         int hash = name.hashCode() * 0x9E3779B9;
         return hash >>> 27;
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/membership/MemberUpdate.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/membership/MemberUpdate.java
@@ -38,7 +38,7 @@
     }
 
     Health health() {
-        return Health.ofCode(state >> 1);
+        return Health.fromCode(state >> 1);
     }
 
     boolean leaving() {
--- a/coordination/src/main/java/org/hornbeampass/coordination/membership/Membership.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/membership/Membership.java
@@ -33,7 +33,7 @@
 
     private final Object mLock = new Object();
     private final List<MembershipListener> mListeners = new CopyOnWriteArrayList<>();
-    private final Map<String, String> mCandidates = new TreeMap<>();
+    private final Map<String, String> mContactAddresses = new TreeMap<>();
     private final MembershipSettings mSettings;
     private final MembershipCore mCore;
     private final TableSync mSync;
@@ -42,7 +42,7 @@
     private volatile MembershipView mView;
     private long mLastTickMs;
     private long mNextHousekeepingMs;
-    private long mNextCandidateMs;
+    private long mNextContactMs;
     private double mGossipTokens = GOSSIP_BURST;
 
     /**
@@ -68,11 +68,11 @@
         MemberUpdate update =
                 MemberUpdate.of(self.vm(), 0, Health.LIVE, leaving, Optional.of(details));
         MemberTable table = new MemberTable(0, update, details);
-        mCore = new MembershipCore(settings, network, random, this::locked, table);
+        mCore = new MembershipCore(settings, network, random, this::runLocked, table);
         mSync = new TableSync(mCore);
         mProber = new Prober(mCore, mSync);
         mEvidence = new GoneEvidence(table, settings.silenceMs());
-        seeds.forEach(s -> addCandidate(s.name(), s.peerAddress()));
+        seeds.forEach(s -> addContact(s.name(), s.peerAddress()));
         mView = new MembershipView(self.vm(), List.of(table.self().toMember()));
     }
 
@@ -84,7 +84,7 @@
     /** Adds VMs to ask for others; this VM itself is left out. */
     public void addSeeds(List<Seed> seeds) {
         synchronized (mLock) {
-            seeds.forEach(s -> addCandidate(s.name(), s.peerAddress()));
+            seeds.forEach(s -> addContact(s.name(), s.peerAddress()));
         }
     }
 
@@ -100,7 +100,7 @@
             return known;
         }
         synchronized (mLock) {
-            return Optional.ofNullable(mCandidates.get(vmName));
+            return Optional.ofNullable(mContactAddresses.get(vmName));
         }
     }
 
@@ -114,7 +114,7 @@
     /** Returns whether an incarnation is proved not to run any more, also one never heard of. */
     public boolean isProvedGone(VmId vm) {
         synchronized (mLock) {
-            return mEvidence.provedGone(vm);
+            return mEvidence.isProvedGone(vm);
         }
     }
 
@@ -124,11 +124,11 @@
      * @param nowMs the present time in milliseconds
      */
     public void leave(long nowMs) {
-        locked(
+        runLocked(
                 nowMs,
                 out -> {
                     mCore.mTable.self().markLeaving();
-                    mCore.spread(mCore.mTable.self(), false);
+                    mCore.queueUpdate(mCore.mTable.self(), false);
                 });
     }
 
@@ -139,7 +139,7 @@
      * @param revision the revision; ignored unless it is higher than the last one
      */
     public void announceRevision(long nowMs, long revision) {
-        locked(nowMs, out -> mCore.announce(mCore.mConfigurations, revision));
+        runLocked(nowMs, out -> mCore.advanceOwnRevision(mCore.mConfigRevisions, revision));
     }
 
     /**
@@ -149,7 +149,7 @@
      * @param revision its revision; ignored unless it is higher than the last one
      */
     public void announceUpstreamsRevision(long nowMs, long revision) {
-        locked(nowMs, out -> mCore.announce(mCore.mUpstreams, revision));
+        runLocked(nowMs, out -> mCore.advanceOwnRevision(mCore.mUpstreamsRevisions, revision));
     }
 
     /**
@@ -161,33 +161,33 @@
      * @param list the whole list
      */
     public void onPlatformList(long nowMs, long version, List<ListedVm> list) {
-        locked(
+        runLocked(
                 nowMs,
                 out -> {
-                    if (mEvidence.take(nowMs, version, list)) {
-                        mEvidence.listed().forEach(vm -> takeListed(nowMs, vm));
-                        proveGone();
+                    if (mEvidence.updateList(nowMs, version, list)) {
+                        mEvidence.listed().forEach(vm -> onListedVm(nowMs, vm));
+                        removeProvedGone();
                     }
                 });
     }
 
-    private void takeListed(long nowMs, ListedVm listed) {
+    private void onListedVm(long nowMs, ListedVm listed) {
         Optional<MemberEntry> entry = mCore.mTable.entry(listed.vm().name());
         if (entry.isEmpty() || listed.vm().incarnation() > entry.get().vm().incarnation()) {
-            addCandidate(listed.vm().name(), listed.peerAddress());
-            mNextCandidateMs = Math.min(mNextCandidateMs, nowMs);
+            addContact(listed.vm().name(), listed.peerAddress());
+            mNextContactMs = Math.min(mNextContactMs, nowMs);
             return;
         }
         boolean same = entry.get().vm().equals(listed.vm());
         if (same && listed.leaving() && !entry.get().leaving()) {
             entry.get().markLeaving();
-            mCore.spread(entry.get(), false);
+            mCore.queueUpdate(entry.get(), false);
         }
     }
 
-    private void addCandidate(String name, String peerAddress) {
+    private void addContact(String name, String peerAddress) {
         if (!name.equals(mCore.mTable.selfId().name())) {
-            mCandidates.put(name, peerAddress);
+            mContactAddresses.put(name, peerAddress);
         }
     }
 
@@ -197,21 +197,21 @@
      * @param nowMs the present time in milliseconds
      */
     public void tick(long nowMs) {
-        locked(nowMs, out -> tick(nowMs, out));
+        runLocked(nowMs, out -> tick(nowMs, out));
     }
 
     private void tick(long nowMs, Outbox out) {
         long gapMs = mLastTickMs == 0 ? 0 : nowMs - mLastTickMs;
         mLastTickMs = nowMs;
         if (gapMs >= mSettings.pauseMs()) {
-            wakeUp(gapMs);
+            onPauseEnded(gapMs);
         }
         refillTokens(gapMs);
         mProber.tick(nowMs, out);
-        askCandidate(nowMs);
+        syncWithContact(nowMs);
         mSync.tick(nowMs, out);
-        spreadNews(out);
-        mCore.passRefused(nowMs, out);
+        sendGossip(out);
+        mCore.forwardRejected(nowMs, out);
         if (nowMs >= mNextHousekeepingMs) {
             mNextHousekeepingMs = nowMs + HOUSEKEEPING_MS;
             housekeeping(nowMs);
@@ -219,11 +219,11 @@
     }
 
     /** Gives suspects the time that this VM slept, and voids probes whose replies it missed. */
-    private void wakeUp(long gapMs) {
-        mProber.voidPending();
+    private void onPauseEnded(long gapMs) {
+        mProber.discardPending();
         for (MemberEntry entry : mCore.mTable.entries()) {
             if (entry.health() == Health.SUSPECT) {
-                entry.postpone(gapMs);
+                entry.extendSuspicion(gapMs);
             }
         }
     }
@@ -233,8 +233,8 @@
         mGossipTokens = Math.min(GOSSIP_BURST, mGossipTokens + refill);
     }
 
-    private void spreadNews(Outbox out) {
-        if (mGossipTokens < 1 || !mCore.takeNews()) {
+    private void sendGossip(Outbox out) {
+        if (mGossipTokens < 1 || !mCore.takeGossipDue()) {
             return;
         }
         List<VmId> targets = new ArrayList<>(mProber.targets());
@@ -250,49 +250,50 @@
     }
 
     /** Asks a seed or listed VM that is not a live member, quickly while there is no other. */
-    private void askCandidate(long nowMs) {
-        if (nowMs < mNextCandidateMs || !mSync.idle()) {
+    private void syncWithContact(long nowMs) {
+        if (nowMs < mNextContactMs || !mSync.isIdle()) {
             return;
         }
-        List<String> strangers = mCandidates.keySet().stream().filter(this::notLive).toList();
+        List<String> strangers =
+                mContactAddresses.keySet().stream().filter(this::isUnknownOrGone).toList();
         boolean alone = mProber.targets().isEmpty();
-        mNextCandidateMs = nowMs + (alone ? mSettings.syncIntervalMs() : mSettings.retrySeedMs());
+        mNextContactMs = nowMs + (alone ? mSettings.syncIntervalMs() : mSettings.retrySeedMs());
         if (!strangers.isEmpty()) {
-            mSync.want(strangers.get(mCore.mRandom.nextInt(strangers.size())));
+            mSync.requestSync(strangers.get(mCore.mRandom.nextInt(strangers.size())));
         }
     }
 
-    private boolean notLive(String name) {
+    private boolean isUnknownOrGone(String name) {
         return mCore.mTable.entry(name).filter(e -> e.health() != Health.GONE).isEmpty();
     }
 
     private void housekeeping(long nowMs) {
-        mSync.forgetOld(nowMs);
-        proveGone();
+        mSync.removeOldMismatches(nowMs);
+        removeProvedGone();
         List<MemberEntry> old =
                 mCore.mTable.entries().stream()
                         .filter(e -> e.health() == Health.GONE)
-                        .filter(e -> nowMs - e.heardMs() >= mSettings.forgetMs())
+                        .filter(e -> nowMs - e.lastContactMs() >= mSettings.forgetMs())
                         .toList();
         old.forEach(mCore::forget);
     }
 
-    private void proveGone() {
+    private void removeProvedGone() {
         Collection<MemberEntry> entries = mCore.mTable.entries();
         List<MemberEntry> proved =
                 entries.stream()
                         .filter(e -> e != mCore.mTable.self())
-                        .filter(e -> mEvidence.provedGone(e.vm()))
+                        .filter(e -> mEvidence.isProvedGone(e.vm()))
                         .toList();
-        proved.forEach(mCore::proveGone);
+        proved.forEach(mCore::removeProvedGone);
     }
 
     /** Handles {@link Ping}; a {@code PeerHandler}. */
     public void onPing(long nowMs, VmId from, Ping ping, Consumer<PeerMessage> reply) {
-        locked(
+        runLocked(
                 nowMs,
                 out -> {
-                    absorb(nowMs, from, ping.rumours());
+                    applyRumours(nowMs, from, ping.rumours());
                     Ack ack = new Ack(mCore.rumoursFor(from));
                     out.add(() -> reply.accept(ack));
                 });
@@ -300,16 +301,16 @@
 
     /** Handles {@link Gossip}, which has no reply; a {@code PeerHandler}. */
     public void onGossip(long nowMs, VmId from, Gossip gossip, Consumer<PeerMessage> reply) {
-        locked(nowMs, o -> absorb(nowMs, from, gossip.rumours()));
+        runLocked(nowMs, o -> applyRumours(nowMs, from, gossip.rumours()));
     }
 
     /** Handles {@link IndirectPing}: probes the third VM and tells what came of it. */
     public void onIndirectPing(
             long nowMs, VmId from, IndirectPing ping, Consumer<PeerMessage> reply) {
-        locked(
+        runLocked(
                 nowMs,
                 out -> {
-                    absorb(nowMs, from, ping.rumours());
+                    applyRumours(nowMs, from, ping.rumours());
                     String target = ping.target();
                     Ping probe =
                             new Ping(
@@ -317,11 +318,11 @@
                                             .entry(target)
                                             .map(e -> mCore.rumoursFor(e.vm()))
                                             .orElseGet(() -> mCore.rumours(List.of())));
-                    out.add(() -> relay(nowMs, from, target, probe, reply));
+                    out.add(() -> relayProbe(nowMs, from, target, probe, reply));
                 });
     }
 
-    private void relay(
+    private void relayProbe(
             long nowMs, VmId from, String target, Ping probe, Consumer<PeerMessage> reply) {
         mCore.mNetwork.request(
                 nowMs,
@@ -329,7 +330,7 @@
                 probe,
                 mSettings.probeTimeoutMs(),
                 (atMs, answer) ->
-                        locked(
+                        runLocked(
                                 atMs,
                                 out -> {
                                     IndirectAck ack =
@@ -343,29 +344,30 @@
     public void onSyncRequest(
             long nowMs, VmId from, SyncRequest request, Consumer<PeerMessage> reply) {
         boolean wellFormed =
-                request.self().vm().equals(from) && request.buckets().size() == MemberTable.BUCKETS;
+                request.self().vm().equals(from)
+                        && request.buckets().size() == MemberTable.BUCKET_COUNT;
         if (!wellFormed) {
             return;
         }
-        locked(
+        runLocked(
                 nowMs,
                 out -> {
                     mCore.merge(nowMs, request.self(), Optional.empty());
-                    mCore.heardFrom(nowMs, from);
+                    mCore.recordContact(nowMs, from);
                     SyncReply answer = mSync.answer(request);
                     out.add(() -> reply.accept(answer));
                 });
     }
 
-    private void absorb(long nowMs, VmId from, Rumours rumours) {
-        if (mCore.absorb(nowMs, from, rumours)) {
-            mSync.want(from.name());
+    private void applyRumours(long nowMs, VmId from, Rumours rumours) {
+        if (mCore.applyRumours(nowMs, from, rumours)) {
+            mSync.requestSync(from.name());
         }
-        mSync.compare(nowMs, from.name(), rumours.digest());
+        mSync.compareDigest(nowMs, from.name(), rumours.digest());
     }
 
     /** Runs one step under the lock, and what it leads to after the lock is released. */
-    private void locked(long nowMs, Consumer<Outbox> step) {
+    private void runLocked(long nowMs, Consumer<Outbox> step) {
         Outbox out = new Outbox();
         synchronized (mLock) {
             step.accept(out);
@@ -375,7 +377,7 @@
     }
 
     private void publish(long nowMs, Outbox out) {
-        if (mCore.takeChanged()) {
+        if (mCore.takeViewChanged()) {
             mProber.refreshTargets();
             MembershipView view =
                     new MembershipView(
@@ -384,19 +386,20 @@
             mView = view;
             out.add(() -> mListeners.forEach(l -> l.onChange(nowMs, view)));
         }
-        mCore.takeNewSuspects().forEach(mProber::confirm);
+        mCore.takeNewSuspects().forEach(mProber::probeSoon);
         for (VmId vm : mCore.takeProvedGone()) {
             out.add(() -> mListeners.forEach(l -> l.onProvedGone(nowMs, vm)));
         }
-        for (HeardRevisions.Heard heard : mCore.mConfigurations.takeNew()) {
-            tell(out, l -> l.onRevisionHeard(nowMs, heard.from(), heard.revision()));
+        for (PeerRevisions.Announcement heard : mCore.mConfigRevisions.drainNewer()) {
+            notifyListeners(out, l -> l.onPeerRevision(nowMs, heard.from(), heard.revision()));
         }
-        for (HeardRevisions.Heard heard : mCore.mUpstreams.takeNew()) {
-            tell(out, l -> l.onUpstreamsRevisionHeard(nowMs, heard.from(), heard.revision()));
+        for (PeerRevisions.Announcement heard : mCore.mUpstreamsRevisions.drainNewer()) {
+            notifyListeners(
+                    out, l -> l.onPeerUpstreamsRevision(nowMs, heard.from(), heard.revision()));
         }
     }
 
-    private void tell(Outbox out, Consumer<MembershipListener> what) {
+    private void notifyListeners(Outbox out, Consumer<MembershipListener> what) {
         out.add(() -> mListeners.forEach(what));
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/membership/MembershipCore.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/membership/MembershipCore.java
@@ -19,40 +19,40 @@
     final MembershipSettings mSettings;
     final PeerNetwork mNetwork;
     final Random mRandom;
-    final Outbox.Guard mGuard;
+    final Outbox.LockedRunner mLockedRunner;
     final MemberTable mTable;
     private final UpdateQueue mQueue;
 
     /** How new the configurations are that VMs run. */
-    final HeardRevisions mConfigurations = new HeardRevisions();
+    final PeerRevisions mConfigRevisions = new PeerRevisions();
 
     /** How new the changes of upstreams are that VMs know. */
-    final HeardRevisions mUpstreams = new HeardRevisions();
+    final PeerRevisions mUpstreamsRevisions = new PeerRevisions();
 
-    final RefusedAccusations mRefused = new RefusedAccusations();
+    final RejectedAccusations mRejected = new RejectedAccusations();
     private final List<VmId> mProvedGone = new ArrayList<>();
     private final List<VmId> mNewSuspects = new ArrayList<>();
-    private boolean mChanged;
-    private boolean mNews;
+    private boolean mViewChanged;
+    private boolean mGossipDue;
     private boolean mSuperseded;
 
     MembershipCore(
             MembershipSettings settings,
             PeerNetwork network,
             Random random,
-            Outbox.Guard guard,
+            Outbox.LockedRunner guard,
             MemberTable table) {
         mSettings = settings;
         mNetwork = network;
         mRandom = random;
-        mGuard = guard;
+        mLockedRunner = guard;
         mTable = table;
         mQueue = new UpdateQueue(settings.maxUpdateBytes());
     }
 
     /** Takes this VM's own revision of a thing; a newer one is news. */
-    void announce(HeardRevisions revisions, long revision) {
-        mNews |= revisions.announce(revision);
+    void advanceOwnRevision(PeerRevisions revisions, long revision) {
+        mGossipDue |= revisions.advanceOwn(revision);
     }
 
     /** Returns the rumours for a message to a peer; those about the peer itself go first. */
@@ -62,7 +62,7 @@
         if (entry.isPresent()) {
             boolean older = entry.get().vm().incarnation() > peer.incarnation();
             if (older || entry.get().health() != Health.LIVE) {
-                first.add(entry.get().update(older));
+                first.add(entry.get().toUpdate(older));
             }
         }
         return rumours(first);
@@ -74,12 +74,12 @@
     }
 
     private Rumours rumours(List<MemberUpdate> updates, long digest) {
-        return new Rumours(digest, mConfigurations.own(), mUpstreams.own(), updates);
+        return new Rumours(digest, mConfigRevisions.own(), mUpstreamsRevisions.own(), updates);
     }
 
     /** Passes the refused accusation that waits longest to the VM accused, without other news. */
-    void passRefused(long nowMs, Outbox out) {
-        Optional<MemberUpdate> refused = mRefused.next(nowMs, mTable);
+    void forwardRejected(long nowMs, Outbox out) {
+        Optional<MemberUpdate> refused = mRejected.next(nowMs, mTable);
         if (refused.isEmpty()) {
             return;
         }
@@ -88,48 +88,48 @@
     }
 
     /** Takes in what a peer sent; returns whether the two tables should be compared. */
-    boolean absorb(long nowMs, VmId from, Rumours rumours) {
-        boolean unknown = !heardFrom(nowMs, from);
+    boolean applyRumours(long nowMs, VmId from, Rumours rumours) {
+        boolean unknown = !recordContact(nowMs, from);
         Optional<Region> region = mTable.regionOf(from.name());
         boolean lacks = false;
         for (MemberUpdate update : rumours.updates()) {
             lacks |= merge(nowMs, update, region) == MergeResult.LACKS_DETAILS;
         }
-        mConfigurations.hear(from, rumours.revision());
-        mUpstreams.hear(from, rumours.upstreamsRevision());
+        mConfigRevisions.onAnnouncement(from, rumours.revision());
+        mUpstreamsRevisions.onAnnouncement(from, rumours.upstreamsRevision());
         return unknown || lacks;
     }
 
     /** Notes a sign of life; returns whether the sender's incarnation is in the table. */
-    boolean heardFrom(long nowMs, VmId from) {
+    boolean recordContact(long nowMs, VmId from) {
         Optional<MemberEntry> entry = mTable.entry(from.name());
         if (entry.isEmpty() || entry.get().vm().incarnation() < from.incarnation()) {
             return false;
         }
         if (entry.get().vm().equals(from)) {
-            entry.get().heard(nowMs);
+            entry.get().recordContact(nowMs);
         }
         return true;
     }
 
     MergeResult merge(long nowMs, MemberUpdate update, Optional<Region> senderRegion) {
         if (!update.wellFormed()) {
-            return MergeResult.KNOWN;
+            return MergeResult.UNCHANGED;
         }
         Optional<VmId> before = mTable.entry(update.name()).map(MemberEntry::vm);
         MergeResult result = mTable.merge(nowMs, update, senderRegion);
         switch (result) {
-            case CHANGED -> changed(update, before);
-            case ACCUSES_SELF -> refute(nowMs, update);
+            case CHANGED -> onChanged(update, before);
+            case NEEDS_REFUTATION -> refute(nowMs, update);
             case SUPERSEDES_SELF -> mSuperseded = true;
-            case REFUSED -> mRefused.add(update);
-            case KNOWN -> noteTold(update);
+            case REJECTED -> mRejected.add(update);
+            case UNCHANGED -> onUnchanged(update);
             default -> {}
         }
         return result;
     }
 
-    private void noteTold(MemberUpdate update) {
+    private void onUnchanged(MemberUpdate update) {
         Optional<MemberEntry> entry = mTable.entry(update.name());
         boolean same =
                 entry.isPresent()
@@ -137,11 +137,11 @@
                         && entry.get().counter() == update.counter()
                         && entry.get().health() == update.health();
         if (same) {
-            mQueue.toldByPeer(update.name());
+            mQueue.onReceivedFromPeer(update.name());
         }
     }
 
-    private void changed(MemberUpdate update, Optional<VmId> before) {
+    private void onChanged(MemberUpdate update, Optional<VmId> before) {
         MemberEntry entry = mTable.entry(update.name()).orElseThrow();
         boolean newIncarnation = before.filter(entry.vm()::equals).isEmpty();
         if (newIncarnation) {
@@ -151,7 +151,7 @@
         if (entry.health() == Health.SUSPECT) {
             mNewSuspects.add(entry.vm());
         }
-        spread(entry, newIncarnation);
+        queueUpdate(entry, newIncarnation);
     }
 
     private void refute(long nowMs, MemberUpdate update) {
@@ -159,48 +159,48 @@
         if (update.leaving()) {
             self.markLeaving();
         }
-        self.set(nowMs, update.counter() + 1, Health.LIVE);
-        spread(self, false);
+        self.setHealth(nowMs, update.counter() + 1, Health.LIVE);
+        queueUpdate(self, false);
     }
 
     /** Queues news of an entry that changed. */
-    void spread(MemberEntry entry, boolean withDetails) {
+    void queueUpdate(MemberEntry entry, boolean withDetails) {
         mQueue.add(entry.name(), withDetails);
-        mChanged = true;
-        mNews = true;
+        mViewChanged = true;
+        mGossipDue = true;
     }
 
     void setHealth(long nowMs, MemberEntry entry, Health health) {
-        entry.set(nowMs, entry.counter(), health);
-        spread(entry, false);
+        entry.setHealth(nowMs, entry.counter(), health);
+        queueUpdate(entry, false);
     }
 
-    void proveGone(MemberEntry entry) {
+    void removeProvedGone(MemberEntry entry) {
         mProvedGone.add(entry.vm());
         mTable.forget(entry);
         forgetRevisions(entry.name());
-        mChanged = true;
+        mViewChanged = true;
     }
 
     void forget(MemberEntry entry) {
         mTable.forget(entry);
         forgetRevisions(entry.name());
-        mChanged = true;
+        mViewChanged = true;
     }
 
     boolean superseded() {
         return mSuperseded;
     }
 
-    boolean takeNews() {
-        boolean news = mNews;
-        mNews = false;
+    boolean takeGossipDue() {
+        boolean news = mGossipDue;
+        mGossipDue = false;
         return news;
     }
 
-    boolean takeChanged() {
-        boolean changed = mChanged;
-        mChanged = false;
+    boolean takeViewChanged() {
+        boolean changed = mViewChanged;
+        mViewChanged = false;
         return changed;
     }
 
@@ -209,8 +209,8 @@
     }
 
     private void forgetRevisions(String vmName) {
-        mConfigurations.forget(vmName);
-        mUpstreams.forget(vmName);
+        mConfigRevisions.forget(vmName);
+        mUpstreamsRevisions.forget(vmName);
     }
 
     List<VmId> takeNewSuspects() {
--- a/coordination/src/main/java/org/hornbeampass/coordination/membership/MembershipListener.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/membership/MembershipListener.java
@@ -33,7 +33,7 @@
      * @param from the peer
      * @param revision its configuration's revision
      */
-    default void onRevisionHeard(long nowMs, VmId from, long revision) {}
+    default void onPeerRevision(long nowMs, VmId from, long revision) {}
 
     /**
      * A peer knows of a newer change of an upstream than any that was heard of from it before.
@@ -42,5 +42,5 @@
      * @param from the peer
      * @param revision the change's revision
      */
-    default void onUpstreamsRevisionHeard(long nowMs, VmId from, long revision) {}
+    default void onPeerUpstreamsRevision(long nowMs, VmId from, long revision) {}
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/membership/MergeResult.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/membership/MergeResult.java
@@ -7,15 +7,15 @@
  */
 enum MergeResult {
     /** It told nothing new. */
-    KNOWN,
+    UNCHANGED,
     /** The table changed, and others should hear of it. */
     CHANGED,
     /** It accuses this very incarnation of this VM, which has to refute. */
-    ACCUSES_SELF,
+    NEEDS_REFUTATION,
     /** A newer incarnation of this VM's own name runs, so this process must stop. */
     SUPERSEDES_SELF,
     /** It accuses a VM on which the sender's word does not count; the VM should hear of it. */
-    REFUSED,
+    REJECTED,
     /** It names an incarnation whose details are not known here. */
     LACKS_DETAILS
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/membership/Outbox.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/membership/Outbox.java
@@ -12,7 +12,7 @@
 public final class Outbox {
     /** Runs a step with a lock held, and what the step puts in the outbox after its release. */
     @FunctionalInterface
-    public interface Guard {
+    public interface LockedRunner {
         /**
          * Runs a step.
          *
--- a/coordination/src/main/java/org/hornbeampass/coordination/membership/HeardRevisions.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/membership/PeerRevisions.java
@@ -13,16 +13,16 @@
  * <p>Invariants: the own revision only grows; a revision is new once for each VM that tells it. Not
  * thread-safe: guarded by the lock of {@link Membership}.
  */
-final class HeardRevisions {
+final class PeerRevisions {
     /** A revision heard of for the first time from a VM. */
-    record Heard(VmId from, long revision) {}
+    record Announcement(VmId from, long revision) {}
 
     private final Map<String, Long> mByVm = new TreeMap<>();
-    private final List<Heard> mNew = new ArrayList<>();
+    private final List<Announcement> mNewer = new ArrayList<>();
     private long mOwn;
 
     /** Takes this VM's own revision; returns whether it is newer than before. */
-    boolean announce(long revision) {
+    boolean advanceOwn(long revision) {
         if (revision <= mOwn) {
             return false;
         }
@@ -35,13 +35,13 @@
         return mOwn;
     }
 
-    void hear(VmId from, long revision) {
+    void onAnnouncement(VmId from, long revision) {
         if (revision <= mByVm.getOrDefault(from.name(), 0L)) {
             return;
         }
         mByVm.put(from.name(), revision);
         if (revision > mOwn) {
-            mNew.add(new Heard(from, revision));
+            mNewer.add(new Announcement(from, revision));
         }
     }
 
@@ -51,9 +51,9 @@
     }
 
     /** Returns what is newer than this VM's own, once. */
-    List<Heard> takeNew() {
-        List<Heard> taken = List.copyOf(mNew);
-        mNew.clear();
+    List<Announcement> drainNewer() {
+        List<Announcement> taken = List.copyOf(mNewer);
+        mNewer.clear();
         return taken;
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/membership/ProbeRings.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/membership/ProbeRings.java
@@ -20,7 +20,7 @@
  * can't reach. Immutable; safe for use by any thread.
  */
 final class ProbeRings {
-    private static final int LINK_RING = 100;
+    private static final int CROSS_REGION_RING = 100;
 
     private final int mRings;
 
@@ -38,20 +38,23 @@
                 .map(MemberEntry::region)
                 .filter(r -> !r.equals(self.region()))
                 .distinct()
-                .forEach(r -> successor(LINK_RING, self, entries, r).ifPresent(targets::add));
+                .forEach(
+                        r ->
+                                successor(CROSS_REGION_RING, self, entries, r)
+                                        .ifPresent(targets::add));
         return new ArrayList<>(targets);
     }
 
     private static Optional<VmId> successor(
             int ring, MemberEntry self, Collection<MemberEntry> entries, Region region) {
-        long own = place(ring, self.name());
+        long own = ringPosition(ring, self.name());
         MemberEntry best = null;
         long bestDistance = 0;
         for (MemberEntry entry : entries) {
             if (entry == self || entry.health() == Health.GONE || !entry.region().equals(region)) {
                 continue;
             }
-            long distance = place(ring, entry.name()) - own;
+            long distance = ringPosition(ring, entry.name()) - own;
             if (best == null || Long.compareUnsigned(distance, bestDistance) < 0) {
                 best = entry;
                 bestDistance = distance;
@@ -60,7 +63,7 @@
         return Optional.ofNullable(best).map(MemberEntry::vm);
     }
 
-    private static long place(int ring, String name) {
+    private static long ringPosition(int ring, String name) {
         long hash = 0xCBF29CE484222325L + ring * 0x9E3779B97F4A7C15L;
         for (int i = 0; i < name.length(); i++) {
             hash = (hash ^ name.charAt(i)) * 0x100000001B3L;
--- a/coordination/src/main/java/org/hornbeampass/coordination/membership/Prober.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/membership/Prober.java
@@ -24,33 +24,33 @@
  * thread-safe: guarded by the lock of {@link Membership}.
  */
 final class Prober {
-    private static final int MAX_OWN_FAULTS = 3;
-    private static final int RELAY_TIMEOUTS = 3;
-    private static final int MAX_CONFIRMATIONS = 4;
+    private static final int MAX_LOCAL_FAULTS = 3;
+    private static final int RELAY_TIMEOUT_FACTOR = 3;
+    private static final int MAX_QUEUED_SUSPECTS = 4;
 
     private final MembershipCore mCore;
     private final TableSync mSync;
     private final ProbeRings mRings;
-    private final Deque<VmId> mConfirm = new ArrayDeque<>();
+    private final Deque<VmId> mSuspectsToProbe = new ArrayDeque<>();
     private List<VmId> mTargets = List.of();
     private int mNextTarget;
     private long mNextProbeMs;
     private long mNextRetryMs;
-    private int mEpoch;
-    private int mOwnFaults;
+    private int mPauseEpoch;
+    private int mLocalFaults;
 
     /** The replies of the relays that probe one VM. */
-    private static final class RelayRound {
+    private static final class IndirectProbe {
         private final VmId mTarget;
         private final int mEpoch;
-        private int mOpen;
-        private int mAnswered;
+        private int mPendingReplies;
+        private int mReplies;
         private boolean mReached;
 
-        RelayRound(VmId target, int epoch, int open) {
+        IndirectProbe(VmId target, int epoch, int open) {
             mTarget = target;
             mEpoch = epoch;
-            mOpen = open;
+            mPendingReplies = open;
         }
     }
 
@@ -70,37 +70,37 @@
     }
 
     /** Voids what is under way, after this VM paused. */
-    void voidPending() {
-        mEpoch++;
+    void discardPending() {
+        mPauseEpoch++;
     }
 
     /** Probes a new suspect out of turn where it is one of our targets. */
-    void confirm(VmId suspect) {
-        if (mTargets.contains(suspect) && mConfirm.size() < MAX_CONFIRMATIONS) {
-            mConfirm.add(suspect);
+    void probeSoon(VmId suspect) {
+        if (mTargets.contains(suspect) && mSuspectsToProbe.size() < MAX_QUEUED_SUSPECTS) {
+            mSuspectsToProbe.add(suspect);
         }
     }
 
     void tick(long nowMs, Outbox out) {
-        while (!mConfirm.isEmpty()) {
-            probe(nowMs, mConfirm.poll(), out);
+        while (!mSuspectsToProbe.isEmpty()) {
+            probe(nowMs, mSuspectsToProbe.poll(), out);
         }
         if (nowMs >= mNextProbeMs) {
-            mNextProbeMs = nextTime(nowMs, mNextProbeMs, mCore.mSettings.probeIntervalMs());
+            mNextProbeMs = nextDueMs(nowMs, mNextProbeMs, mCore.mSettings.probeIntervalMs());
             if (!mTargets.isEmpty()) {
                 mNextTarget = (mNextTarget + 1) % mTargets.size();
                 probe(nowMs, mTargets.get(mNextTarget), out);
             }
         }
         if (nowMs >= mNextRetryMs) {
-            mNextRetryMs = nextTime(nowMs, mNextRetryMs, mCore.mSettings.retryGoneMs());
+            mNextRetryMs = nextDueMs(nowMs, mNextRetryMs, mCore.mSettings.retryGoneMs());
             retryGone(nowMs, out);
         }
         expireSuspects(nowMs);
     }
 
     /** Returns the next time on a grid, with a random start so that VMs don't act in step. */
-    private long nextTime(long nowMs, long lastMs, long intervalMs) {
+    private long nextDueMs(long nowMs, long lastMs, long intervalMs) {
         if (lastMs == 0 || nowMs - lastMs > intervalMs) {
             return nowMs + 1 + mCore.mRandom.nextInt((int) intervalMs);
         }
@@ -108,7 +108,7 @@
     }
 
     private void probe(long nowMs, VmId target, Outbox out) {
-        int epoch = mEpoch;
+        int epoch = mPauseEpoch;
         Ping ping = new Ping(mCore.rumoursFor(target));
         out.add(
                 () ->
@@ -118,40 +118,41 @@
                                 ping,
                                 mCore.mSettings.probeTimeoutMs(),
                                 (atMs, reply) ->
-                                        mCore.mGuard.run(
-                                                atMs, o -> probed(atMs, target, epoch, reply, o))));
+                                        mCore.mLockedRunner.run(
+                                                atMs,
+                                                o -> onProbeReply(atMs, target, epoch, reply, o))));
     }
 
-    private void probed(
+    private void onProbeReply(
             long nowMs, VmId target, int epoch, Either<Failure, PeerMessage> reply, Outbox out) {
         if (reply.isRight() && reply.get() instanceof Ack ack) {
-            mOwnFaults = 0;
-            answered(nowMs, target, ack.rumours());
+            mLocalFaults = 0;
+            onAck(nowMs, target, ack.rumours());
             return;
         }
         Optional<MemberEntry> entry = mCore.mTable.entry(target.name());
         boolean current = entry.isPresent() && entry.get().vm().equals(target);
-        if (epoch != mEpoch || !current || entry.get().health() == Health.GONE) {
+        if (epoch != mPauseEpoch || !current || entry.get().health() == Health.GONE) {
             return;
         }
         askRelays(nowMs, entry.get(), out);
     }
 
-    private void answered(long nowMs, VmId target, Rumours rumours) {
-        if (mCore.absorb(nowMs, target, rumours)) {
-            mSync.want(target.name());
+    private void onAck(long nowMs, VmId target, Rumours rumours) {
+        if (mCore.applyRumours(nowMs, target, rumours)) {
+            mSync.requestSync(target.name());
         }
-        mSync.compare(nowMs, target.name(), rumours.digest());
+        mSync.compareDigest(nowMs, target.name(), rumours.digest());
     }
 
     private void askRelays(long nowMs, MemberEntry target, Outbox out) {
-        List<VmId> relays = relays(target);
+        List<VmId> relays = chooseRelays(target);
         if (relays.isEmpty()) {
-            suspect(nowMs, target.vm());
+            markSuspect(nowMs, target.vm());
             return;
         }
-        RelayRound round = new RelayRound(target.vm(), mEpoch, relays.size());
-        long timeoutMs = RELAY_TIMEOUTS * mCore.mSettings.probeTimeoutMs();
+        IndirectProbe round = new IndirectProbe(target.vm(), mPauseEpoch, relays.size());
+        long timeoutMs = RELAY_TIMEOUT_FACTOR * mCore.mSettings.probeTimeoutMs();
         for (VmId relay : relays) {
             IndirectPing ping = new IndirectPing(target.name(), mCore.rumoursFor(relay));
             out.add(
@@ -162,14 +163,14 @@
                                     ping,
                                     timeoutMs,
                                     (atMs, reply) ->
-                                            mCore.mGuard.run(
+                                            mCore.mLockedRunner.run(
                                                     atMs,
-                                                    o -> relayed(atMs, relay, round, reply))));
+                                                    o -> onRelayReply(atMs, relay, round, reply))));
         }
     }
 
     /** Chooses relays: one near the target, one near us, the others anywhere. */
-    private List<VmId> relays(MemberEntry target) {
+    private List<VmId> chooseRelays(MemberEntry target) {
         List<MemberEntry> live =
                 new ArrayList<>(
                         mCore.mTable.entries().stream()
@@ -191,28 +192,28 @@
         return chosen.stream().limit(mCore.mSettings.relays()).toList();
     }
 
-    private void relayed(
-            long nowMs, VmId relay, RelayRound round, Either<Failure, PeerMessage> reply) {
-        round.mOpen--;
+    private void onRelayReply(
+            long nowMs, VmId relay, IndirectProbe round, Either<Failure, PeerMessage> reply) {
+        round.mPendingReplies--;
         if (reply.isRight() && reply.get() instanceof IndirectAck ack) {
-            round.mAnswered++;
+            round.mReplies++;
             round.mReached |= ack.reached();
-            answered(nowMs, relay, ack.rumours());
+            onAck(nowMs, relay, ack.rumours());
         }
-        if (round.mOpen > 0 || round.mEpoch != mEpoch) {
+        if (round.mPendingReplies > 0 || round.mEpoch != mPauseEpoch) {
             return;
         }
         if (round.mReached) {
-            mCore.heardFrom(nowMs, round.mTarget);
+            mCore.recordContact(nowMs, round.mTarget);
             return;
         }
-        if (round.mAnswered == 0) {
-            mOwnFaults = Math.min(mOwnFaults + 1, MAX_OWN_FAULTS);
+        if (round.mReplies == 0) {
+            mLocalFaults = Math.min(mLocalFaults + 1, MAX_LOCAL_FAULTS);
         }
-        suspect(nowMs, round.mTarget);
+        markSuspect(nowMs, round.mTarget);
     }
 
-    private void suspect(long nowMs, VmId target) {
+    private void markSuspect(long nowMs, VmId target) {
         Optional<MemberEntry> entry = mCore.mTable.entry(target.name());
         boolean accused =
                 entry.isPresent()
@@ -224,9 +225,9 @@
     }
 
     private void expireSuspects(long nowMs) {
-        long suspicionMs = mCore.mSettings.suspicionMs() * (1 + mOwnFaults);
+        long suspicionMs = mCore.mSettings.suspicionMs() * (1 + mLocalFaults);
         for (MemberEntry entry : mCore.mTable.entries()) {
-            boolean expired = nowMs - entry.sinceMs() >= suspicionMs;
+            boolean expired = nowMs - entry.changedMs() >= suspicionMs;
             if (entry.health() == Health.SUSPECT && expired) {
                 mCore.setHealth(nowMs, entry, Health.GONE);
             }
--- a/coordination/src/main/java/org/hornbeampass/coordination/membership/RefusedAccusations.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/membership/RejectedAccusations.java
@@ -11,7 +11,7 @@
  * per VM waits; an accusation that the table has overtaken is dropped. Not thread-safe: guarded by
  * the lock of {@link Membership}.
  */
-final class RefusedAccusations {
+final class RejectedAccusations {
     static final long INTERVAL_MS = 500;
 
     private final Map<String, MemberUpdate> mWaiting = new LinkedHashMap<>();
@@ -35,7 +35,7 @@
         while (!mWaiting.isEmpty()) {
             String name = mWaiting.keySet().iterator().next();
             MemberUpdate accusation = mWaiting.remove(name);
-            if (table.entry(name).filter(e -> stillOpen(e, accusation)).isPresent()) {
+            if (table.entry(name).filter(e -> isUnresolved(e, accusation)).isPresent()) {
                 mNextMs = nowMs + INTERVAL_MS;
                 return Optional.of(accusation);
             }
@@ -44,11 +44,11 @@
     }
 
     /** Returns whether the entry is neither refuted nor believed to be as bad as accused. */
-    private static boolean stillOpen(MemberEntry entry, MemberUpdate accusation) {
+    private static boolean isUnresolved(MemberEntry entry, MemberUpdate accusation) {
         boolean newer = accusation.counter() > entry.counter();
         boolean stronger =
                 accusation.counter() == entry.counter()
-                        && accusation.health().strongerThan(entry.health());
+                        && accusation.health().overrides(entry.health());
         return entry.vm().equals(accusation.vm()) && (newer || stronger);
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/membership/TableSync.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/membership/TableSync.java
@@ -20,19 +20,20 @@
  */
 final class TableSync {
     private static final long REPLY_TIMEOUT_MS = 2_000;
-    private static final int UNSETTLED_TIMES = 4;
+    private static final int UNSETTLED_FACTOR = 4;
 
     private final MembershipCore mCore;
-    private final Map<String, Difference> mDifferences = new HashMap<>();
-    private Optional<String> mWanted = Optional.empty();
+    private final Map<String, DigestMismatch> mMismatches = new HashMap<>();
+    private Optional<String> mNextPeer = Optional.empty();
     private long mNextMs;
-    private int mStart;
+    private int mStartBucket;
 
     /** Two digests that differ: since when at all, and since when both stand still. */
-    private record Difference(long own, long theirs, long sinceMs, long stillSinceMs) {
-        Difference next(long nowMs, long nextOwn, long nextTheirs) {
+    private record DigestMismatch(long own, long theirs, long sinceMs, long unchangedSinceMs) {
+        DigestMismatch next(long nowMs, long nextOwn, long nextTheirs) {
             boolean still = own == nextOwn && theirs == nextTheirs;
-            return new Difference(nextOwn, nextTheirs, sinceMs, still ? stillSinceMs : nowMs);
+            return new DigestMismatch(
+                    nextOwn, nextTheirs, sinceMs, still ? unchangedSinceMs : nowMs);
         }
     }
 
@@ -41,56 +42,58 @@
     }
 
     /** Asks for a comparison with a peer as soon as the interval allows. */
-    void want(String peer) {
-        mWanted = Optional.of(peer);
+    void requestSync(String peer) {
+        mNextPeer = Optional.of(peer);
     }
 
-    boolean idle() {
-        return mWanted.isEmpty();
+    boolean isIdle() {
+        return mNextPeer.isEmpty();
     }
 
     /**
      * Notes a peer's digest; wants a comparison where the two differ and neither changes for longer
      * than news takes, or where they differ for long although both change.
      */
-    void compare(long nowMs, String peer, long digest) {
+    void compareDigest(long nowMs, String peer, long digest) {
         long own = mCore.mTable.digest();
         if (digest == own) {
-            mDifferences.remove(peer);
+            mMismatches.remove(peer);
             return;
         }
-        Difference before = mDifferences.get(peer);
-        Difference now =
+        DigestMismatch before = mMismatches.get(peer);
+        DigestMismatch now =
                 before == null
-                        ? new Difference(own, digest, nowMs, nowMs)
+                        ? new DigestMismatch(own, digest, nowMs, nowMs)
                         : before.next(nowMs, own, digest);
-        mDifferences.put(peer, now);
+        mMismatches.put(peer, now);
         long settleMs = mCore.mSettings.settleMs();
         boolean due =
-                nowMs - now.stillSinceMs() >= settleMs
-                        || nowMs - now.sinceMs() >= UNSETTLED_TIMES * settleMs;
-        if (due && idle()) {
-            mDifferences.put(peer, new Difference(own, digest, nowMs, nowMs));
-            want(peer);
+                nowMs - now.unchangedSinceMs() >= settleMs
+                        || nowMs - now.sinceMs() >= UNSETTLED_FACTOR * settleMs;
+        if (due && isIdle()) {
+            mMismatches.put(peer, new DigestMismatch(own, digest, nowMs, nowMs));
+            requestSync(peer);
         }
     }
 
     /** Drops the digests of peers that are no longer in contact. */
-    void forgetOld(long nowMs) {
+    void removeOldMismatches(long nowMs) {
         long keepMs = 10 * mCore.mSettings.settleMs();
-        mDifferences.values().removeIf(d -> nowMs - d.sinceMs() > keepMs);
+        mMismatches.values().removeIf(d -> nowMs - d.sinceMs() > keepMs);
     }
 
     void tick(long nowMs, Outbox out) {
-        if (mWanted.isEmpty() || nowMs < mNextMs) {
+        if (mNextPeer.isEmpty() || nowMs < mNextMs) {
             return;
         }
         mNextMs = nowMs + mCore.mSettings.syncIntervalMs();
-        String peer = mWanted.get();
-        mWanted = Optional.empty();
+        String peer = mNextPeer.get();
+        mNextPeer = Optional.empty();
         SyncRequest request =
                 new SyncRequest(
-                        mCore.mTable.self().update(true), mStart, mCore.mTable.bucketDigests());
+                        mCore.mTable.self().toUpdate(true),
+                        mStartBucket,
+                        mCore.mTable.bucketDigests());
         out.add(
                 () ->
                         mCore.mNetwork.request(
@@ -99,11 +102,11 @@
                                 request,
                                 REPLY_TIMEOUT_MS,
                                 (atMs, reply) ->
-                                        mCore.mGuard.run(
-                                                atMs, o -> replied(atMs, peer, reply, o))));
+                                        mCore.mLockedRunner.run(
+                                                atMs, o -> onReply(atMs, peer, reply, o))));
     }
 
-    private void replied(long nowMs, String peer, Either<Failure, PeerMessage> reply, Outbox out) {
+    private void onReply(long nowMs, String peer, Either<Failure, PeerMessage> reply, Outbox out) {
         if (reply.isLeft() || !(reply.get() instanceof SyncReply sync)) {
             return;
         }
@@ -115,15 +118,15 @@
         }
         Optional<Region> region = mCore.mTable.regionOf(peer);
         sync.entries().forEach(e -> mCore.merge(nowMs, e, region));
-        push(peer, sync.covered(), theirs, out);
-        mStart = (mStart + Integer.bitCount(sync.covered())) % MemberTable.BUCKETS;
-        if (sync.more() && idle()) {
-            want(anyLive().orElse(peer));
+        sendNewerEntries(peer, sync.covered(), theirs, out);
+        mStartBucket = (mStartBucket + Integer.bitCount(sync.covered())) % MemberTable.BUCKET_COUNT;
+        if (sync.more() && isIdle()) {
+            requestSync(randomLivePeer().orElse(peer));
         }
     }
 
     /** Chooses who is asked for the rest, so that VMs that join don't all load the same seed. */
-    private Optional<String> anyLive() {
+    private Optional<String> randomLivePeer() {
         List<MemberEntry> live =
                 mCore.mTable.entries().stream()
                         .filter(e -> e.health() == Health.LIVE && e != mCore.mTable.self())
@@ -134,15 +137,16 @@
     }
 
     /** Sends the peer what it lacks in the buckets that its reply covered. */
-    private void push(String peer, int covered, Map<String, MemberUpdate> theirs, Outbox out) {
+    private void sendNewerEntries(
+            String peer, int covered, Map<String, MemberUpdate> theirs, Outbox out) {
         List<MemberUpdate> newer = new ArrayList<>();
         int bytes = 0;
         for (MemberEntry entry : mCore.mTable.entries()) {
-            boolean asked = (covered >>> MemberTable.bucket(entry.name()) & 1) == 1;
-            if (!asked || !newerThan(entry, theirs.get(entry.name()))) {
+            boolean asked = (covered >>> MemberTable.bucketOf(entry.name()) & 1) == 1;
+            if (!asked || !isNewer(entry, theirs.get(entry.name()))) {
                 continue;
             }
-            MemberUpdate update = entry.update(true);
+            MemberUpdate update = entry.toUpdate(true);
             bytes += update.encodedBytes();
             if (bytes > mCore.mSettings.maxSyncBytes()) {
                 break;
@@ -155,7 +159,7 @@
         }
     }
 
-    private static boolean newerThan(MemberEntry entry, MemberUpdate theirs) {
+    private static boolean isNewer(MemberEntry entry, MemberUpdate theirs) {
         if (theirs == null) {
             return entry.health() != Health.GONE;
         }
@@ -165,25 +169,26 @@
         if (entry.counter() != theirs.counter()) {
             return entry.counter() > theirs.counter();
         }
-        return entry.health().strongerThan(theirs.health())
-                || (entry.leaving() && !theirs.leaving());
+        return entry.health().overrides(theirs.health()) || (entry.leaving() && !theirs.leaving());
     }
 
     /** Answers a peer's request with the entries of buckets that differ. */
     SyncReply answer(SyncRequest request) {
         List<Long> own = mCore.mTable.bucketDigests();
         List<MemberUpdate> entries = new ArrayList<>();
-        entries.add(mCore.mTable.self().update(true));
+        entries.add(mCore.mTable.self().toUpdate(true));
         int covered = 0;
         int bytes = 0;
         boolean more = false;
-        for (int i = 0; i < MemberTable.BUCKETS; i++) {
-            int bucket = Math.floorMod(request.start() + i, MemberTable.BUCKETS);
+        for (int i = 0; i < MemberTable.BUCKET_COUNT; i++) {
+            int bucket = Math.floorMod(request.start() + i, MemberTable.BUCKET_COUNT);
             if (own.get(bucket).equals(request.buckets().get(bucket))) {
                 continue;
             }
             List<MemberUpdate> updates =
-                    mCore.mTable.inBucket(bucket).stream().map(e -> e.update(true)).toList();
+                    mCore.mTable.entriesInBucket(bucket).stream()
+                            .map(e -> e.toUpdate(true))
+                            .toList();
             int size = updates.stream().mapToInt(MemberUpdate::encodedBytes).sum();
             if (covered != 0 && bytes + size > mCore.mSettings.maxSyncBytes()) {
                 more = true;
--- a/coordination/src/main/java/org/hornbeampass/coordination/membership/UpdateQueue.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/membership/UpdateQueue.java
@@ -18,18 +18,18 @@
 final class UpdateQueue {
     private static final int MIN_SENDS = 2;
 
-    private final Map<String, News> mNews = new HashMap<>();
+    private final Map<String, QueuedUpdate> mQueued = new HashMap<>();
     private final int mMaxBytes;
     private long mNextOrder;
 
     /** One VM of which there is news. */
-    private static final class News {
+    private static final class QueuedUpdate {
         private final String mName;
         private final boolean mWithDetails;
         private final long mOrder;
         private int mSends;
 
-        News(String name, boolean withDetails, long order) {
+        QueuedUpdate(String name, boolean withDetails, long order) {
             mName = name;
             mWithDetails = withDetails;
             mOrder = order;
@@ -50,20 +50,20 @@
 
     /** Adds news of a VM, in place of older news of it. */
     void add(String name, boolean withDetails) {
-        News old = mNews.get(name);
+        QueuedUpdate old = mQueued.get(name);
         boolean details = withDetails || (old != null && old.mWithDetails);
-        mNews.put(name, new News(name, details, mNextOrder++));
+        mQueued.put(name, new QueuedUpdate(name, details, mNextOrder++));
     }
 
     /** Notes that a peer told what is queued here, so that fewer need to hear it from us. */
-    void toldByPeer(String name) {
-        News news = mNews.get(name);
+    void onReceivedFromPeer(String name) {
+        QueuedUpdate news = mQueued.get(name);
         if (news != null) {
             news.mSends++;
         }
     }
 
-    private static int doublings(int fleetSize) {
+    private static int bitLength(int fleetSize) {
         return Integer.SIZE - Integer.numberOfLeadingZeros(fleetSize);
     }
 
@@ -79,27 +79,29 @@
             int fleetSize,
             Function<String, Optional<MemberEntry>> lookUp) {
         List<MemberUpdate> taken = new ArrayList<>(first);
-        if (mNews.isEmpty()) {
+        if (mQueued.isEmpty()) {
             return taken;
         }
         int bytes = first.stream().mapToInt(MemberUpdate::encodedBytes).sum();
-        int maxSends = MIN_SENDS + doublings(fleetSize);
-        List<News> ordered = new ArrayList<>(mNews.values());
-        ordered.sort(Comparator.comparingInt(News::sends).thenComparingLong(News::order));
-        for (News news : ordered) {
+        int maxSends = MIN_SENDS + bitLength(fleetSize);
+        List<QueuedUpdate> ordered = new ArrayList<>(mQueued.values());
+        ordered.sort(
+                Comparator.comparingInt(QueuedUpdate::sends)
+                        .thenComparingLong(QueuedUpdate::order));
+        for (QueuedUpdate news : ordered) {
             Optional<MemberEntry> entry = lookUp.apply(news.mName);
             if (entry.isEmpty() || news.mSends >= maxSends) {
-                mNews.remove(news.mName);
+                mQueued.remove(news.mName);
                 continue;
             }
-            MemberUpdate update = entry.get().update(news.mWithDetails);
+            MemberUpdate update = entry.get().toUpdate(news.mWithDetails);
             bytes += update.encodedBytes();
             if (bytes > mMaxBytes) {
                 break;
             }
             taken.add(update);
             if (++news.mSends >= maxSends) {
-                mNews.remove(news.mName);
+                mQueued.remove(news.mName);
             }
         }
         return taken;
--- a/coordination/src/main/java/org/hornbeampass/coordination/news/NewsReply.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/news/ViewChangesReply.java
@@ -19,23 +19,23 @@
  * @param objects the objects that changed since the version asked for; empty where any are left out
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
-public record NewsReply(
+public record ViewChangesReply(
         String prefix, long upToVersion, boolean leftOut, List<String> keys, List<Item> objects)
         implements PeerMessage {
     /** Copies the lists. */
-    public NewsReply {
+    public ViewChangesReply {
         keys = List.copyOf(keys);
         objects = List.copyOf(objects);
     }
 
     /** Returns the answer of a VM that knows nothing newer. */
-    static NewsReply nothing(String prefix) {
-        return new NewsReply(prefix, 0, false, List.of(), List.of());
+    static ViewChangesReply unchanged(String prefix) {
+        return new ViewChangesReply(prefix, 0, false, List.of(), List.of());
     }
 
     /** Returns the answer of a VM that knows of more than it may send now. */
-    static NewsReply tooMuch(String prefix, long upToVersion) {
-        return new NewsReply(prefix, upToVersion, true, List.of(), List.of());
+    static ViewChangesReply tooLarge(String prefix, long upToVersion) {
+        return new ViewChangesReply(prefix, upToVersion, true, List.of(), List.of());
     }
 
     /**
--- a/coordination/src/main/java/org/hornbeampass/coordination/news/NewsRequest.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/news/ViewChangesRequest.java
@@ -14,4 +14,5 @@
  * @param maxBytes the most that the answer's objects may have in all, in bytes
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
-public record NewsRequest(String prefix, long afterVersion, int maxBytes) implements PeerMessage {}
+public record ViewChangesRequest(String prefix, long afterVersion, int maxBytes)
+        implements PeerMessage {}
--- a/coordination/src/main/java/org/hornbeampass/coordination/news/NewsExchange.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/news/ViewExchange.java
@@ -20,15 +20,15 @@
  * it costs nothing on a calm day. Invariant: a view only goes forward, since versions are the
  * store's own. Confined to one thread.
  */
-public final class NewsExchange {
+public final class ViewExchange {
     /** How long the platform must have been silent before peers are asked, in milliseconds. */
-    public static final long SILENCE_MS = 300;
+    public static final long MIN_FAILING_MS = 300;
 
     /** How often one peer is asked meanwhile, in milliseconds. */
-    private static final long ASK_MS = 400;
+    private static final long REQUEST_INTERVAL_MS = 400;
 
-    private final Map<String, ViewNews> mViews = new HashMap<>();
-    private final Supplier<List<String>> mNames;
+    private final Map<String, ViewRefresher> mViews = new HashMap<>();
+    private final Supplier<List<String>> mPeerNames;
     private final RandomGenerator mRandom;
     private long mNextMs;
 
@@ -40,13 +40,13 @@
      * @param names gives the names of other VMs that may be asked
      * @param random chooses whom to ask
      */
-    public NewsExchange(
+    public ViewExchange(
             Map<String, WatchedView> views,
             PeerNetwork peers,
             Supplier<List<String>> names,
             RandomGenerator random) {
-        views.forEach((prefix, view) -> mViews.put(prefix, new ViewNews(prefix, view, peers)));
-        mNames = names;
+        views.forEach((prefix, view) -> mViews.put(prefix, new ViewRefresher(prefix, view, peers)));
+        mPeerNames = names;
         mRandom = random;
     }
 
@@ -55,28 +55,29 @@
         if (nowMs < mNextMs) {
             return;
         }
-        mNextMs = nowMs + ASK_MS;
-        List<String> names = mNames.get();
+        mNextMs = nowMs + REQUEST_INTERVAL_MS;
+        List<String> names = mPeerNames.get();
         if (names.isEmpty()) {
             return;
         }
-        for (ViewNews view : mViews.values()) {
-            if (view.failingForMs(nowMs) >= SILENCE_MS) {
-                view.ask(nowMs, names.get(mRandom.nextInt(names.size())));
+        for (ViewRefresher view : mViews.values()) {
+            if (view.failingForMs(nowMs) >= MIN_FAILING_MS) {
+                view.requestChanges(nowMs, names.get(mRandom.nextInt(names.size())));
             }
         }
     }
 
     /** Asks one VM for one view, since it is known to be informed further. */
-    public void askNow(long nowMs, String prefix, String name) {
-        Optional.ofNullable(mViews.get(prefix)).ifPresent(view -> view.ask(nowMs, name));
+    public void requestNow(long nowMs, String prefix, String name) {
+        Optional.ofNullable(mViews.get(prefix)).ifPresent(view -> view.requestChanges(nowMs, name));
     }
 
     /** Answers another VM. */
-    public void onRequest(long nowMs, VmId from, NewsRequest request, Consumer<PeerMessage> reply) {
+    public void onRequest(
+            long nowMs, VmId from, ViewChangesRequest request, Consumer<PeerMessage> reply) {
         reply.accept(
                 Optional.ofNullable(mViews.get(request.prefix()))
                         .map(view -> view.answer(nowMs, request))
-                        .orElseGet(() -> NewsReply.nothing(request.prefix())));
+                        .orElseGet(() -> ViewChangesReply.unchanged(request.prefix())));
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/news/ViewNews.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/news/ViewRefresher.java
@@ -20,15 +20,15 @@
  * answer is on its way; this VM gives one large copy after another. A copy and an answer that begin
  * at the same moment may still both come. Confined to one thread.
  */
-final class ViewNews {
+final class ViewRefresher {
     /** How long a VM may take to answer with little, in milliseconds. */
-    private static final long TIMEOUT_MS = 400;
+    private static final long SMALL_REPLY_TIMEOUT_MS = 400;
 
     /**
      * The most that is little, in bytes: 20 ms of a link of 7 Mbit/s, and some fifty entries of
      * upstreams.
      */
-    static final int LITTLE_BYTES = 16 << 10;
+    static final int SMALL_REPLY_BYTES = 16 << 10;
 
     /**
      * How long a large copy may take, in milliseconds. The largest object has 1 MB, and takes 1.2 s
@@ -36,10 +36,10 @@
      * 500 KB ever came in time, and each was asked for again: five copies of four versions came to
      * each of 48 VMs.
      */
-    private static final long COPY_TIMEOUT_MS = 4_000;
+    private static final long LARGE_REPLY_TIMEOUT_MS = 4_000;
 
     /** Asks for all that is newer, however much it is. */
-    private static final int ALL_BYTES = Integer.MAX_VALUE;
+    private static final int UNLIMITED_BYTES = Integer.MAX_VALUE;
 
     /** What the smallest links carry in a millisecond, in bytes: a copy has left after its time. */
     private static final int LINK_BYTES_PER_MS = 875;
@@ -47,10 +47,10 @@
     private final String mPrefix;
     private final WatchedView mView;
     private final PeerNetwork mPeers;
-    private boolean mAsking;
-    private long mNextCopyMs;
+    private boolean mRequestOpen;
+    private long mNextLargeReplyMs;
 
-    ViewNews(String prefix, WatchedView view, PeerNetwork peers) {
+    ViewRefresher(String prefix, WatchedView view, PeerNetwork peers) {
         mPrefix = prefix;
         mView = view;
         mPeers = peers;
@@ -62,69 +62,70 @@
     }
 
     /** Asks another VM for what is newer. */
-    void ask(long nowMs, String name) {
-        if (!mAsking && !mView.receiving(nowMs)) {
-            request(nowMs, name, LITTLE_BYTES, TIMEOUT_MS);
+    void requestChanges(long nowMs, String name) {
+        if (!mRequestOpen && !mView.receiving(nowMs)) {
+            sendRequest(nowMs, name, SMALL_REPLY_BYTES, SMALL_REPLY_TIMEOUT_MS);
         }
     }
 
-    private void request(long nowMs, String name, int maxBytes, long timeoutMs) {
-        mAsking = true;
+    private void sendRequest(long nowMs, String name, int maxBytes, long timeoutMs) {
+        mRequestOpen = true;
         mPeers.request(
                 nowMs,
                 name,
-                new NewsRequest(mPrefix, mView.upToVersion(), maxBytes),
+                new ViewChangesRequest(mPrefix, mView.upToVersion(), maxBytes),
                 timeoutMs,
                 (t, reply) -> {
-                    mAsking = false;
-                    take(t, name, maxBytes, reply);
+                    mRequestOpen = false;
+                    onReply(t, name, maxBytes, reply);
                 });
     }
 
-    private void take(long nowMs, String name, int maxBytes, Either<Failure, PeerMessage> reply) {
+    private void onReply(
+            long nowMs, String name, int maxBytes, Either<Failure, PeerMessage> reply) {
         boolean newer =
                 reply.isRight()
-                        && reply.get() instanceof NewsReply answer
+                        && reply.get() instanceof ViewChangesReply answer
                         && answer.upToVersion() > mView.upToVersion();
         if (!newer) {
             return;
         }
-        NewsReply news = (NewsReply) reply.get();
+        ViewChangesReply news = (ViewChangesReply) reply.get();
         if (!news.leftOut()) {
             mView.offer(
                     nowMs, Set.copyOf(news.keys()), objects(news.objects()), news.upToVersion());
         } else if (mView.failingForMs(nowMs) == 0) {
             mView.refresh(nowMs);
-        } else if (maxBytes < ALL_BYTES) {
-            request(nowMs, name, ALL_BYTES, COPY_TIMEOUT_MS);
+        } else if (maxBytes < UNLIMITED_BYTES) {
+            sendRequest(nowMs, name, UNLIMITED_BYTES, LARGE_REPLY_TIMEOUT_MS);
         }
     }
 
-    private static List<StoredObject> objects(List<NewsReply.Item> items) {
+    private static List<StoredObject> objects(List<ViewChangesReply.Item> items) {
         return items.stream().map(i -> new StoredObject(i.key(), i.value(), i.version())).toList();
     }
 
     /** Answers another VM. */
-    NewsReply answer(long nowMs, NewsRequest request) {
+    ViewChangesReply answer(long nowMs, ViewChangesRequest request) {
         long upToVersion = mView.upToVersion();
         if (!mView.ready() || upToVersion <= request.afterVersion()) {
-            return NewsReply.nothing(mPrefix);
+            return ViewChangesReply.unchanged(mPrefix);
         }
         List<StoredObject> all = mView.all();
-        List<NewsReply.Item> changed =
+        List<ViewChangesReply.Item> changed =
                 all.stream()
                         .filter(o -> o.version() > request.afterVersion())
-                        .map(o -> new NewsReply.Item(o.key(), o.value(), o.version()))
+                        .map(o -> new ViewChangesReply.Item(o.key(), o.value(), o.version()))
                         .toList();
         long bytes = changed.stream().mapToLong(i -> i.value().length()).sum();
-        boolean large = bytes > LITTLE_BYTES;
-        if (bytes > request.maxBytes() || (large && nowMs < mNextCopyMs)) {
-            return NewsReply.tooMuch(mPrefix, upToVersion);
+        boolean large = bytes > SMALL_REPLY_BYTES;
+        if (bytes > request.maxBytes() || (large && nowMs < mNextLargeReplyMs)) {
+            return ViewChangesReply.tooLarge(mPrefix, upToVersion);
         }
         if (large) {
-            mNextCopyMs = nowMs + bytes / LINK_BYTES_PER_MS;
+            mNextLargeReplyMs = nowMs + bytes / LINK_BYTES_PER_MS;
         }
         List<String> keys = all.stream().map(StoredObject::key).toList();
-        return new NewsReply(mPrefix, upToVersion, false, keys, changed);
+        return new ViewChangesReply(mPrefix, upToVersion, false, keys, changed);
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/state/member/MembershipView.java
+++ b/coordination/src/main/java/org/hornbeampass/state/member/MembershipView.java
@@ -60,26 +60,26 @@
 
     /** Returns the members that are live and not suspected. */
     public List<Member> live() {
-        return in(MemberState.LIVE);
+        return inState(MemberState.LIVE);
     }
 
     /** Returns the members that are suspected to be gone. */
     public List<Member> suspect() {
-        return in(MemberState.SUSPECT);
+        return inState(MemberState.SUSPECT);
     }
 
     /** Returns the members that shut down. */
     public List<Member> leaving() {
-        return in(MemberState.LEAVING);
+        return inState(MemberState.LEAVING);
     }
 
     /** Returns the members that were silent for the whole suspicion timeout. */
     public List<Member> gone() {
-        return in(MemberState.GONE);
+        return inState(MemberState.GONE);
     }
 
     /** Returns the members in one state, in the order of their names. */
-    public List<Member> in(MemberState state) {
+    public List<Member> inState(MemberState state) {
         return mByState.getOrDefault(state, List.of());
     }
 
--- a/coordination/src/test/java/org/hornbeampass/coordination/address/AddressBookTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/address/AddressBookTest.java
@@ -24,7 +24,7 @@
     private static final OrganisationId DESK = new OrganisationId("flight-desk");
 
     @Test
-    void answer_beginsNear_andHoldsOtherDomainsAndRegions() {
+    void answer_startsWithNearVms_andIncludesOtherDomainsAndRegions() {
         AddressBook book = book(view(48, m -> MemberState.LIVE), 0);
 
         List<AddressAnswer.VmAddress> answer = book.answer(0, near("r1-d0")).addresses();
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void answer_neverHoldsLeavingOrGone() {
+    void answer_excludesLeavingAndGoneVms() {
         MembershipView view =
                 view(
                         24,
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void answer_whereOneVmIsLive_addsSuspectsLast_andIsKeptShortly() {
+    void answer_withOneLiveVm_appendsSuspects_andExpiresSooner() {
         MembershipView view = view(6, n -> n == 4 ? MemberState.LIVE : MemberState.SUSPECT);
 
         AddressAnswer answer = book(view, 0).answer(0, AddressQuery.any());
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void answer_ofManyCallers_isSpreadOverTheHomesOfTheDomain() {
+    void answers_toManyCallers_areSpreadOverTheHomesOfTheDomain() {
         AddressBook book = book(view(48, m -> MemberState.LIVE), 1_000);
         Set<VmId> first = new HashSet<>();
         for (int i = 0; i < 200; i++) {
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void homes_areFew_spreadOverDomains_andGrowWithDemand() {
+    void homes_areSpreadOverDomains_andGrowWithDemand() {
         MembershipView view = view(390, m -> MemberState.LIVE);
         List<Member> few = book(view, 0).homes(DESK);
         List<Member> many = book(view, 600).homes(DESK);
@@ -91,7 +91,7 @@
     }
 
     @Test
-    void homes_afterOneVmIsGone_loseOnlyThatOne() {
+    void homes_afterOneVmIsGone_keepAllOthers() {
         Member lost = book(view(390, m -> MemberState.LIVE), 0).homes(DESK).get(0);
         List<Member> before = book(view(390, m -> MemberState.LIVE), 0).homes(DESK);
         MembershipView after =
--- a/coordination/src/test/java/org/hornbeampass/coordination/fleet/FleetInvariant.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/fleet/FleetInvariant.java
@@ -7,13 +7,13 @@
     /** What a VM runs at a revision is what the platform's log says up to that revision. */
     SAME_REVISION_SAME_CONFIGURATION,
     /** A change that was answered as accepted stands in the log at the revision answered. */
-    ACCEPTED_STANDS,
+    ACCEPTED_CHANGE_IN_LOG,
     /** A change that was answered as refused is not in the log, and none is in it twice. */
-    REFUSED_NEVER_APPLIED,
+    REJECTED_CHANGE_NOT_IN_LOG,
     /** A VM that leaves is in no answer of a VM that could hear of it for a while. */
-    LEAVING_NOT_ANSWERED,
+    LEAVING_VM_NOT_IN_ANSWERS,
     /** A VM that died is live in no view of a VM that could find out for a while. */
-    DEAD_NOT_LIVE,
+    STOPPED_VM_NOT_LIVE,
     /** A life that still runs is never proved gone. */
     RUNNING_NOT_PROVED_GONE,
     /** After all faults end, all running VMs see each other. */
--- a/coordination/src/test/java/org/hornbeampass/coordination/fleet/FleetMutant.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/fleet/FleetMutant.java
@@ -25,7 +25,7 @@
     /** A create takes effect where the object exists. */
     CREATE_OVERWRITES {
         @Override
-        PlatformCall call(MemoryPlatform store, PlatformCall call) {
+        PlatformCall rewriteCall(MemoryPlatform store, PlatformCall call) {
             if (!(call instanceof PlatformCall.Create create)
                     || !create.key().startsWith("config/log/")) {
                 return call;
@@ -45,16 +45,16 @@
         }
     },
     /** A process that resumes has lost its memory but keeps its identity. */
-    RESUME_FORGETS {
+    RESUME_LOSES_STATE {
         @Override
-        boolean resumeForgets() {
+        boolean resumeLosesState() {
             return true;
         }
     },
     /** Nobody tells that a VM leaves. */
-    LEAVING_IS_NOT_TOLD {
+    LEAVING_IS_NOT_ANNOUNCED {
         @Override
-        MemberUpdate update(MemberUpdate update) {
+        MemberUpdate rewriteUpdate(MemberUpdate update) {
             return new MemberUpdate(
                     update.name(),
                     update.incarnation(),
@@ -64,9 +64,9 @@
         }
     },
     /** A refutation has the counter of the rumour that it refutes. */
-    REFUTATION_IS_WEAK {
+    REFUTATION_RESETS_COUNTER {
         @Override
-        MemberUpdate update(MemberUpdate update) {
+        MemberUpdate rewriteUpdate(MemberUpdate update) {
             return new MemberUpdate(
                     update.name(), update.incarnation(), 0, update.state(), update.details());
         }
@@ -79,16 +79,16 @@
         }
     },
     /** Acknowledgements come from VMs that no longer run. */
-    DEAD_ANSWER {
+    STOPPED_VM_ACKNOWLEDGES {
         @Override
-        boolean deadAnswer() {
+        boolean stoppedVmAcknowledges() {
             return true;
         }
     },
     /** Nobody reads the log, and pulls are not answered. */
-    NOBODY_HEARS {
+    CHANGES_ARE_NOT_DELIVERED {
         @Override
-        PlatformCall call(MemoryPlatform store, PlatformCall call) {
+        PlatformCall rewriteCall(MemoryPlatform store, PlatformCall call) {
             if (call instanceof PlatformCall.Watch watch) {
                 return new PlatformCall.Watch("nothing/", watch.afterVersion(), watch.atMost());
             }
@@ -98,14 +98,14 @@
         }
 
         @Override
-        boolean relays() {
+        boolean answersPulls() {
             return false;
         }
     },
     /** What a VM wrote does not look like its own when it reads it back. */
     OWN_WRITE_IS_NOT_RECOGNISED {
         @Override
-        PlatformCall call(MemoryPlatform store, PlatformCall call) {
+        PlatformCall rewriteCall(MemoryPlatform store, PlatformCall call) {
             if (!(call instanceof PlatformCall.Create create)
                     || !create.key().startsWith("config/log/")) {
                 return call;
@@ -118,15 +118,15 @@
         }
     };
 
-    PlatformCall call(MemoryPlatform store, PlatformCall call) {
+    PlatformCall rewriteCall(MemoryPlatform store, PlatformCall call) {
         return call;
     }
 
-    boolean resumeForgets() {
+    boolean resumeLosesState() {
         return false;
     }
 
-    MemberUpdate update(MemberUpdate update) {
+    MemberUpdate rewriteUpdate(MemberUpdate update) {
         return update;
     }
 
@@ -134,43 +134,43 @@
         return FleetRun.SILENCE_MS;
     }
 
-    boolean deadAnswer() {
+    boolean stoppedVmAcknowledges() {
         return false;
     }
 
-    boolean relays() {
+    boolean answersPulls() {
         return true;
     }
 
-    PeerMessage message(PeerMessage message) {
+    PeerMessage rewriteMessage(PeerMessage message) {
         if (message instanceof Ping ping) {
-            return new Ping(rumours(ping.rumours()));
+            return new Ping(rewriteRumours(ping.rumours()));
         }
         if (message instanceof Ack ack) {
-            return new Ack(rumours(ack.rumours()));
+            return new Ack(rewriteRumours(ack.rumours()));
         }
         if (message instanceof Gossip gossip) {
-            return new Gossip(rumours(gossip.rumours()));
+            return new Gossip(rewriteRumours(gossip.rumours()));
         }
         if (message instanceof SyncReply sync) {
-            return new SyncReply(sync.covered(), sync.more(), updates(sync.entries()));
+            return new SyncReply(sync.covered(), sync.more(), rewriteUpdates(sync.entries()));
         }
-        if (message instanceof PullReply reply && !relays()) {
+        if (message instanceof PullReply reply && !answersPulls()) {
             return new PullReply(
                     reply.ready(), reply.newest(), reply.problem(), "", List.of("garbled"));
         }
         return message;
     }
 
-    private Rumours rumours(Rumours rumours) {
+    private Rumours rewriteRumours(Rumours rumours) {
         return new Rumours(
                 rumours.digest(),
                 rumours.revision(),
                 rumours.upstreamsRevision(),
-                updates(rumours.updates()));
+                rewriteUpdates(rumours.updates()));
     }
 
-    private List<MemberUpdate> updates(List<MemberUpdate> updates) {
-        return updates.stream().map(this::update).toList();
+    private List<MemberUpdate> rewriteUpdates(List<MemberUpdate> updates) {
+        return updates.stream().map(this::rewriteUpdate).toList();
     }
 }
--- a/coordination/src/test/java/org/hornbeampass/coordination/fleet/FleetMutantsTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/fleet/FleetMutantsTest.java
@@ -11,21 +11,21 @@
 
     @ParameterizedTest
     @CsvSource({
-        "CREATE_OVERWRITES, ACCEPTED_STANDS",
+        "CREATE_OVERWRITES, ACCEPTED_CHANGE_IN_LOG",
         "CREATE_OVERWRITES, SAME_REVISION_SAME_CONFIGURATION",
-        "OWN_WRITE_IS_NOT_RECOGNISED, REFUSED_NEVER_APPLIED",
-        "RESUME_FORGETS, REVISION_NEVER_FALLS",
-        "LEAVING_IS_NOT_TOLD, LEAVING_NOT_ANSWERED",
-        "DEAD_ANSWER, DEAD_NOT_LIVE",
+        "OWN_WRITE_IS_NOT_RECOGNISED, REJECTED_CHANGE_NOT_IN_LOG",
+        "RESUME_LOSES_STATE, REVISION_NEVER_FALLS",
+        "LEAVING_IS_NOT_ANNOUNCED, LEAVING_VM_NOT_IN_ANSWERS",
+        "STOPPED_VM_ACKNOWLEDGES, STOPPED_VM_NOT_LIVE",
         "ABSENCE_PROVES_GONE, RUNNING_NOT_PROVED_GONE",
-        "REFUTATION_IS_WEAK, VIEWS_AGREE_AT_THE_END",
-        "NOBODY_HEARS, CONFIGURATION_AGREES_AT_THE_END"
+        "REFUTATION_RESETS_COUNTER, VIEWS_AGREE_AT_THE_END",
+        "CHANGES_ARE_NOT_DELIVERED, CONFIGURATION_AGREES_AT_THE_END"
     })
-    void check_catchesTheBrokenRule(FleetMutant mutant, FleetInvariant check) {
-        assertThat(caught(mutant, check)).isTrue();
+    void invariant_detectsTheMutant(FleetMutant mutant, FleetInvariant check) {
+        assertThat(isDetected(mutant, check)).isTrue();
     }
 
-    private static boolean caught(FleetMutant mutant, FleetInvariant check) {
+    private static boolean isDetected(FleetMutant mutant, FleetInvariant check) {
         for (long seed = 0; seed < SCHEDULES; seed++) {
             if (new FleetRun(mutant, seed).run(FleetSchedules.of(seed)).contains(check)) {
                 return true;
--- a/coordination/src/test/java/org/hornbeampass/coordination/fleet/FleetRun.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/fleet/FleetRun.java
@@ -33,21 +33,21 @@
 final class FleetRun {
     static final int VMS = 6;
     static final long SILENCE_MS = 40_000;
-    private static final long CALM_MS = 30_000;
-    private static final long END_MS = 120_000;
+    private static final long RECOVERY_MS = 30_000;
+    private static final long FINAL_RECOVERY_MS = 120_000;
 
     private final FleetMutant mMutant;
     private final FakeFleet mFleet;
-    private final LogRecord mLog;
-    private final Set<FleetInvariant> mBroken = EnumSet.noneOf(FleetInvariant.class);
+    private final LogHistory mLog;
+    private final Set<FleetInvariant> mViolated = EnumSet.noneOf(FleetInvariant.class);
     private final Map<FakeRouter, Long> mRevisions = new HashMap<>();
-    private final Map<VmId, Long> mLeftMs = new HashMap<>();
-    private final Map<VmId, Long> mDiedMs = new HashMap<>();
+    private final Map<VmId, Long> mLeaveMs = new HashMap<>();
+    private final Map<VmId, Long> mStoppedMs = new HashMap<>();
     private final List<Proposal> mProposals = new ArrayList<>();
-    private Set<VmId> mOldList = Set.of();
+    private Set<VmId> mStaleList = Set.of();
     private long mListVersion;
-    private long mFaultMs;
-    private boolean mGarbled;
+    private long mLastFaultMs;
+    private boolean mGarblesReplies;
 
     /** One proposal and its answer, once there is one. */
     private static final class Proposal {
@@ -62,14 +62,14 @@
     FleetRun(FleetMutant mutant, long seed) {
         mMutant = mutant;
         mFleet = new FakeFleet(seed, 2, 2, membership(mutant), config());
-        mLog = new LogRecord(mFleet.platform().store());
-        mFleet.platform().rewrites(call -> mutant.call(mFleet.platform().store(), call));
-        mFleet.network().rewrites(m -> garble(mutant.message(m)));
+        mLog = new LogHistory(mFleet.platform().store());
+        mFleet.platform().rewrites(call -> mutant.rewriteCall(mFleet.platform().store(), call));
+        mFleet.network().rewrites(m -> garble(mutant.rewriteMessage(m)));
         for (int i = 0; i < VMS; i++) {
             mFleet.start(name(i));
         }
-        mFleet.runFor(CALM_MS);
-        mFaultMs = mFleet.nowMs();
+        mFleet.runFor(RECOVERY_MS);
+        mLastFaultMs = mFleet.nowMs();
     }
 
     private static MembershipSettings membership(FleetMutant mutant) {
@@ -97,7 +97,9 @@
     }
 
     private PeerMessage garble(PeerMessage message) {
-        if (!mGarbled || !(message instanceof PullReply reply) || reply.entries().isEmpty()) {
+        if (!mGarblesReplies
+                || !(message instanceof PullReply reply)
+                || reply.entries().isEmpty()) {
             return message;
         }
         List<String> entries =
@@ -115,16 +117,16 @@
     /** Runs the steps; returns the invariants that were broken. */
     Set<FleetInvariant> run(List<FleetStep> steps) {
         for (FleetStep step : steps) {
-            act(step.kind(), name(step.vm()));
+            apply(step.kind(), name(step.vm()));
             check();
             mFleet.runFor(step.waitMs());
             check();
         }
-        end();
-        return mBroken;
+        checkFinalState();
+        return mViolated;
     }
 
-    private void act(FleetStep.Kind kind, String vm) {
+    private void apply(FleetStep.Kind kind, String vm) {
         switch (kind) {
             case WAIT -> {}
             case PROPOSE -> propose(vm);
@@ -132,23 +134,23 @@
                 propose(vm);
                 propose(name(vm.charAt(3) - '0' + 1));
             }
-            case OLD_LIST -> list(mOldList);
-            case NEW_LIST -> {
-                mOldList = running();
-                list(mOldList);
+            case STALE_LIST -> sendList(mStaleList);
+            case CURRENT_LIST -> {
+                mStaleList = running();
+                sendList(mStaleList);
             }
             default -> {
-                disturb(kind, vm);
-                mFaultMs = mFleet.nowMs();
+                injectFault(kind, vm);
+                mLastFaultMs = mFleet.nowMs();
             }
         }
     }
 
-    private void disturb(FleetStep.Kind kind, String vm) {
+    private void injectFault(FleetStep.Kind kind, String vm) {
         switch (kind) {
             case KILL -> kill(vm);
             case RESTART -> {
-                mDiedMs.putIfAbsent(mFleet.router(vm).vm(), mFleet.nowMs());
+                mStoppedMs.putIfAbsent(mFleet.router(vm).vm(), mFleet.nowMs());
                 mFleet.start(vm);
             }
             case PAUSE -> mFleet.pause(vm);
@@ -158,40 +160,40 @@
             case CUT_VM -> mFleet.cut(m -> m.name().equals(vm));
             case HEAL -> mFleet.network().healAll();
             case PLATFORM_OUTAGE -> mFleet.platform().outage(true);
-            case PLATFORM_LOSSES -> mFleet.platform().loses(0.2, 0.3);
-            case PLATFORM_WELL -> platformWell();
-            case PEER_LOSSES -> {
+            case PLATFORM_MESSAGE_LOSS -> mFleet.platform().loses(0.2, 0.3);
+            case PLATFORM_RECOVERY -> recoverPlatform();
+            case PEER_MESSAGE_LOSS -> {
                 mFleet.network().drops(0.1);
                 mFleet.network().duplicates(0.2);
                 mFleet.network().takes(1, 300);
             }
-            case PEERS_WELL -> peersWell();
-            case GARBLED_REPLIES -> mGarbled = true;
+            case PEER_RECOVERY -> recoverPeers();
+            case GARBLED_REPLIES -> mGarblesReplies = true;
             default -> throw new IllegalArgumentException("not a fault: " + kind);
         }
     }
 
-    private void platformWell() {
+    private void recoverPlatform() {
         mFleet.platform().outage(false);
         mFleet.platform().loses(0, 0);
     }
 
-    private void peersWell() {
+    private void recoverPeers() {
         mFleet.network().drops(0);
         mFleet.network().duplicates(0);
         mFleet.network().takes(1, 3);
-        mGarbled = false;
+        mGarblesReplies = false;
     }
 
     private void kill(String vm) {
-        mDiedMs.putIfAbsent(mFleet.router(vm).vm(), mFleet.nowMs());
-        if (!mMutant.deadAnswer()) {
+        mStoppedMs.putIfAbsent(mFleet.router(vm).vm(), mFleet.nowMs());
+        if (!mMutant.stoppedVmAcknowledges()) {
             mFleet.kill(vm);
         }
     }
 
     private void resume(String vm) {
-        if (mFleet.paused(vm) && mMutant.resumeForgets()) {
+        if (mFleet.paused(vm) && mMutant.resumeLosesState()) {
             mFleet.resume(vm);
             mFleet.startAs(mFleet.router(vm).vm());
             return;
@@ -203,7 +205,7 @@
         FakeRouter router = mFleet.router(vm);
         if (mFleet.running().contains(router) && !mFleet.paused(vm)) {
             router.membership().leave(mFleet.nowMs());
-            mLeftMs.putIfAbsent(router.vm(), mFleet.nowMs());
+            mLeaveMs.putIfAbsent(router.vm(), mFleet.nowMs());
         }
     }
 
@@ -212,7 +214,7 @@
         if (!mFleet.running().contains(router) || mFleet.paused(vm)) {
             return;
         }
-        Proposal proposal = new Proposal(LogRecord.numberedChange(mProposals.size()));
+        Proposal proposal = new Proposal(LogHistory.numberedChange(mProposals.size()));
         mProposals.add(proposal);
         router.config()
                 .propose(
@@ -229,7 +231,7 @@
     }
 
     /** Gives all VMs a list; an old one has a new version, since lists lag. */
-    private void list(Set<VmId> listed) {
+    private void sendList(Set<VmId> listed) {
         mFleet.list(++mListVersion, r -> listed.contains(r.vm()));
     }
 
@@ -242,7 +244,7 @@
         for (Proposal proposal : mProposals) {
             checkAnswer(proposal);
         }
-        if (mFleet.nowMs() - mFaultMs >= CALM_MS) {
+        if (mFleet.nowMs() - mLastFaultMs >= RECOVERY_MS) {
             mFleet.running().stream()
                     .filter(r -> !mFleet.paused(r.vm().name()))
                     .forEach(this::checkView);
@@ -251,7 +253,7 @@
 
     private void checkRevision(FakeRouter router) {
         long revision = router.config().snapshot().revision();
-        long before = mRevisions.getOrDefault(sameLife(router), 0L);
+        long before = mRevisions.getOrDefault(sameIncarnation(router), 0L);
         require(FleetInvariant.REVISION_NEVER_FALLS, revision >= before);
         mRevisions.put(router, revision);
         require(
@@ -261,7 +263,7 @@
                         .isPresent());
     }
 
-    private FakeRouter sameLife(FakeRouter router) {
+    private FakeRouter sameIncarnation(FakeRouter router) {
         return mRevisions.keySet().stream()
                 .filter(r -> r.vm().equals(router.vm()))
                 .max(java.util.Comparator.comparing(mRevisions::get))
@@ -276,39 +278,39 @@
     }
 
     private void checkAnswer(Proposal proposal) {
-        int times = mLog.timesOf(proposal.mChange);
-        require(FleetInvariant.REFUSED_NEVER_APPLIED, times <= 1);
+        int times = mLog.countOf(proposal.mChange);
+        require(FleetInvariant.REJECTED_CHANGE_NOT_IN_LOG, times <= 1);
         if (proposal.mAnswer == null) {
             return;
         }
         if (proposal.mAnswer.isRight()) {
             require(
-                    FleetInvariant.ACCEPTED_STANDS,
+                    FleetInvariant.ACCEPTED_CHANGE_IN_LOG,
                     mLog.change(proposal.mAnswer.get())
                             .filter(proposal.mChange::equals)
                             .isPresent());
             return;
         }
         boolean open = proposal.mAnswer.getLeft().kind() == ErrorKind.OUTCOME_UNKNOWN;
-        require(FleetInvariant.REFUSED_NEVER_APPLIED, open || times == 0);
+        require(FleetInvariant.REJECTED_CHANGE_NOT_IN_LOG, open || times == 0);
     }
 
     private void checkView(FakeRouter router) {
-        long since = mFleet.nowMs() - CALM_MS;
-        mDiedMs.forEach(
+        long since = mFleet.nowMs() - RECOVERY_MS;
+        mStoppedMs.forEach(
                 (vm, atMs) ->
                         require(
-                                FleetInvariant.DEAD_NOT_LIVE,
+                                FleetInvariant.STOPPED_VM_NOT_LIVE,
                                 atMs > since || !isIn(router, vm, MemberState.LIVE)));
-        mLeftMs.forEach(
+        mLeaveMs.forEach(
                 (vm, atMs) ->
                         require(
-                                FleetInvariant.LEAVING_NOT_ANSWERED,
+                                FleetInvariant.LEAVING_VM_NOT_IN_ANSWERS,
                                 atMs > since || !answers(router, vm)));
     }
 
     private static boolean isIn(FakeRouter router, VmId vm, MemberState state) {
-        return router.membership().view().in(state).stream().anyMatch(m -> m.vm().equals(vm));
+        return router.membership().view().inState(state).stream().anyMatch(m -> m.vm().equals(vm));
     }
 
     private boolean answers(FakeRouter router, VmId vm) {
@@ -316,15 +318,15 @@
                 .anyMatch(a -> a.vm().equals(vm));
     }
 
-    private void end() {
+    private void checkFinalState() {
         mFleet.network().healAll();
-        platformWell();
-        peersWell();
+        recoverPlatform();
+        recoverPeers();
         for (FakeRouter router : mFleet.running()) {
             resume(router.vm().name());
         }
-        mFaultMs = mFleet.nowMs();
-        mFleet.runFor(END_MS);
+        mLastFaultMs = mFleet.nowMs();
+        mFleet.runFor(FINAL_RECOVERY_MS);
         check();
         Set<VmId> running = running();
         for (FakeRouter router : mFleet.running()) {
@@ -344,7 +346,7 @@
 
     private void require(FleetInvariant invariant, boolean holds) {
         if (!holds) {
-            mBroken.add(invariant);
+            mViolated.add(invariant);
         }
     }
 }
--- a/coordination/src/test/java/org/hornbeampass/coordination/fleet/FleetStep.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/fleet/FleetStep.java
@@ -24,12 +24,12 @@
         CUT_VM,
         HEAL,
         PLATFORM_OUTAGE,
-        PLATFORM_LOSSES,
-        PLATFORM_WELL,
-        PEER_LOSSES,
-        PEERS_WELL,
-        OLD_LIST,
-        NEW_LIST,
+        PLATFORM_MESSAGE_LOSS,
+        PLATFORM_RECOVERY,
+        PEER_MESSAGE_LOSS,
+        PEER_RECOVERY,
+        STALE_LIST,
+        CURRENT_LIST,
         GARBLED_REPLIES
     }
 }
--- a/coordination/src/test/java/org/hornbeampass/coordination/fleet/FleetSteps.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/fleet/FleetSteps.java
@@ -47,17 +47,17 @@
 
     @Given("the template {string} has priority {int}")
     public void templateHasPriority(String name, int priority) {
-        accepted("vm-0", template(name, priority));
+        proposeAndExpectAccepted("vm-0", template(name, priority));
     }
 
     @Given("the organisation {string} uses template {string}")
     public void organisationUses(String id, String template) {
-        accepted("vm-0", organisation(id, template, Parameters.none()));
+        proposeAndExpectAccepted("vm-0", organisation(id, template, Parameters.none()));
     }
 
     @Given("the organisation {string} uses template {string} with its own priority {int}")
     public void organisationOverrides(String id, String template, int priority) {
-        accepted("vm-0", organisation(id, template, priority(priority)));
+        proposeAndExpectAccepted("vm-0", organisation(id, template, priority(priority)));
     }
 
     @Given("the platform loses half of its replies")
@@ -171,12 +171,12 @@
 
     @Then("the priority {int} of template {string} is in force on all VMs within {int} s")
     public void inForce(int priority, String name, int seconds) {
-        within(seconds, r -> priority(r, name).equals(Optional.of(priority)));
+        assertWithin(seconds, r -> priority(r, name).equals(Optional.of(priority)));
     }
 
     @Then("within {int} s organisation {string} has priority {int} on all VMs")
     public void organisationWithin(int seconds, String id, int priority) {
-        within(seconds, r -> termsPriority(r, id).equals(Optional.of(priority)));
+        assertWithin(seconds, r -> termsPriority(r, id).equals(Optional.of(priority)));
     }
 
     @Then("organisation {string} has priority {int} on all VMs")
@@ -243,10 +243,10 @@
     @Then("all VMs see each other live within {int} s")
     public void allLive(int seconds) {
         int size = mFleet.running().size();
-        within(seconds, r -> r.membership().view().live().size() == size);
+        assertWithin(seconds, r -> r.membership().view().live().size() == size);
     }
 
-    private void within(int seconds, Predicate<FakeRouter> holds) {
+    private void assertWithin(int seconds, Predicate<FakeRouter> holds) {
         for (long ms = 0; ms < seconds * 1_000L; ms += STEP_MS) {
             if (mFleet.running().stream().allMatch(holds)) {
                 return;
@@ -256,7 +256,7 @@
         assertThat(mFleet.running()).allMatch(holds);
     }
 
-    private void accepted(String vm, ConfigChange change) {
+    private void proposeAndExpectAccepted(String vm, ConfigChange change) {
         propose(vm, change);
         mFleet.runFor(5_000);
         assertThat(mAnswers).hasSize(1).allMatch(Either::isRight);
--- a/coordination/src/test/java/org/hornbeampass/coordination/fleet/LogRecord.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/fleet/LogHistory.java
@@ -21,7 +21,7 @@
  *
  * <p>Not thread-safe: tests run on one thread.
  */
-final class LogRecord {
+final class LogHistory {
     private final MemoryPlatform mStore;
     private final Map<Long, ConfigChange> mChanges = new TreeMap<>();
 
@@ -29,7 +29,7 @@
     @JsonIgnoreProperties(ignoreUnknown = true)
     record StoredChange(ConfigChange change) {}
 
-    LogRecord(MemoryPlatform store) {
+    LogHistory(MemoryPlatform store) {
         mStore = store;
     }
 
@@ -75,7 +75,7 @@
         return Optional.ofNullable(mChanges.get(revision));
     }
 
-    int timesOf(ConfigChange change) {
+    int countOf(ConfigChange change) {
         return (int) mChanges.values().stream().filter(change::equals).count();
     }
 
--- a/coordination/src/test/java/org/hornbeampass/coordination/log/ShardLogTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/log/ShardLogTest.java
@@ -42,7 +42,7 @@
         AppendResult result = append(mLog, 0, B, 1).get();
 
         assertThat(result).isInstanceOf(AppendResult.Lost.class);
-        assertThat(((AppendResult.Lost) result).winner().sameWrite(batch(A, 7))).isTrue();
+        assertThat(((AppendResult.Lost) result).winner().matchesWrite(batch(A, 7))).isTrue();
     }
 
     @Test
--- a/coordination/src/test/java/org/hornbeampass/coordination/membership/MembershipTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/membership/MembershipTest.java
@@ -13,7 +13,7 @@
     private static final long DETECTION_MS = 12_000;
 
     @Test
-    void start_allVmsSeeAllOthersLive() {
+    void start_everyVmSeesAllOthersLive() {
         FakeFleet fleet = FakeFleet.started(1, 24, 3, 2);
 
         for (FakeRouter router : fleet.running()) {
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void deadVm_isGoneEverywhereWithinBound() {
+    void stoppedVm_isGoneEverywhereWithinDetectionTime() {
         FakeFleet fleet = FakeFleet.started(2, 24, 3, 2);
 
         fleet.kill("vm-5");
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void restart_provesTheOldLifeGone_andIsLive() {
+    void restart_provesPreviousIncarnationGone_andIsLive() {
         FakeFleet fleet = FakeFleet.started(4, 9);
 
         fleet.start("vm-4");
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void pausedVm_thatWakesUp_isLiveAgainInTheSameLife() {
+    void pausedVm_afterResume_isLiveInTheSameIncarnation() {
         FakeFleet fleet = FakeFleet.started(5, 9);
 
         fleet.pause("vm-2");
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void regionsThatLostEachOther_findEachOtherAgain() {
+    void partitionedRegions_reconnectAfterThePartition() {
         FakeFleet fleet = FakeFleet.started(6, 18, 3, 2);
 
         fleet.cut(m -> m.region().value().equals("r0"));
--- a/coordination/src/test/java/org/hornbeampass/coordination/membership/RefusedAccusationsTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/membership/RejectedAccusationsTest.java
@@ -9,8 +9,8 @@
 
 import java.util.Optional;
 
-/** Tests {@link RefusedAccusations}. */
-class RefusedAccusationsTest {
+/** Tests {@link RejectedAccusations}. */
+class RejectedAccusationsTest {
     private static final long NOW_MS = 10_000;
     private static final MemberDetails DETAILS =
             new MemberDetails(
@@ -18,50 +18,50 @@
 
     private final MemberTable mTable =
             new MemberTable(NOW_MS, update("self", 0, Health.LIVE), DETAILS);
-    private final RefusedAccusations mRefused = new RefusedAccusations();
+    private final RejectedAccusations mRejected = new RejectedAccusations();
 
     @Test
-    void next_ofManyAtOnce_givesOnePerIntervalInTheirOrder() {
+    void next_withManyAccusations_returnsOnePerIntervalInOrder() {
         for (String name : new String[] {"a", "b"}) {
             mTable.merge(NOW_MS, update(name, 0, Health.LIVE), Optional.empty());
-            mRefused.add(update(name, 0, Health.GONE));
+            mRejected.add(update(name, 0, Health.GONE));
         }
 
         assertThat(next(NOW_MS)).contains("a");
-        assertThat(next(NOW_MS + RefusedAccusations.INTERVAL_MS - 1)).isEmpty();
-        assertThat(next(NOW_MS + RefusedAccusations.INTERVAL_MS)).contains("b");
+        assertThat(next(NOW_MS + RejectedAccusations.INTERVAL_MS - 1)).isEmpty();
+        assertThat(next(NOW_MS + RejectedAccusations.INTERVAL_MS)).contains("b");
     }
 
     @Test
-    void next_ofOneVmAccusedOften_givesItOnce() {
+    void next_withRepeatedAccusationsOfOneVm_returnsOnlyTheLatest() {
         mTable.merge(NOW_MS, update("a", 0, Health.LIVE), Optional.empty());
-        mRefused.add(update("a", 0, Health.SUSPECT));
-        mRefused.add(update("a", 0, Health.GONE));
+        mRejected.add(update("a", 0, Health.SUSPECT));
+        mRejected.add(update("a", 0, Health.GONE));
 
-        assertThat(mRefused.next(NOW_MS, mTable)).contains(update("a", 0, Health.GONE));
-        assertThat(next(NOW_MS + RefusedAccusations.INTERVAL_MS)).isEmpty();
+        assertThat(mRejected.next(NOW_MS, mTable)).contains(update("a", 0, Health.GONE));
+        assertThat(next(NOW_MS + RejectedAccusations.INTERVAL_MS)).isEmpty();
     }
 
     @Test
-    void next_whereTheVmRefuted_dropsTheAccusation() {
+    void next_afterRefutation_dropsTheAccusation() {
         mTable.merge(NOW_MS, update("a", 0, Health.LIVE), Optional.empty());
-        mRefused.add(update("a", 0, Health.GONE));
+        mRejected.add(update("a", 0, Health.GONE));
         mTable.merge(NOW_MS, update("a", 1, Health.LIVE), Optional.empty());
 
         assertThat(next(NOW_MS)).isEmpty();
     }
 
     @Test
-    void next_whereTheVmIsBelievedGoneByNow_dropsTheAccusation() {
+    void next_whenTableAlreadyHasTheSuspicion_dropsTheAccusation() {
         mTable.merge(NOW_MS, update("a", 0, Health.LIVE), Optional.empty());
-        mRefused.add(update("a", 0, Health.SUSPECT));
+        mRejected.add(update("a", 0, Health.SUSPECT));
         mTable.merge(NOW_MS, update("a", 0, Health.SUSPECT), Optional.of(new Region("r0")));
 
         assertThat(next(NOW_MS)).isEmpty();
     }
 
     private Optional<String> next(long nowMs) {
-        return mRefused.next(nowMs, mTable).map(MemberUpdate::name);
+        return mRejected.next(nowMs, mTable).map(MemberUpdate::name);
     }
 
     private static MemberUpdate update(String name, long counter, Health health) {
--- a/coordination/src/test/java/org/hornbeampass/coordination/news/NewsExchangeTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/news/ViewExchangeTest.java
@@ -26,21 +26,21 @@
 import java.util.function.BiConsumer;
 
 /** Checks that a VM that the platform turns away learns from another, and never goes back. */
-class NewsExchangeTest {
+class ViewExchangeTest {
     private static final String PREFIX = "config/";
     private static final VmId SELF = new VmId("self", 1);
 
     private final MemoryPlatform mStore = new MemoryPlatform();
     private final List<String> mSeen = new ArrayList<>();
-    private final List<NewsReply> mReplies = new ArrayList<>();
+    private final List<ViewChangesReply> mReplies = new ArrayList<>();
     private final List<PlatformCall> mCalls = new ArrayList<>();
-    private boolean mTurnedAway;
+    private boolean mThrottled;
     private boolean mSilent;
 
     private final Platform mLink =
             (nowMs, call, done) -> {
                 mCalls.add(call);
-                if (mTurnedAway) {
+                if (mThrottled) {
                     done.accept(nowMs, new PlatformReply.Throttled());
                 } else if (!mSilent) {
                     mStore.submit(nowMs, call, done);
@@ -49,10 +49,10 @@
     private final WatchedView mView =
             view(mLink, (t, change) -> mSeen.add(change.value().orElse("deleted")));
     private final WatchedView mPeerView = view(mStore, (t, change) -> {});
-    private final NewsExchange mPeer =
-            new NewsExchange(Map.of(PREFIX, mPeerView), new Unused(), List::of, new Random(1));
-    private final NewsExchange mExchange =
-            new NewsExchange(
+    private final ViewExchange mPeer =
+            new ViewExchange(Map.of(PREFIX, mPeerView), new Unused(), List::of, new Random(1));
+    private final ViewExchange mExchange =
+            new ViewExchange(
                     Map.of(PREFIX, mView), new ToPeer(), () -> List.of("peer"), new Random(1));
 
     private static WatchedView view(
@@ -82,9 +82,9 @@
             mPeer.onRequest(
                     nowMs,
                     SELF,
-                    (NewsRequest) request,
+                    (ViewChangesRequest) request,
                     reply -> {
-                        mReplies.add((NewsReply) reply);
+                        mReplies.add((ViewChangesReply) reply);
                         done.accept(nowMs, Either.right(reply));
                     });
         }
@@ -127,8 +127,8 @@
     }
 
     @Test
-    void vmThatIsTurnedAway_learnsFromItsPeer() {
-        mTurnedAway = true;
+    void throttledVm_receivesChangesFromItsPeer() {
+        mThrottled = true;
         write("1", 0);
         run(0, 2_000);
         assertThat(mSeen).containsExactly("1");
@@ -138,7 +138,7 @@
     }
 
     @Test
-    void vmThatIsServed_asksNobody() {
+    void servedVm_requestsNothingFromPeers() {
         write("1", 0);
         run(0, 5_000);
         assertThat(mSeen).containsExactly("1");
@@ -146,23 +146,26 @@
     }
 
     @Test
-    void objectsThatTheAskerHas_areNotSentAgain() {
+    void unchangedObjects_areNotSentAgain() {
         write("1", 0);
         run(0, 1_000);
-        mTurnedAway = true;
+        mThrottled = true;
         run(1_000, 2_500); // Until no watch is open any more.
         mStore.submit(2_500, new PlatformCall.Create("config/other", "a"), (t, reply) -> {});
         run(2_500, 4_000);
         assertThat(mSeen).containsExactly("1", "a");
-        assertThat(mReplies.stream().flatMap(r -> r.objects().stream()).map(NewsReply.Item::key))
+        assertThat(
+                        mReplies.stream()
+                                .flatMap(r -> r.objects().stream())
+                                .map(ViewChangesReply.Item::key))
                 .containsExactly("config/other");
     }
 
     @Test
-    void objectThatWasDeleted_isGoneAtTheAsker() {
+    void deletedObject_isRemovedAtTheRequester() {
         write("1", 0);
         run(0, 1_000);
-        mTurnedAway = true;
+        mThrottled = true;
         run(1_000, 2_500);
         mStore.submit(2_500, new PlatformCall.Delete("config/main", 1), (t, reply) -> {});
         run(2_500, 4_000);
@@ -170,9 +173,9 @@
     }
 
     @Test
-    void largeNewsOfAVmThatIsTurnedAway_isCopiedFromThePeer() {
-        mTurnedAway = true;
-        String large = "1".repeat(ViewNews.LITTLE_BYTES + 1);
+    void largeChange_whileThrottled_isCopiedFromThePeer() {
+        mThrottled = true;
+        String large = "1".repeat(ViewRefresher.SMALL_REPLY_BYTES + 1);
         write(large, 0);
         run(0, 2_000);
         assertThat(mSeen).containsExactly(large);
@@ -180,37 +183,37 @@
     }
 
     @Test
-    void largeNewsOfAVmThatIsServed_isReadFromThePlatformInPlaceOfASilentWatch() {
+    void largeChange_whileServed_isReadFromThePlatformDespiteSilentWatch() {
         write("1", 0);
         run(0, 1_000);
         mSilent = true;
         run(1_000, 3_000); // The watch that is renewed now is never answered.
         mSilent = false;
-        String large = "2".repeat(ViewNews.LITTLE_BYTES + 1);
+        String large = "2".repeat(ViewRefresher.SMALL_REPLY_BYTES + 1);
         write(large, 1);
         run(3_000, 4_000);
         assertThat(mSeen).containsExactly("1");
         int calls = mCalls.size();
-        mExchange.askNow(4_000, PREFIX, "peer");
+        mExchange.requestNow(4_000, PREFIX, "peer");
         assertThat(mSeen).containsExactly("1", large);
         assertThat(mReplies).allMatch(r -> r.objects().isEmpty());
         assertThat(mCalls.get(calls)).isInstanceOf(PlatformCall.ListObjects.class);
     }
 
     @Test
-    void vmThatGaveALargeCopy_givesNoneUntilThatOneHasLeft() {
+    void largeReply_isNotRepeatedUntilThePreviousOneIsTransmitted() {
         write("1".repeat(100_000), 0);
         run(0, 100);
-        NewsRequest request = new NewsRequest(PREFIX, 0, Integer.MAX_VALUE);
+        ViewChangesRequest request = new ViewChangesRequest(PREFIX, 0, Integer.MAX_VALUE);
         List<Boolean> given = new ArrayList<>();
         for (long t : new long[] {100, 150, 300}) {
-            mPeer.onRequest(t, SELF, request, r -> given.add(!((NewsReply) r).leftOut()));
+            mPeer.onRequest(t, SELF, request, r -> given.add(!((ViewChangesReply) r).leftOut()));
         }
         assertThat(given).containsExactly(true, false, true);
     }
 
     @Test
-    void olderListing_changesNothing() {
+    void olderVersion_doesNotReplaceNewerObject() {
         write("1", 0);
         write("2", 1);
         run(0, 1_000);
--- a/coordination/src/test/java/org/hornbeampass/coordination/peer/OneWayPeers.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/peer/SendOnlyPeerNetwork.java
@@ -7,7 +7,7 @@
 import java.util.function.BiConsumer;
 
 /** The network of a test in which nothing is asked. */
-public abstract class OneWayPeers implements PeerNetwork {
+public abstract class SendOnlyPeerNetwork implements PeerNetwork {
     @Override
     public final void request(
             long nowMs,
--- a/coordination/src/test/java/org/hornbeampass/coordination/quarantine/QuarantineFleet.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/quarantine/QuarantineFleet.java
@@ -1,8 +1,8 @@
 package org.hornbeampass.coordination.quarantine;
 
 import org.hornbeampass.coordination.hash.RendezvousHash;
-import org.hornbeampass.coordination.peer.OneWayPeers;
 import org.hornbeampass.coordination.peer.PeerMessage;
+import org.hornbeampass.coordination.peer.SendOnlyPeerNetwork;
 import org.hornbeampass.coordination.platform.MemoryPlatform;
 import org.hornbeampass.coordination.platform.Platform;
 import org.hornbeampass.coordination.platform.PlatformCall;
@@ -208,7 +208,7 @@
     }
 
     /** Hands messages straight to VMs that can be reached. */
-    private final class Peers extends OneWayPeers {
+    private final class Peers extends SendOnlyPeerNetwork {
         private final VmId mSelf;
 
         Peers(VmId self) {
--- a/coordination/src/test/java/org/hornbeampass/coordination/service/LoadExchangeTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/service/LoadExchangeTest.java
@@ -2,8 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import org.hornbeampass.coordination.peer.OneWayPeers;
 import org.hornbeampass.coordination.peer.PeerMessage;
+import org.hornbeampass.coordination.peer.SendOnlyPeerNetwork;
 import org.hornbeampass.state.FailureDomain;
 import org.hornbeampass.state.VmId;
 import org.hornbeampass.state.service.Prompt;
@@ -31,7 +31,7 @@
     private final LoadExchange mExchange = new LoadExchange(mBoard, new Recorder(), () -> mPaths);
 
     /** Notes what is sent. */
-    private final class Recorder extends OneWayPeers {
+    private final class Recorder extends SendOnlyPeerNetwork {
         @Override
         public void send(String vmName, PeerMessage message) {
             mTold.add(vmName);
--- a/coordination/src/test/java/org/hornbeampass/coordination/service/LoadRelayTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/service/LoadRelayTest.java
@@ -2,8 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import org.hornbeampass.coordination.peer.OneWayPeers;
 import org.hornbeampass.coordination.peer.PeerMessage;
+import org.hornbeampass.coordination.peer.SendOnlyPeerNetwork;
 import org.hornbeampass.state.FailureDomain;
 import org.hornbeampass.state.VmId;
 import org.hornbeampass.state.member.Member;
@@ -37,7 +37,7 @@
     private long mNowMs;
 
     /** Hands messages straight to VMs that are up. */
-    private final class Peers extends OneWayPeers {
+    private final class Peers extends SendOnlyPeerNetwork {
         private final VmId mSelf;
 
         Peers(VmId self) {
--- a/router/src/main/java/org/hornbeampass/router/daemon/RelayDaemon.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/RelayDaemon.java
@@ -15,7 +15,7 @@
 import org.hornbeampass.coordination.membership.IndirectPing;
 import org.hornbeampass.coordination.membership.Ping;
 import org.hornbeampass.coordination.membership.SyncRequest;
-import org.hornbeampass.coordination.news.NewsRequest;
+import org.hornbeampass.coordination.news.ViewChangesRequest;
 import org.hornbeampass.coordination.platform.WatchedView;
 import org.hornbeampass.coordination.quarantine.Quarantine;
 import org.hornbeampass.coordination.quarantine.RequestHasher;
@@ -249,7 +249,7 @@
         mPeers.on(Gossip.class, membership::onGossip);
         mPeers.on(IndirectPing.class, membership::onIndirectPing);
         mPeers.on(SyncRequest.class, membership::onSyncRequest);
-        mPeers.on(NewsRequest.class, mViews.news()::onRequest);
+        mPeers.on(ViewChangesRequest.class, mViews.news()::onRequest);
         mPeers.on(LoanRequest.class, mLoans::onRequest);
         mPeers.on(TokenTransfer.class, mLoans::onTransfer);
         mPeers.on(InFlightReport.class, mLoads::onReport);
--- a/router/src/main/java/org/hornbeampass/router/daemon/StoreViews.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/StoreViews.java
@@ -1,7 +1,7 @@
 package org.hornbeampass.router.daemon;
 
 import org.hornbeampass.coordination.membership.MembershipListener;
-import org.hornbeampass.coordination.news.NewsExchange;
+import org.hornbeampass.coordination.news.ViewExchange;
 import org.hornbeampass.coordination.peer.PeerNetwork;
 import org.hornbeampass.coordination.platform.MissedChanges;
 import org.hornbeampass.coordination.platform.Platform;
@@ -43,7 +43,7 @@
     private final Random mRandom;
     private final WatchedView mConfig;
     private final WatchedView mUpstreams;
-    private final NewsExchange mNews;
+    private final ViewExchange mNews;
     private final RevisionNews mConfigNews;
     private final RevisionNews mUpstreamsNews;
     private long mWatchAnewAtMs = Long.MAX_VALUE;
@@ -95,7 +95,7 @@
                             upstreamsNews().onChange(nowMs, change.version());
                         });
         mNews =
-                new NewsExchange(
+                new ViewExchange(
                         Map.of(configPrefix, mConfig, upstreamPrefix, mUpstreams),
                         peers,
                         others,
@@ -105,13 +105,13 @@
                         "configuration",
                         log,
                         announceConfig,
-                        (nowMs, name) -> mNews.askNow(nowMs, configPrefix, name));
+                        (nowMs, name) -> mNews.requestNow(nowMs, configPrefix, name));
         mUpstreamsNews =
                 new RevisionNews(
                         "upstreams",
                         log,
                         announceUpstreams,
-                        (nowMs, name) -> mNews.askNow(nowMs, upstreamPrefix, name));
+                        (nowMs, name) -> mNews.requestNow(nowMs, upstreamPrefix, name));
     }
 
     private WatchedView view(String prefix, MissedChanges missed, BiConsumer<Long, Change> taker) {
@@ -148,7 +148,7 @@
     boolean configMayBeBehind(long nowMs) {
         return mConfigNews.behind(nowMs)
                 || mConfig.receiving(nowMs)
-                || mConfig.failingForMs(nowMs) >= NewsExchange.SILENCE_MS;
+                || mConfig.failingForMs(nowMs) >= ViewExchange.MIN_FAILING_MS;
     }
 
     /**
@@ -170,17 +170,17 @@
     }
 
     /** Returns what answers other VMs' questions. */
-    NewsExchange news() {
+    ViewExchange news() {
         return mNews;
     }
 
     @Override
-    public void onRevisionHeard(long nowMs, VmId from, long revision) {
+    public void onPeerRevision(long nowMs, VmId from, long revision) {
         mConfigNews.onHeard(nowMs, from, revision);
     }
 
     @Override
-    public void onUpstreamsRevisionHeard(long nowMs, VmId from, long revision) {
+    public void onPeerUpstreamsRevision(long nowMs, VmId from, long revision) {
         mUpstreamsNews.onHeard(nowMs, from, revision);
     }
 
--- a/router/src/test/java/org/hornbeampass/router/daemon/StoreViewsTest.java
+++ b/router/src/test/java/org/hornbeampass/router/daemon/StoreViewsTest.java
@@ -6,8 +6,8 @@
 
 import io.vavr.control.Either;
 
-import org.hornbeampass.coordination.news.NewsReply;
-import org.hornbeampass.coordination.news.NewsRequest;
+import org.hornbeampass.coordination.news.ViewChangesReply;
+import org.hornbeampass.coordination.news.ViewChangesRequest;
 import org.hornbeampass.coordination.peer.PeerMessage;
 import org.hornbeampass.coordination.peer.PeerNetwork;
 import org.hornbeampass.coordination.platform.MemoryPlatform;
@@ -78,7 +78,7 @@
                 PeerMessage request,
                 long timeoutMs,
                 BiConsumer<Long, Either<Failure, PeerMessage>> done) {
-            NewsRequest asked = (NewsRequest) request;
+            ViewChangesRequest asked = (ViewChangesRequest) request;
             mAsked.add(asked.prefix());
             mStore.submit(
                     nowMs,
@@ -88,7 +88,7 @@
                         done.accept(
                                 t,
                                 Either.right(
-                                        new NewsReply(
+                                        new ViewChangesReply(
                                                 asked.prefix(),
                                                 listed.storeVersion(),
                                                 false,
@@ -98,7 +98,7 @@
                                                 listed.objects().stream()
                                                         .map(
                                                                 o ->
-                                                                        new NewsReply.Item(
+                                                                        new ViewChangesReply.Item(
                                                                                 o.key(),
                                                                                 o.value(),
                                                                                 o.version()))
@@ -154,7 +154,7 @@
     }
 
     private void hear(long nowMs, long configRevision, long upstreamsRevision) {
-        mViews.onRevisionHeard(nowMs, PEER, configRevision);
-        mViews.onUpstreamsRevisionHeard(nowMs, PEER, upstreamsRevision);
+        mViews.onPeerRevision(nowMs, PEER, configRevision);
+        mViews.onPeerUpstreamsRevision(nowMs, PEER, upstreamsRevision);
     }
 }
--- a/router/src/test/java/org/hornbeampass/router/daemon/ThinLinkFleet.java
+++ b/router/src/test/java/org/hornbeampass/router/daemon/ThinLinkFleet.java
@@ -4,8 +4,8 @@
 
 import io.vavr.control.Either;
 
-import org.hornbeampass.coordination.news.NewsReply;
-import org.hornbeampass.coordination.news.NewsRequest;
+import org.hornbeampass.coordination.news.ViewChangesReply;
+import org.hornbeampass.coordination.news.ViewChangesRequest;
 import org.hornbeampass.coordination.peer.PeerMessage;
 import org.hornbeampass.coordination.peer.PeerNetwork;
 import org.hornbeampass.coordination.platform.AnswerProgress;
@@ -213,7 +213,7 @@
             boolean known = mHeard.getOrDefault(from, 0L) >= revision;
             mHeard.merge(from, revision, Math::max);
             if (!known && revision > mAnnounced) {
-                mViews.onRevisionHeard(mTime.nowMs(), new VmId(from, 1), revision);
+                mViews.onPeerRevision(mTime.nowMs(), new VmId(from, 1), revision);
             }
         }
 
@@ -336,9 +336,9 @@
                     .onRequest(
                             mTime.nowMs(),
                             new VmId(asker.mName, 1),
-                            (NewsRequest) request,
+                            (ViewChangesRequest) request,
                             reply -> {
-                                int bytes = bytes((NewsReply) reply);
+                                int bytes = bytes((ViewChangesReply) reply);
                                 mTime.at(
                                         mOutward.pass(bytes),
                                         () -> asker.take(bytes, reply, open, done));
@@ -371,7 +371,7 @@
         return HEAD_BYTES;
     }
 
-    private static int bytes(NewsReply reply) {
+    private static int bytes(ViewChangesReply reply) {
         return HEAD_BYTES + reply.objects().stream().mapToInt(o -> o.value().length()).sum();
     }
 }
--- a/transport/src/main/java/org/hornbeampass/protocol/peer/PeerMessageType.java
+++ b/transport/src/main/java/org/hornbeampass/protocol/peer/PeerMessageType.java
@@ -23,8 +23,8 @@
 import org.hornbeampass.coordination.membership.Ping;
 import org.hornbeampass.coordination.membership.SyncReply;
 import org.hornbeampass.coordination.membership.SyncRequest;
-import org.hornbeampass.coordination.news.NewsReply;
-import org.hornbeampass.coordination.news.NewsRequest;
+import org.hornbeampass.coordination.news.ViewChangesReply;
+import org.hornbeampass.coordination.news.ViewChangesRequest;
 import org.hornbeampass.coordination.peer.PeerMessage;
 import org.hornbeampass.coordination.quarantine.SuspectReport;
 import org.hornbeampass.coordination.ratelimit.PermitReply;
@@ -59,8 +59,8 @@
     REVISION_REPORT(24, RevisionReport.class, Form.ONE_WAY),
     REVISIONS_REQUEST(25, RevisionsRequest.class, Form.REQUEST),
     REVISIONS_REPLY(26, RevisionsReply.class, Form.REPLY),
-    NEWS_REQUEST(27, NewsRequest.class, Form.REQUEST),
-    NEWS_REPLY(28, NewsReply.class, Form.REPLY),
+    VIEW_CHANGES_REQUEST(27, ViewChangesRequest.class, Form.REQUEST),
+    VIEW_CHANGES_REPLY(28, ViewChangesReply.class, Form.REPLY),
     ASK_GRANT(40, AskGrant.class, Form.REQUEST),
     ASK_REFUSED(41, AskRefused.class, Form.REPLY),
     MOVE_GRANT(42, MoveGrant.class, Form.REQUEST),
