--- a/coordination/src/main/java/org/hornbeampass/coordination/address/AddressAnswer.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/address/AddressAnswer.java
@@ -8,11 +8,11 @@
 import java.util.List;
 
 /**
- * The addresses to use, the best first, and how long they may be kept.
+ * Addresses that a caller should use, best first, and how long the caller may keep them.
  *
  * <p>Immutable; safe for use by any thread.
  *
- * @param addresses the addresses; empty only where no VM takes requests
+ * @param addresses the addresses; empty only if no VM accepts requests
  * @param keepMs how long to keep the answer, in milliseconds
  */
 public record AddressAnswer(List<VmAddress> addresses, long keepMs) {
--- a/coordination/src/main/java/org/hornbeampass/coordination/address/AddressBook.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/address/AddressBook.java
@@ -21,12 +21,13 @@
 import java.util.stream.Collectors;
 
 /**
- * Answers which addresses a caller should use, and on which VMs an organisation is at home.
+ * Selects the addresses that a caller should use, and the VMs that are homes of an organisation.
  *
- * <p>Invariants: an answer never holds a VM that is leaving or gone; it holds a suspected one only
- * while fewer than two others are live, and then last; where VMs are live in two failure domains or
- * two regions, it holds VMs of at least two. Thread-safe: the homes are cached per organisation for
- * one view; the random numbers have their own lock, taken alone.
+ * <p>Invariants: an answer never contains a VM that is leaving or gone; it contains suspected VMs
+ * only if fewer than two others are live, and then last; if VMs are live in two failure domains or
+ * two regions, it contains VMs of at least two. Thread-safe: the homes are cached per organisation
+ * for one view; the random number generator has its own lock, and no other lock is taken while it
+ * is held.
  */
 public final class AddressBook {
     private static final int MIN_LIVE = 2;
@@ -39,17 +40,17 @@
     private final Random mRandom;
     private final Map<OrganisationId, Homes> mHomes = new ConcurrentHashMap<>();
 
-    /** The homes of an organisation in one view. */
+    /** Cached homes of an organisation in one view. */
     private record Homes(
             MembershipView view, double requestsPerSecond, List<Member> members, Set<VmId> vms) {}
 
     /**
-     * Makes an address book.
+     * Creates an address book.
      *
-     * @param view gives the present view of the members
-     * @param demand tells how much an organisation sends
-     * @param settings bounds of the answers
-     * @param random spreads callers over equally good VMs
+     * @param view returns the current view of the members
+     * @param demand returns how much an organisation sends
+     * @param settings limits of the answers
+     * @param random distributes callers over equally good VMs
      */
     public AddressBook(
             Supplier<MembershipView> view,
@@ -63,12 +64,12 @@
         mRandom = random;
     }
 
-    /** Returns whether a VM is a home of an organisation, as far as this VM knows. */
+    /** Returns whether a VM is a home of an organisation in the current view. */
     public boolean isHome(OrganisationId organisation, VmId vm) {
         return homesOf(mView.get(), organisation).vms().contains(vm);
     }
 
-    /** Returns an organisation's homes that take requests, region by region, the best first. */
+    /** Returns an organisation's homes that accept requests, region by region, the best first. */
     public List<Member> homes(OrganisationId organisation) {
         return homesOf(mView.get(), organisation).members();
     }
@@ -87,10 +88,10 @@
     }
 
     /**
-     * Answers a caller's question.
+     * Returns the addresses that a caller should use.
      *
-     * @param nowMs the present time in milliseconds
-     * @param query what the caller tells of itself
+     * @param nowMs the current time in milliseconds
+     * @param query what the caller reports about itself
      */
     public AddressAnswer answer(long nowMs, AddressQuery query) {
         MembershipView view = mView.get();
@@ -124,15 +125,17 @@
                                         .findFirst());
     }
 
-    /** Takes near ones first, but leaves places for other failure domains and other regions. */
+    /**
+     * Chooses VMs near the caller first, but reserves places for other failure domains and regions.
+     */
     private Set<Member> choose(List<Member> live, AddressQuery query, Optional<Region> region) {
         Predicate<Member> near = m -> query.domain().filter(m.domain()::equals).isPresent();
         Predicate<Member> inRegion = m -> region.filter(m.region()::equals).isPresent();
         int max = mSettings.maxAddresses();
-        int forOthers = Math.max(1, max / OTHER_REGIONS_SHARE);
+        int reserved = Math.max(1, max / OTHER_REGIONS_SHARE);
         Set<Member> chosen = new LinkedHashSet<>();
-        addMatching(chosen, live, near, max - 2 * forOthers);
-        addMatching(chosen, live, inRegion.and(near.negate()), max - forOthers);
+        addMatching(chosen, live, near, max - 2 * reserved);
+        addMatching(chosen, live, inRegion.and(near.negate()), max - reserved);
         if (region.isEmpty()) {
             addMatching(chosen, live, m -> true, max);
         }
--- a/coordination/src/main/java/org/hornbeampass/coordination/address/AddressQuery.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/address/AddressQuery.java
@@ -8,26 +8,26 @@
 import java.util.Optional;
 
 /**
- * A caller's question which addresses to use.
+ * Request of a caller for addresses to use.
  *
  * <p>Immutable; safe for use by any thread.
  *
- * @param organisation the caller's organisation, where it is known
- * @param domain the failure domain near the caller, where it is known
- * @param region the region near the caller, where it is known
+ * @param organisation the caller's organisation, if known
+ * @param domain the failure domain near the caller, if known
+ * @param region the region near the caller, if known
  */
 public record AddressQuery(
         Optional<OrganisationId> organisation,
         Optional<FailureDomain> domain,
         Optional<Region> region) {
-    /** Checks that no part is missing. */
+    /** Checks that no component is null. */
     public AddressQuery {
         Objects.requireNonNull(organisation, "organisation");
         Objects.requireNonNull(domain, "domain");
         Objects.requireNonNull(region, "region");
     }
 
-    /** Returns a question that names nothing. */
+    /** Returns a query without organisation, failure domain and region. */
     public static AddressQuery any() {
         return new AddressQuery(Optional.empty(), Optional.empty(), Optional.empty());
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/address/AddressSettings.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/address/AddressSettings.java
@@ -1,16 +1,16 @@
 package org.hornbeampass.coordination.address;
 
 /**
- * How address answers are cut and how long they are kept.
+ * Limits of address answers and of the number of homes.
  *
  * <p>Immutable; safe for use by any thread.
  *
  * @param keepMs how long a caller may keep an answer, in milliseconds
- * @param unsettledKeepMs the same while some VM is suspected to be gone
+ * @param unsettledKeepMs the same while a VM is suspected to be gone
  * @param maxAddresses the largest number of addresses in one answer
  * @param minHomesPerRegion the smallest number of homes of an organisation in one region
- * @param requestsPerVm how many requests a second one VM should carry for an organisation before
- *     the organisation gets a further home
+ * @param requestsPerVm how many requests per second one VM should serve for an organisation before
+ *     the organisation gets another home
  */
 public record AddressSettings(
         long keepMs,
--- a/coordination/src/main/java/org/hornbeampass/coordination/address/HomeSelector.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/address/HomeSelector.java
@@ -14,12 +14,12 @@
 import java.util.TreeMap;
 
 /**
- * Decides on which VMs an organisation is at home: in each region a few, spread evenly over the
- * region's failure domains.
+ * Chooses the homes of an organisation: a few VMs in each region, spread evenly over the region's
+ * failure domains.
  *
- * <p>Invariants: VMs that know the same members choose the same homes; a smaller number of homes is
- * a subset of a larger one; a suspected VM keeps its place until it is gone, so that a false
- * suspicion moves nothing; a leaving VM has none. Immutable; safe for use by any thread.
+ * <p>Invariants: VMs with the same members in their views choose the same homes; a smaller number
+ * of homes is a subset of a larger one; a suspected VM remains a home until it is gone, so that a
+ * false suspicion moves no home; a leaving VM is no home. Immutable; safe for use by any thread.
  */
 final class HomeSelector {
     private final AddressSettings mSettings;
@@ -29,7 +29,7 @@
     }
 
     /**
-     * Returns how many homes per region a rate of requests needs: a power of two times the least.
+     * Returns the number of homes per region for a request rate: the minimum times a power of two.
      */
     int homesPerRegion(double requestsPerSecond, int regions) {
         double wanted = requestsPerSecond / mSettings.requestsPerVm() / Math.max(1, regions);
@@ -40,25 +40,29 @@
         return homes;
     }
 
-    /** Returns the homes, region by region in the order of names, each region's best first. */
+    /**
+     * Returns the homes, region by region in the order of region names, the best of each region
+     * first.
+     */
     List<Member> homes(MembershipView view, OrganisationId organisation, double requestsPerSecond) {
-        Map<Region, Map<FailureDomain, List<Member>>> places = new TreeMap<>();
+        Map<Region, Map<FailureDomain, List<Member>>> membersByDomain = new TreeMap<>();
         for (Member member : view.members()) {
             if (member.state().takesRequests()) {
-                places.computeIfAbsent(member.region(), r -> new TreeMap<>())
+                membersByDomain
+                        .computeIfAbsent(member.region(), r -> new TreeMap<>())
                         .computeIfAbsent(member.domain(), d -> new ArrayList<>())
                         .add(member);
             }
         }
-        int perRegion = homesPerRegion(requestsPerSecond, places.size());
+        int perRegion = homesPerRegion(requestsPerSecond, membersByDomain.size());
         List<Member> homes = new ArrayList<>();
-        for (Map<FailureDomain, List<Member>> domains : places.values()) {
+        for (Map<FailureDomain, List<Member>> domains : membersByDomain.values()) {
             homes.addAll(homesInRegion(domains, organisation.value(), perRegion));
         }
         return homes;
     }
 
-    /** Takes the best VM of each failure domain in turn until there are enough. */
+    /** Chooses the best VM of each failure domain in turn until there are enough. */
     private static List<Member> homesInRegion(
             Map<FailureDomain, List<Member>> domains, String key, int count) {
         List<List<Member>> ranked = new ArrayList<>();
@@ -66,11 +70,11 @@
             ranked.add(rankedByName(key, domains.get(domain)));
         }
         List<Member> chosen = new ArrayList<>();
-        for (int place = 0; chosen.size() < count; place++) {
+        for (int rank = 0; chosen.size() < count; rank++) {
             int before = chosen.size();
             for (List<Member> domain : ranked) {
-                if (place < domain.size() && chosen.size() < count) {
-                    chosen.add(domain.get(place));
+                if (rank < domain.size() && chosen.size() < count) {
+                    chosen.add(domain.get(rank));
                 }
             }
             if (chosen.size() == before) {
--- a/coordination/src/main/java/org/hornbeampass/coordination/address/OrganisationDemand.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/address/OrganisationDemand.java
@@ -3,13 +3,13 @@
 import org.hornbeampass.state.OrganisationId;
 
 /**
- * Tells how much an organisation sends, which decides on how many VMs it is at home.
+ * Estimates how much an organisation sends, which determines its number of homes.
  *
- * <p>All VMs should tell about the same; where they differ for a while, nothing but locality is
- * lost. Implementations are thread-safe and never block.
+ * <p>All VMs should return similar rates; while they differ, only locality suffers. Implementations
+ * are thread-safe and never block.
  */
 @FunctionalInterface
 public interface OrganisationDemand {
-    /** Returns an organisation's requests per second over all VMs; 0 where it is not known. */
+    /** Returns the requests per second of an organisation over all VMs; 0 if unknown. */
     double requestsPerSecond(OrganisationId organisation);
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/address/package-info.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/address/package-info.java
@@ -1,2 +1,5 @@
-/** Which routers' addresses a caller is told, and on which routers an organisation is at home. */
+/**
+ * Selection of the router addresses for a caller, and of the routers that are homes of an
+ * organisation.
+ */
 package org.hornbeampass.coordination.address;
--- a/coordination/src/main/java/org/hornbeampass/coordination/hash/RendezvousHash.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/hash/RendezvousHash.java
@@ -7,10 +7,9 @@
 import java.util.Optional;
 
 /**
- * Chooses members for a key by highest random weight, so that the loss of a member only moves that
- * member's keys.
+ * Rendezvous (highest random weight) hashing: the loss of a member moves only that member's keys.
  *
- * <p>Invariant: the choice depends on the key and the set of members only, and is the same on every
+ * <p>Invariant: the choice depends only on the key and the set of members, and is the same on every
  * VM. Thread-safe: holds no state.
  */
 public final class RendezvousHash {
@@ -19,14 +18,14 @@
 
     private RendezvousHash() {}
 
-    /** Returns the member chosen for a key; empty where there is no member. */
+    /** Returns the member chosen for a key; empty if there is no member. */
     public static <M extends Comparable<? super M>> Optional<M> choose(
             String key, Collection<M> members) {
         long keyHash = hash(key);
         return members.stream().max(byWeight(keyHash));
     }
 
-    /** Returns the members chosen for a key, the best first, at most {@code count}. */
+    /** Returns at most {@code count} members chosen for a key, the best first. */
     public static <M extends Comparable<? super M>> List<M> choose(
             String key, Collection<M> members, int count) {
         long keyHash = hash(key);
@@ -41,7 +40,10 @@
                 .thenComparing(Comparator.<M>naturalOrder());
     }
 
-    /** Returns a 64-bit hash of a text, the same on every VM; not for keys an enemy chooses. */
+    /**
+     * Returns a 64-bit hash of a text, the same on every VM; not secure for keys chosen by an
+     * attacker.
+     */
     public static long hash(String text) {
         long hash = FNV_OFFSET;
         for (byte b : text.getBytes(StandardCharsets.UTF_8)) {
@@ -50,7 +52,7 @@
         return mix(hash);
     }
 
-    /** Spreads every bit of a value over all bits (the finaliser of SplitMix64). */
+    /** Mixes every bit of a value into all bits (the finaliser of SplitMix64). */
     private static long mix(long value) {
         long z = value;
         z = (z ^ (z >>> 30)) * 0xbf58476d1ce4e5b9L;
--- a/coordination/src/main/java/org/hornbeampass/coordination/hash/package-info.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/hash/package-info.java
@@ -1,2 +1,2 @@
-/** Hashing that every VM computes alike. */
+/** Hash functions with the same results on every VM. */
 package org.hornbeampass.coordination.hash;
--- a/coordination/src/main/java/org/hornbeampass/coordination/log/AppendResult.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/log/AppendResult.java
@@ -3,21 +3,21 @@
 import java.util.Objects;
 
 /**
- * What came of an append whose place in the log is decided.
+ * Final result of an append to a {@link ShardLog}.
  *
  * <p>Immutable; safe for use by any thread.
  */
 public sealed interface AppendResult {
-    /** The batch stands at its sequence, by this attempt or by an earlier one. */
+    /** The batch is stored at its sequence, by this attempt or by an earlier one. */
     record Won() implements AppendResult {}
 
     /**
-     * Another batch stands at the sequence, and this one never will.
+     * Another batch is stored at the sequence, so that this one never will be.
      *
-     * @param winner the batch that stands there
+     * @param winner the batch that is stored there
      */
     record Lost(LogBatch winner) implements AppendResult {
-        /** Checks that the winner is given. */
+        /** Checks that the winner is not null. */
         public Lost {
             Objects.requireNonNull(winner, "winner");
         }
--- a/coordination/src/main/java/org/hornbeampass/coordination/log/LogBatch.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/log/LogBatch.java
@@ -6,16 +6,17 @@
 import java.util.Objects;
 
 /**
- * One batch of entries of a {@link ShardLog}: the unit that is written and read.
+ * Batch of entries of a {@link ShardLog}: the unit that is written and read.
  *
- * <p>Invariant: a writer uses each {@code writerSequence} for one list of entries only, so that the
- * pair of writer and writer sequence tells a writer that a stored batch is its own. Immutable; safe
- * for use by any thread.
+ * <p>Invariant: a writer uses each {@code writerSequence} for one list of entries only, so that a
+ * writer recognises a stored batch as its own by the writer and the writer sequence. Immutable;
+ * safe for use by any thread.
  *
- * @param sequence the batch's place in the log, from 0 without gaps
+ * @param sequence the batch's position in the log, from 0 without gaps
  * @param writer the VM that wrote it
- * @param writerSequence numbers the writer's batches; grows with each new batch of the writer
- * @param entries the entries' texts, in their order
+ * @param writerSequence the number of the batch among those of the writer; increases with each new
+ *     batch
+ * @param entries the texts of the entries, in order
  */
 public record LogBatch(long sequence, VmId writer, long writerSequence, List<String> entries) {
     /** Checks the numbers and copies the list. */
@@ -27,12 +28,12 @@
         }
     }
 
-    /** Returns whether both were written by the same VM as the same batch. */
+    /** Returns whether both are the same batch of the same writer; their sequences may differ. */
     public boolean matchesWrite(LogBatch other) {
         return writerSequence == other.writerSequence && writer.equals(other.writer);
     }
 
-    /** Returns the same entries at another place in the log. */
+    /** Returns the same batch at another position in the log. */
     public LogBatch withSequence(long newSequence) {
         return new LogBatch(newSequence, writer, writerSequence, entries);
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/log/LogFloor.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/log/LogFloor.java
@@ -1,11 +1,11 @@
 package org.hornbeampass.coordination.log;
 
 /**
- * The lowest sequence of a {@link ShardLog} that still counts; all below may be deleted.
+ * Lowest sequence of a {@link ShardLog} that is valid; all batches below it may be deleted.
  *
- * <p>Invariant: on the platform it only grows, and it is written before any batch below it is
- * deleted. Immutable; safe for use by any thread.
+ * <p>Invariant: the stored floor only grows, and is raised before any batch below it is deleted.
+ * Immutable; safe for use by any thread.
  *
- * @param sequence the lowest sequence that counts
+ * @param sequence the lowest valid sequence
  */
 record LogFloor(long sequence) {}
--- a/coordination/src/main/java/org/hornbeampass/coordination/log/LogTruncation.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/log/LogTruncation.java
@@ -14,11 +14,11 @@
 import java.util.function.BiConsumer;
 
 /**
- * One run of truncating a log: raise the floor, then delete what is below it.
+ * One truncation of a log: raises the floor, then deletes the batches below it.
  *
- * <p>Invariant: no batch is deleted before a floor above it is known to be stored. Deletes that
- * fail are left for the next run. Used by one run; safe since each step follows the reply of the
- * last one.
+ * <p>Invariant: no batch is deleted before a floor above it is known to be stored. Batches whose
+ * deletion fails are left to the next truncation. Used for one truncation only; needs no lock,
+ * since each step starts after the reply of the last one.
  */
 final class LogTruncation {
     private final Platform mPlatform;
--- a/coordination/src/main/java/org/hornbeampass/coordination/log/ShardLog.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/log/ShardLog.java
@@ -19,21 +19,21 @@
 import java.util.function.BiConsumer;
 
 /**
- * An append-only log of batches on the platform, one object per batch.
+ * Append-only log of batches on the platform, with one object per batch.
  *
- * <p>Batch N is the object {@code <prefix>/<N, 12 digits>}, made by conditional create, so of any
- * number of writers that race for N exactly one wins, however old its view is, and a writer that
+ * <p>Batch N is the object {@code <prefix>/<N, 12 digits>}, written by a conditional create. Of any
+ * number of writers that append at N, exactly one wins, however outdated its view is; a writer that
  * was paused can lose but never overwrite. Batches below the floor ({@code <prefix>/~floor}) have
- * been truncated. A create below the floor could succeed again where a truncated batch stood; so an
- * append counts as won only if the floor, read after the create, is not above it. The floor is
- * raised before anything is deleted, hence that check can't miss a truncation that came before the
- * create, and a pause at any point of it is harmless.
+ * been truncated. A create below the floor could succeed again where a batch was deleted, so an
+ * append has won only if the floor, read after the create, is not above it. The floor is raised
+ * before anything is deleted, so this check detects every truncation before the create, and a pause
+ * at any point is harmless.
  *
- * <p>Rules for callers: append at N only after batch N-1 was read, won or lost; when the result is
- * a {@link Failure}, the batch may still take effect at N (also later), so try N again, with the
- * same or another batch, until N is decided. A failure of kind {@code REVISION_CONFLICT} tells that
- * the log was truncated above the sequence asked for: start from a snapshot. Never writes anything
- * without being asked. Thread-safe: holds no state.
+ * <p>Rules for callers: append at N only after batch N-1 was read, won or lost. If the result is a
+ * {@link Failure}, the batch may still be stored at N, also later; append at N again, with the same
+ * or another batch, until there is an {@link AppendResult}. A failure of kind {@code
+ * REVISION_CONFLICT} means that the log was truncated above the requested sequence: start from a
+ * snapshot. The log writes nothing by itself. Thread-safe: holds no state.
  */
 public final class ShardLog {
     private static final String FLOOR_NAME = "~floor";
@@ -44,7 +44,7 @@
     /**
      * Opens a log, which need not exist yet.
      *
-     * @param platform the platform that keeps it
+     * @param platform the platform that stores it
      * @param prefix the key prefix of its objects, without the last slash
      */
     public ShardLog(Platform platform, String prefix) {
@@ -62,12 +62,12 @@
     }
 
     /**
-     * Tries to put a batch at a sequence; one write and one read where nothing fails.
+     * Tries to store a batch at a sequence; takes one write and one read if nothing fails.
      *
-     * @param nowMs the present time in milliseconds
-     * @param sequence where to put it
+     * @param nowMs the current time in milliseconds
+     * @param sequence the position at which to store it
      * @param batch the batch; its own sequence is replaced by {@code sequence}
-     * @param done takes the time in milliseconds and the result
+     * @param done receives the time in milliseconds and the result
      */
     public void tryAppend(
             long nowMs,
@@ -83,7 +83,7 @@
                     Either.left(
                             Failure.of(
                                     ErrorKind.REQUEST_TOO_LARGE,
-                                    "log batch of " + bytes + " bytes; split it")));
+                                    "log batch of " + bytes + " bytes is too large; split it")));
             return;
         }
         mPlatform.submit(
@@ -109,7 +109,7 @@
         }
     }
 
-    /** Finds out what stands at the sequence after a create whose reply was lost. */
+    /** Reads the batch at the sequence after a create whose reply was lost. */
     private void readBack(
             long nowMs, LogBatch batch, BiConsumer<Long, Either<Failure, AppendResult>> done) {
         mPlatform.submit(
@@ -145,7 +145,7 @@
         checkFloor(nowMs, batch.sequence(), new AppendResult.Won(), done);
     }
 
-    /** Gives a result only if the log was not truncated above the sequence. */
+    /** Passes on a result if the sequence is not below the floor, and a failure otherwise. */
     private <T> void checkFloor(
             long nowMs, long sequence, T result, BiConsumer<Long, Either<Failure, T>> done) {
         mPlatform.submit(
@@ -180,13 +180,13 @@
     }
 
     /**
-     * Reads batches in their order, without gaps; empty where none stands at {@code fromSequence}
-     * yet. One read where the end of the log is reached.
+     * Reads batches in order and without gaps; the list is empty if there is none at {@code
+     * fromSequence} yet. Takes one read where the end of the log is reached.
      *
-     * @param nowMs the present time in milliseconds
+     * @param nowMs the current time in milliseconds
      * @param fromSequence the first sequence to read
      * @param limit the largest number of batches, at least 1
-     * @param done takes the time in milliseconds and the batches
+     * @param done receives the time in milliseconds and the batches
      */
     public void read(
             long nowMs,
@@ -249,13 +249,13 @@
     }
 
     /**
-     * Raises the floor, after which nothing below it counts, and then deletes up to {@code limit}
-     * batches below it; safe to repeat until nothing is left.
+     * Raises the floor, which invalidates all batches below it, and then deletes up to {@code
+     * limit} of them. May be repeated until none is left.
      *
-     * @param nowMs the present time in milliseconds
-     * @param belowSequence the new floor; ignored where the floor is higher
-     * @param limit the largest number of deletes, each one write
-     * @param done takes the time in milliseconds and the number of batches found below the floor
+     * @param nowMs the current time in milliseconds
+     * @param belowSequence the new floor; ignored if the stored floor is higher
+     * @param limit the largest number of deletions, each one write
+     * @param done receives the time in milliseconds and the number of batches found below the floor
      */
     public void truncate(
             long nowMs,
@@ -272,6 +272,6 @@
                         ? unavailable.reason()
                         : reply.getClass().getSimpleName();
         return Failure.of(
-                ErrorKind.PLATFORM_UNAVAILABLE, "the platform's reply is open: " + reason);
+                ErrorKind.PLATFORM_UNAVAILABLE, "the platform did not confirm the call: " + reason);
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/log/package-info.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/log/package-info.java
@@ -1,2 +1,2 @@
-/** An append-only log on the platform, written by conditional creates. */
+/** Append-only log on the platform, written by conditional creates. */
 package org.hornbeampass.coordination.log;
--- a/coordination/src/main/java/org/hornbeampass/coordination/membership/GoneEvidence.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/membership/GoneEvidence.java
@@ -9,12 +9,13 @@
 import java.util.TreeMap;
 
 /**
- * Decides whether an incarnation can't be running any more, which suspicion alone never proves.
+ * Decides whether an incarnation of a VM has certainly stopped, which suspicion alone never proves.
  *
- * <p>Proof is a newer incarnation of the same name, or that the platform's lists lack the name for
- * the whole of {@link MembershipSettings#silenceMs} while nothing is heard of it for as long; a VM
- * that has just started has heard nothing for no longer than it runs. Lists that are older than one
- * seen before count for nothing. Not thread-safe: guarded by the lock of {@link Membership}.
+ * <p>An incarnation is proved gone if a newer incarnation of the same name is known, or if for the
+ * whole of {@link MembershipSettings#silenceMs} the platform's lists lacked the name and no sign
+ * that the VM is live arrived. For a VM without an entry in the table the silence is counted from
+ * the first list, so that a VM that has just started proves nothing. A list with a lower version
+ * than the last one is ignored. Not thread-safe: guarded by the lock of {@link Membership}.
  */
 final class GoneEvidence {
     private final MemberTable mTable;
@@ -30,7 +31,7 @@
         mSilenceMs = silenceMs;
     }
 
-    /** Takes a list; returns whether it is newer than those seen before. */
+    /** Stores the platform's list; returns false where it is older than the last one. */
     boolean updateList(long nowMs, long version, List<ListedVm> list) {
         if (version < mVersion) {
             return false;
--- a/coordination/src/main/java/org/hornbeampass/coordination/membership/Health.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/membership/Health.java
@@ -1,9 +1,9 @@
 package org.hornbeampass.coordination.membership;
 
 /**
- * What is rumoured of an incarnation at one value of its counter, from weakest to strongest.
+ * Health that is reported of an incarnation at one value of its counter, from weakest to strongest.
  *
- * <p>Of two rumours with the same counter the stronger one wins. Immutable; thread-safe.
+ * <p>Of two reports with the same counter the stronger one applies. Immutable; thread-safe.
  */
 enum Health {
     LIVE(0),
@@ -16,12 +16,12 @@
         mCode = code;
     }
 
-    /** Returns the stable number that stands for this value in messages. */
+    /** Returns the stable number that encodes this value in messages. */
     int code() {
         return mCode;
     }
 
-    /** Returns the value that a number stands for; {@link #GONE} for all greater numbers. */
+    /** Returns the value with a code; {@link #GONE} for an unknown code. */
     static Health fromCode(int code) {
         return switch (code) {
             case 0 -> LIVE;
--- a/coordination/src/main/java/org/hornbeampass/coordination/membership/MemberDetails.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/membership/MemberDetails.java
@@ -6,7 +6,7 @@
 import org.hornbeampass.state.Region;
 
 /**
- * What never changes during one life of a VM.
+ * Addresses and location of a VM, which never change within an incarnation.
  *
  * <p>Immutable; safe for use by any thread.
  *
--- a/coordination/src/main/java/org/hornbeampass/coordination/membership/MemberEntry.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/membership/MemberEntry.java
@@ -9,9 +9,9 @@
 import java.util.Optional;
 
 /**
- * The newest incarnation known of one VM name, with what is rumoured of it.
+ * Newest known incarnation of one VM name, with its reported health.
  *
- * <p>Invariant: {@code leaving} is never taken back. Not thread-safe: guarded by the lock of {@link
+ * <p>Invariant: {@code leaving} is never reset. Not thread-safe: guarded by the lock of {@link
  * Membership}.
  */
 final class MemberEntry {
@@ -63,12 +63,18 @@
         return mLeaving;
     }
 
-    /** Returns the time of the last change of health or counter, in milliseconds. */
+    /**
+     * Returns when the health or the counter last changed, in milliseconds; later by the pauses
+     * that {@link #extendSuspicion} added.
+     */
     long changedMs() {
         return mChangedMs;
     }
 
-    /** Returns when a message from the VM itself, or a rumour that it is live, last came. */
+    /**
+     * Returns when the last message from the VM, or report that it is live, arrived, in
+     * milliseconds.
+     */
     long lastContactMs() {
         return mLastContactMs;
     }
@@ -96,7 +102,7 @@
         return MemberUpdate.of(mVm, mCounter, mHealth, mLeaving, details);
     }
 
-    /** Returns a hash of what two tables have to agree on; 0 for a VM that is gone. */
+    /** Returns a hash of the state on which two tables have to agree; 0 for a VM that is gone. */
     long digest() {
         if (mHealth == Health.GONE) {
             return 0;
--- a/coordination/src/main/java/org/hornbeampass/coordination/membership/MemberTable.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/membership/MemberTable.java
@@ -10,15 +10,15 @@
 import java.util.TreeMap;
 
 /**
- * Merges updates into one entry per VM name.
+ * Table of members with one entry per VM name, into which updates are merged.
  *
- * <p>Invariants: an entry's incarnation never falls, its counter never falls within an incarnation,
- * and {@code leaving} is never taken back; so the order in which updates come does not matter. A
- * rumour that a live VM is gone makes it a suspect first, so that it has time to refute. Not
- * thread-safe: guarded by the lock of {@link Membership}.
+ * <p>Invariants: an entry's incarnation never decreases, its counter never decreases within an
+ * incarnation, and {@code leaving} is never reset; the order in which updates arrive therefore does
+ * not matter. An update that a live VM is gone first makes it a suspect, so that it has time to
+ * refute. Not thread-safe: guarded by the lock of {@link Membership}.
  */
 final class MemberTable {
-    /** The number of buckets in which tables are compared; one bit each in an int. */
+    /** The number of buckets whose digests are compared; one bit each in an int. */
     static final int BUCKET_COUNT = 32;
 
     private final VmId mSelf;
@@ -48,12 +48,12 @@
         return mEntries.values();
     }
 
-    /** Returns the region of a VM by name, where it is known. */
+    /** Returns the region of a VM by name, if it is known. */
     Optional<Region> regionOf(String name) {
         return entry(name).map(MemberEntry::region);
     }
 
-    /** Returns whether a newer incarnation of the name is or was known. */
+    /** Returns whether a newer incarnation of the same name is or was in the table. */
     boolean hasNewerIncarnation(VmId vm) {
         long newest = entry(vm.name()).map(e -> e.vm().incarnation()).orElse(Long.MIN_VALUE);
         long forgotten = mForgottenIncarnations.getOrDefault(vm.name(), Long.MIN_VALUE);
@@ -63,9 +63,9 @@
     /**
      * Merges one update.
      *
-     * @param nowMs the present time in milliseconds
+     * @param nowMs the current time in milliseconds
      * @param update the update
-     * @param senderRegion the region of the VM that sent it, where that is known
+     * @param senderRegion the region of the VM that sent it, if known
      */
     MergeResult merge(long nowMs, MemberUpdate update, Optional<Region> senderRegion) {
         if (update.name().equals(mSelf.name())) {
@@ -94,9 +94,9 @@
         if (update.incarnation() < mSelf.incarnation() || update.counter() < self.counter()) {
             return MergeResult.UNCHANGED;
         }
-        boolean news = update.health() != Health.LIVE || update.counter() > self.counter();
+        boolean contradicts = update.health() != Health.LIVE || update.counter() > self.counter();
         boolean leaves = update.leaving() && !self.leaving();
-        return news || leaves ? MergeResult.NEEDS_REFUTATION : MergeResult.UNCHANGED;
+        return contradicts || leaves ? MergeResult.NEEDS_REFUTATION : MergeResult.UNCHANGED;
     }
 
     private MergeResult mergeNewIncarnation(long nowMs, MemberUpdate update) {
@@ -135,8 +135,9 @@
     }
 
     /**
-     * Returns whether a sender's accusation counts: only that of a VM in the accused VM's region or
-     * in our own, so that two regions that lost each other don't accuse each other to a third.
+     * Returns whether a report that a VM is suspect or gone is accepted: only from a sender in the
+     * region of the accused VM or of this VM. Otherwise two regions that are disconnected from each
+     * other would accuse each other at a third region.
      */
     private boolean isAccusationAccepted(MemberEntry accused, Optional<Region> senderRegion) {
         return senderRegion
@@ -144,13 +145,13 @@
                 .isPresent();
     }
 
-    /** Drops an entry for good; older or equal incarnations of the name are never taken again. */
+    /** Removes an entry; later updates on this or an older incarnation of the name are ignored. */
     void forget(MemberEntry entry) {
         mEntries.remove(entry.name());
         mForgottenIncarnations.merge(entry.name(), entry.vm().incarnation(), Math::max);
     }
 
-    /** Returns a hash that two tables share where they hold the same entries that are not gone. */
+    /** Returns a hash that is equal for tables with the same entries, those that are gone aside. */
     long digest() {
         long sum = 0;
         for (MemberEntry entry : mEntries.values()) {
--- a/coordination/src/main/java/org/hornbeampass/coordination/membership/MemberUpdate.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/membership/MemberUpdate.java
@@ -7,15 +7,15 @@
 import java.util.Optional;
 
 /**
- * What one VM says of another, as it is carried between routers.
+ * Report on one VM, as it is sent between routers.
  *
  * <p>Immutable; safe for use by any thread.
  *
  * @param name the VM's name
  * @param incarnation its incarnation
- * @param counter grows when the incarnation refutes a rumour about itself
- * @param state twice the code of its {@code Health}, plus one where it is leaving
- * @param details its addresses and place, where the receiver may not know the incarnation yet
+ * @param counter increases when the incarnation refutes a report about itself
+ * @param state twice the code of its {@code Health}, plus one if it is leaving
+ * @param details its addresses and location, if the receiver may not know the incarnation yet
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record MemberUpdate(
--- a/coordination/src/main/java/org/hornbeampass/coordination/membership/Membership.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/membership/Membership.java
@@ -19,13 +19,13 @@
 import java.util.function.Consumer;
 
 /**
- * Which routers are up, as one VM knows it: probes, gossip, and the platform's list as slow truth.
+ * Tracks which routers are up, by probes, gossip and the platform's list of VMs, which lags behind.
  *
- * <p>Invariants: {@link #view()} always holds this VM itself; no older incarnation replaces a newer
- * one; a VM that left does not come back with the same incarnation, whatever a peer or the list
- * says; {@link MembershipListener#onProvedGone} never rests on silence alone. Thread-safe: one lock
- * guards all state, and it is released before anything is sent or any listener is called, so no
- * other lock is ever taken while it is held.
+ * <p>Invariants: {@link #view()} always contains this VM itself; an older incarnation never
+ * replaces a newer one; a VM that left does not return with the same incarnation, whatever a peer
+ * or the list reports; {@link MembershipListener#onProvedGone} is never called because of silence
+ * alone. Thread-safe: one lock guards all state, and it is released before any message is sent or
+ * any listener is called, so no other lock is ever taken while it is held.
  */
 public final class Membership {
     private static final long HOUSEKEEPING_MS = 5_000;
@@ -46,13 +46,13 @@
     private double mGossipTokens = GOSSIP_BURST;
 
     /**
-     * Makes the membership of one VM; call {@link #tick} every 100 to 200 ms from then on.
+     * Creates the membership of one VM; {@link #tick} must then be called every 100 to 200 ms.
      *
      * @param self this VM
      * @param network sends messages to other VMs
-     * @param seeds VMs to ask first
-     * @param settings intervals and bounds
-     * @param random chooses relays and spreads the VMs' timers
+     * @param seeds VMs to contact first
+     * @param settings intervals and limits
+     * @param random chooses relays and spreads the timers of the VMs
      */
     public Membership(
             Member self,
@@ -76,24 +76,26 @@
         mView = new MembershipView(self.vm(), List.of(table.self().toMember()));
     }
 
-    /** Returns what this VM knows now; never waits. */
+    /** Returns the current view; never blocks. */
     public MembershipView view() {
         return mView;
     }
 
-    /** Adds VMs to ask for others; this VM itself is left out. */
+    /** Adds VMs from which to get the member table; this VM itself is ignored. */
     public void addSeeds(List<Seed> seeds) {
         synchronized (mLock) {
             seeds.forEach(s -> addContact(s.name(), s.peerAddress()));
         }
     }
 
-    /** Adds a listener, which hears of what changes from now on. */
+    /** Adds a listener, which is called for changes from now on. */
     public void addListener(MembershipListener listener) {
         mListeners.add(listener);
     }
 
-    /** Returns where a VM listens for other routers, from members, seeds and the list. */
+    /**
+     * Returns a VM's address for other routers, from the members, the seeds or the platform's list.
+     */
     public Optional<String> peerAddress(String vmName) {
         Optional<String> known = mView.member(vmName).map(Member::peerAddress);
         if (known.isPresent()) {
@@ -104,14 +106,18 @@
         }
     }
 
-    /** Returns whether a newer incarnation of this VM's name runs, so that this one must stop. */
+    /**
+     * Returns whether a newer incarnation of this VM's name is running, so that this one must stop.
+     */
     public boolean superseded() {
         synchronized (mLock) {
             return mCore.superseded();
         }
     }
 
-    /** Returns whether an incarnation is proved not to run any more, also one never heard of. */
+    /**
+     * Returns whether an incarnation is proved to have stopped, also one that was never a member.
+     */
     public boolean isProvedGone(VmId vm) {
         synchronized (mLock) {
             return mEvidence.isProvedGone(vm);
@@ -119,9 +125,9 @@
     }
 
     /**
-     * Announces to all others that this VM shuts down; can't be taken back.
+     * Announces to all other VMs that this VM is shutting down; can't be revoked.
      *
-     * @param nowMs the present time in milliseconds
+     * @param nowMs the current time in milliseconds
      */
     public void leave(long nowMs) {
         runLocked(
@@ -133,9 +139,9 @@
     }
 
     /**
-     * Announces the configuration's revision that this VM runs.
+     * Announces the revision of the configuration that this VM uses.
      *
-     * @param nowMs the present time in milliseconds
+     * @param nowMs the current time in milliseconds
      * @param revision the revision; ignored unless it is higher than the last one
      */
     public void announceRevision(long nowMs, long revision) {
@@ -145,19 +151,20 @@
     /**
      * Announces the newest change of an upstream that this VM knows.
      *
-     * @param nowMs the present time in milliseconds
-     * @param revision its revision; ignored unless it is higher than the last one
+     * @param nowMs the current time in milliseconds
+     * @param revision the revision of the change; ignored unless it is higher than the last one
      */
     public void announceUpstreamsRevision(long nowMs, long revision) {
         runLocked(nowMs, out -> mCore.advanceOwnRevision(mCore.mUpstreamsRevisions, revision));
     }
 
     /**
-     * Takes the platform's list of VMs, which may lag: it adds VMs to ask, shows which ones leave,
-     * and helps to prove incarnations gone; it never brings one back.
+     * Applies the platform's list of VMs, which may lag behind. The list adds VMs to contact, shows
+     * which ones are leaving, and helps to prove incarnations gone; it never restores one.
      *
-     * @param nowMs the present time in milliseconds
-     * @param version grows with each change of the list; a lower one than before is ignored
+     * @param nowMs the current time in milliseconds
+     * @param version increases with each change of the list; a list with a lower one than before is
+     *     ignored
      * @param list the whole list
      */
     public void onPlatformList(long nowMs, long version, List<ListedVm> list) {
@@ -192,9 +199,9 @@
     }
 
     /**
-     * Does what is due: probes, suspicions, news, comparisons.
+     * Runs the tasks that are due: probes, suspicion timeouts, gossip and table synchronisation.
      *
-     * @param nowMs the present time in milliseconds
+     * @param nowMs the current time in milliseconds
      */
     public void tick(long nowMs) {
         runLocked(nowMs, out -> tick(nowMs, out));
@@ -218,7 +225,10 @@
         }
     }
 
-    /** Gives suspects the time that this VM slept, and voids probes whose replies it missed. */
+    /**
+     * Extends suspicions by the time that this VM was paused, and discards probes whose replies it
+     * missed.
+     */
     private void onPauseEnded(long gapMs) {
         mProber.discardPending();
         for (MemberEntry entry : mCore.mTable.entries()) {
@@ -249,17 +259,20 @@
         }
     }
 
-    /** Asks a seed or listed VM that is not a live member, quickly while there is no other. */
+    /**
+     * Synchronises with a seed or listed VM that is not a member, more often while no VM can be
+     * probed.
+     */
     private void syncWithContact(long nowMs) {
         if (nowMs < mNextContactMs || !mSync.isIdle()) {
             return;
         }
-        List<String> strangers =
+        List<String> contacts =
                 mContactAddresses.keySet().stream().filter(this::isUnknownOrGone).toList();
         boolean alone = mProber.targets().isEmpty();
         mNextContactMs = nowMs + (alone ? mSettings.syncIntervalMs() : mSettings.retrySeedMs());
-        if (!strangers.isEmpty()) {
-            mSync.requestSync(strangers.get(mCore.mRandom.nextInt(strangers.size())));
+        if (!contacts.isEmpty()) {
+            mSync.requestSync(contacts.get(mCore.mRandom.nextInt(contacts.size())));
         }
     }
 
@@ -304,7 +317,7 @@
         runLocked(nowMs, o -> applyRumours(nowMs, from, gossip.rumours()));
     }
 
-    /** Handles {@link IndirectPing}: probes the third VM and tells what came of it. */
+    /** Handles {@link IndirectPing}: probes the third VM and replies with the result. */
     public void onIndirectPing(
             long nowMs, VmId from, IndirectPing ping, Consumer<PeerMessage> reply) {
         runLocked(
@@ -366,7 +379,7 @@
         mSync.compareDigest(nowMs, from.name(), rumours.digest());
     }
 
-    /** Runs one step under the lock, and what it leads to after the lock is released. */
+    /** Runs one step under the lock, and the actions that it added after the lock is released. */
     private void runLocked(long nowMs, Consumer<Outbox> step) {
         Outbox out = new Outbox();
         synchronized (mLock) {
@@ -390,16 +403,21 @@
         for (VmId vm : mCore.takeProvedGone()) {
             out.add(() -> mListeners.forEach(l -> l.onProvedGone(nowMs, vm)));
         }
-        for (PeerRevisions.Announcement heard : mCore.mConfigRevisions.drainNewer()) {
-            notifyListeners(out, l -> l.onPeerRevision(nowMs, heard.from(), heard.revision()));
+        for (PeerRevisions.Announcement announcement : mCore.mConfigRevisions.drainNewer()) {
+            notifyListeners(
+                    out,
+                    l -> l.onPeerRevision(nowMs, announcement.from(), announcement.revision()));
         }
-        for (PeerRevisions.Announcement heard : mCore.mUpstreamsRevisions.drainNewer()) {
+        for (PeerRevisions.Announcement announcement : mCore.mUpstreamsRevisions.drainNewer()) {
             notifyListeners(
-                    out, l -> l.onPeerUpstreamsRevision(nowMs, heard.from(), heard.revision()));
+                    out,
+                    l ->
+                            l.onPeerUpstreamsRevision(
+                                    nowMs, announcement.from(), announcement.revision()));
         }
     }
 
-    private void notifyListeners(Outbox out, Consumer<MembershipListener> what) {
-        out.add(() -> mListeners.forEach(what));
+    private void notifyListeners(Outbox out, Consumer<MembershipListener> notification) {
+        out.add(() -> mListeners.forEach(notification));
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/membership/MembershipCore.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/membership/MembershipCore.java
@@ -10,10 +10,11 @@
 import java.util.Random;
 
 /**
- * What the parts of membership share: the table, the news to spread, and what came of merging.
+ * State that the parts of {@link Membership} share: the member table, the updates to send and the
+ * changes to publish.
  *
- * <p>Invariant: a rumour against this incarnation is answered by a higher counter, never believed.
- * Not thread-safe: guarded by the lock of {@link Membership}.
+ * <p>Invariant: a report that this incarnation is suspect or gone is refuted with a higher counter,
+ * never accepted. Not thread-safe: guarded by the lock of {@link Membership}.
  */
 final class MembershipCore {
     final MembershipSettings mSettings;
@@ -23,10 +24,10 @@
     final MemberTable mTable;
     private final UpdateQueue mQueue;
 
-    /** How new the configurations are that VMs run. */
+    /** Revisions of the configurations that VMs use. */
     final PeerRevisions mConfigRevisions = new PeerRevisions();
 
-    /** How new the changes of upstreams are that VMs know. */
+    /** Revisions of the newest changes of upstreams that VMs know. */
     final PeerRevisions mUpstreamsRevisions = new PeerRevisions();
 
     final RejectedAccusations mRejected = new RejectedAccusations();
@@ -50,12 +51,12 @@
         mQueue = new UpdateQueue(settings.maxUpdateBytes());
     }
 
-    /** Takes this VM's own revision of a thing; a newer one is news. */
+    /** Sets one of this VM's own revisions, and requests gossip if it is newer. */
     void advanceOwnRevision(PeerRevisions revisions, long revision) {
         mGossipDue |= revisions.advanceOwn(revision);
     }
 
-    /** Returns the rumours for a message to a peer; those about the peer itself go first. */
+    /** Returns the gossip data for a message to a peer; updates on the peer itself come first. */
     Rumours rumoursFor(VmId peer) {
         List<MemberUpdate> first = new ArrayList<>();
         Optional<MemberEntry> entry = mTable.entry(peer.name());
@@ -77,17 +78,20 @@
         return new Rumours(digest, mConfigRevisions.own(), mUpstreamsRevisions.own(), updates);
     }
 
-    /** Passes the refused accusation that waits longest to the VM accused, without other news. */
+    /**
+     * Sends the rejected accusation that has waited longest to the accused VM, which can then
+     * refute it. No other updates are sent with it.
+     */
     void forwardRejected(long nowMs, Outbox out) {
-        Optional<MemberUpdate> refused = mRejected.next(nowMs, mTable);
-        if (refused.isEmpty()) {
+        Optional<MemberUpdate> rejected = mRejected.next(nowMs, mTable);
+        if (rejected.isEmpty()) {
             return;
         }
-        Rumours told = rumours(List.of(refused.get()), mTable.digest());
-        out.add(() -> mNetwork.send(refused.get().name(), new Gossip(told)));
+        Rumours rumours = rumours(List.of(rejected.get()), mTable.digest());
+        out.add(() -> mNetwork.send(rejected.get().name(), new Gossip(rumours)));
     }
 
-    /** Takes in what a peer sent; returns whether the two tables should be compared. */
+    /** Applies gossip data from a peer; returns whether the two tables should be synchronised. */
     boolean applyRumours(long nowMs, VmId from, Rumours rumours) {
         boolean unknown = !recordContact(nowMs, from);
         Optional<Region> region = mTable.regionOf(from.name());
@@ -100,7 +104,10 @@
         return unknown || lacks;
     }
 
-    /** Notes a sign of life; returns whether the sender's incarnation is in the table. */
+    /**
+     * Records a message from a VM; returns whether its incarnation, or a newer one, is in the
+     * table.
+     */
     boolean recordContact(long nowMs, VmId from) {
         Optional<MemberEntry> entry = mTable.entry(from.name());
         if (entry.isEmpty() || entry.get().vm().incarnation() < from.incarnation()) {
@@ -163,7 +170,7 @@
         queueUpdate(self, false);
     }
 
-    /** Queues news of an entry that changed. */
+    /** Queues an update on an entry that changed, and requests gossip. */
     void queueUpdate(MemberEntry entry, boolean withDetails) {
         mQueue.add(entry.name(), withDetails);
         mViewChanged = true;
@@ -193,9 +200,9 @@
     }
 
     boolean takeGossipDue() {
-        boolean news = mGossipDue;
+        boolean due = mGossipDue;
         mGossipDue = false;
-        return news;
+        return due;
     }
 
     boolean takeViewChanged() {
--- a/coordination/src/main/java/org/hornbeampass/coordination/membership/MembershipSettings.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/membership/MembershipSettings.java
@@ -1,26 +1,26 @@
 package org.hornbeampass.coordination.membership;
 
 /**
- * The intervals and bounds of membership.
+ * Intervals and limits of {@link Membership}.
  *
  * <p>Times are in milliseconds, sizes in bytes. Immutable; safe for use by any thread.
  *
- * @param probeIntervalMs how often one other VM is probed
- * @param probeTimeoutMs how long a probe's reply may take
- * @param relays how many other VMs are asked to probe a VM that did not answer
- * @param suspicionMs how long a suspected VM has to refute before it is taken to be gone
- * @param rings on how many rings of its own region a VM probes its successor
- * @param maxUpdateBytes the largest size of the updates on one message
+ * @param probeIntervalMs the interval between probes, each of one other VM
+ * @param probeTimeoutMs the timeout of a probe
+ * @param relays how many other VMs are asked to probe a VM that did not reply
+ * @param suspicionMs how long a suspected VM has to refute before it is considered gone
+ * @param rings on how many hash rings of its own region a VM probes its successor
+ * @param maxUpdateBytes the largest size of the updates in one message
  * @param maxSyncBytes the largest size of the entries in one reply to a synchronisation
  * @param syncIntervalMs the shortest time between two synchronisations
- * @param settleMs how long another VM's table may differ before it is synchronised
- * @param retryGoneMs how often a VM that is taken to be gone is probed again
- * @param retrySeedMs how often a seed that is not a member is asked again
- * @param gossipPerSecond how many messages a second may be sent to spread news at once
- * @param pauseMs a gap between two ticks that counts as a pause of this VM
- * @param silenceMs how long a VM that the platform does not list is silent before that proves it
+ * @param settleMs how long another VM's table may differ before the two are synchronised
+ * @param retryGoneMs the interval between probes of VMs that are considered gone
+ * @param retrySeedMs the interval between synchronisations with seeds that are not members
+ * @param gossipPerSecond the largest rate of gossip messages, in addition to probes
+ * @param pauseMs the gap between two ticks from which on this VM counts as paused
+ * @param silenceMs how long a VM that the platform does not list must be silent before it is proved
  *     gone
- * @param forgetMs how long a VM that is gone is remembered
+ * @param forgetMs how long a VM that is gone stays in the table
  */
 public record MembershipSettings(
         long probeIntervalMs,
--- a/coordination/src/main/java/org/hornbeampass/coordination/membership/MergeResult.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/membership/MergeResult.java
@@ -1,21 +1,24 @@
 package org.hornbeampass.coordination.membership;
 
 /**
- * What came of merging one update into the table.
+ * Result of merging one update into the table.
  *
  * <p>Immutable; safe for use by any thread.
  */
 enum MergeResult {
-    /** It told nothing new. */
+    /** The table already has this update or a newer one. */
     UNCHANGED,
-    /** The table changed, and others should hear of it. */
+    /** The table changed, and the change has to be sent to other VMs. */
     CHANGED,
-    /** It accuses this very incarnation of this VM, which has to refute. */
+    /** The update contradicts the state of this incarnation, which has to refute it. */
     NEEDS_REFUTATION,
-    /** A newer incarnation of this VM's own name runs, so this process must stop. */
+    /** A newer incarnation of this VM's own name is running, so this process must stop. */
     SUPERSEDES_SELF,
-    /** It accuses a VM on which the sender's word does not count; the VM should hear of it. */
+    /**
+     * The update accuses a VM, but the sender's accusation is not accepted; it is forwarded to the
+     * accused VM instead.
+     */
     REJECTED,
-    /** It names an incarnation whose details are not known here. */
+    /** The update is on an incarnation whose details are not known here. */
     LACKS_DETAILS
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/membership/Outbox.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/membership/Outbox.java
@@ -5,18 +5,18 @@
 import java.util.function.Consumer;
 
 /**
- * What is to be sent or told once the lock is released.
+ * Actions to run after a lock is released, such as sending messages and calling listeners.
  *
- * <p>Used by one thread, for one entry into the lock.
+ * <p>Used by one thread, for one acquisition of the lock.
  */
 public final class Outbox {
-    /** Runs a step with a lock held, and what the step puts in the outbox after its release. */
+    /** Runs a step with a lock held, and the actions that the step added after its release. */
     @FunctionalInterface
     public interface LockedRunner {
         /**
          * Runs a step.
          *
-         * @param nowMs the present time in milliseconds
+         * @param nowMs the current time in milliseconds
          * @param step what to do with the lock held
          */
         void run(long nowMs, Consumer<Outbox> step);
@@ -29,7 +29,7 @@
         mActions.add(action);
     }
 
-    /** Runs the actions in their order; call it with no lock held. */
+    /** Runs the actions in the order in which they were added; must be called with no lock held. */
     public void run() {
         mActions.forEach(Runnable::run);
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/membership/PeerRevisions.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/membership/PeerRevisions.java
@@ -8,20 +8,20 @@
 import java.util.TreeMap;
 
 /**
- * How new one thing that all VMs follow is here, and at others, as they told.
+ * Revisions of one kind of shared data, at this VM and as announced by its peers.
  *
- * <p>Invariants: the own revision only grows; a revision is new once for each VM that tells it. Not
+ * <p>Invariants: this VM's own revision only grows; each revision of a peer is reported once. Not
  * thread-safe: guarded by the lock of {@link Membership}.
  */
 final class PeerRevisions {
-    /** A revision heard of for the first time from a VM. */
+    /** A revision that a VM announced for the first time. */
     record Announcement(VmId from, long revision) {}
 
     private final Map<String, Long> mByVm = new TreeMap<>();
     private final List<Announcement> mNewer = new ArrayList<>();
     private long mOwn;
 
-    /** Takes this VM's own revision; returns whether it is newer than before. */
+    /** Sets this VM's own revision; returns whether it is newer than before. */
     boolean advanceOwn(long revision) {
         if (revision <= mOwn) {
             return false;
@@ -45,12 +45,12 @@
         }
     }
 
-    /** Forgets what a VM told, since it is gone or was started anew. */
+    /** Removes the revision that a VM announced, since the VM is gone or has restarted. */
     void forget(String vmName) {
         mByVm.remove(vmName);
     }
 
-    /** Returns what is newer than this VM's own, once. */
+    /** Returns and clears the announcements that were newer than this VM's own revision. */
     List<Announcement> drainNewer() {
         List<Announcement> taken = List.copyOf(mNewer);
         mNewer.clear();
--- a/coordination/src/main/java/org/hornbeampass/coordination/membership/ProbeRings.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/membership/ProbeRings.java
@@ -11,13 +11,13 @@
 import java.util.Set;
 
 /**
- * Decides which VMs a VM probes: its successor on each of several rings of its own region, ordered
- * by hash, and its successor among the VMs of each other region.
+ * Chooses the VMs that a VM probes: its successor on each of several hash rings of its own region,
+ * and its successor among the VMs of each other region.
  *
- * <p>Invariant: where views agree, each VM has one prober per ring of its region, so that the
- * connections and the time until a dead VM is probed are bounded. Of the VMs of another region that
- * are not gone, some are always probed from here, so that each region finds out for itself whom it
- * can't reach. Immutable; safe for use by any thread.
+ * <p>Invariant: where views agree, each VM is probed by one VM per ring of its region, which bounds
+ * the number of connections and the time until a stopped VM is probed. Some VMs of each other
+ * region are always probed from this region, unless all are gone, so that each region detects by
+ * itself which VMs it can't reach. Immutable; safe for use by any thread.
  */
 final class ProbeRings {
     private static final int CROSS_REGION_RING = 100;
@@ -28,7 +28,7 @@
         mRings = rings;
     }
 
-    /** Returns the VMs to probe in turn, each once; empty where nobody else is left. */
+    /** Returns the VMs to probe in turn, without duplicates; empty if there is no other VM. */
     List<VmId> targets(MemberEntry self, Collection<MemberEntry> entries) {
         Set<VmId> targets = new LinkedHashSet<>();
         for (int ring = 0; ring < mRings; ring++) {
--- a/coordination/src/main/java/org/hornbeampass/coordination/membership/Prober.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/membership/Prober.java
@@ -16,12 +16,12 @@
 import java.util.Set;
 
 /**
- * Probes one other VM per interval, asks others to probe one that did not answer, and suspects it
- * when none of them reaches it either.
+ * Probes one other VM per interval, asks relays to probe a VM that did not reply, and marks it as
+ * suspect if no relay reaches it either.
  *
- * <p>Invariant: probes that were under way when this VM paused accuse nobody. While this VM's own
- * probes and relays all fail, it gives others more time, since the fault is likely its own. Not
- * thread-safe: guarded by the lock of {@link Membership}.
+ * <p>Invariant: a probe that was in flight when this VM paused causes no suspicion. While this VM's
+ * own probes and all of its relays fail, suspicions last longer, since the fault is probably local.
+ * Not thread-safe: guarded by the lock of {@link Membership}.
  */
 final class Prober {
     private static final int MAX_LOCAL_FAULTS = 3;
@@ -39,7 +39,7 @@
     private int mPauseEpoch;
     private int mLocalFaults;
 
-    /** The replies of the relays that probe one VM. */
+    /** Replies of the relays that probe one VM. */
     private static final class IndirectProbe {
         private final VmId mTarget;
         private final int mEpoch;
@@ -47,10 +47,10 @@
         private int mReplies;
         private boolean mReached;
 
-        IndirectProbe(VmId target, int epoch, int open) {
+        IndirectProbe(VmId target, int epoch, int relayCount) {
             mTarget = target;
             mEpoch = epoch;
-            mPendingReplies = open;
+            mPendingReplies = relayCount;
         }
     }
 
@@ -60,7 +60,7 @@
         mRings = new ProbeRings(core.mSettings.rings());
     }
 
-    /** Recomputes whom to probe, after the table changed. */
+    /** Recomputes the VMs to probe, after the table changed. */
     void refreshTargets() {
         mTargets = mRings.targets(mCore.mTable.self(), mCore.mTable.entries());
     }
@@ -69,12 +69,12 @@
         return mTargets;
     }
 
-    /** Voids what is under way, after this VM paused. */
+    /** Invalidates probes in flight, after this VM paused. */
     void discardPending() {
         mPauseEpoch++;
     }
 
-    /** Probes a new suspect out of turn where it is one of our targets. */
+    /** Queues a probe of a new suspect at the next tick, if this VM probes it. */
     void probeSoon(VmId suspect) {
         if (mTargets.contains(suspect) && mSuspectsToProbe.size() < MAX_QUEUED_SUSPECTS) {
             mSuspectsToProbe.add(suspect);
@@ -99,7 +99,10 @@
         expireSuspects(nowMs);
     }
 
-    /** Returns the next time on a grid, with a random start so that VMs don't act in step. */
+    /**
+     * Returns the next time of a periodic task; random for a new or delayed task, so that VMs don't
+     * act at the same moment.
+     */
     private long nextDueMs(long nowMs, long lastMs, long intervalMs) {
         if (lastMs == 0 || nowMs - lastMs > intervalMs) {
             return nowMs + 1 + mCore.mRandom.nextInt((int) intervalMs);
@@ -151,7 +154,7 @@
             markSuspect(nowMs, target.vm());
             return;
         }
-        IndirectProbe round = new IndirectProbe(target.vm(), mPauseEpoch, relays.size());
+        IndirectProbe indirectProbe = new IndirectProbe(target.vm(), mPauseEpoch, relays.size());
         long timeoutMs = RELAY_TIMEOUT_FACTOR * mCore.mSettings.probeTimeoutMs();
         for (VmId relay : relays) {
             IndirectPing ping = new IndirectPing(target.name(), mCore.rumoursFor(relay));
@@ -165,11 +168,18 @@
                                     (atMs, reply) ->
                                             mCore.mLockedRunner.run(
                                                     atMs,
-                                                    o -> onRelayReply(atMs, relay, round, reply))));
+                                                    o ->
+                                                            onRelayReply(
+                                                                    atMs,
+                                                                    relay,
+                                                                    indirectProbe,
+                                                                    reply))));
         }
     }
 
-    /** Chooses relays: one near the target, one near us, the others anywhere. */
+    /**
+     * Chooses relays: one in the target's region, one in this VM's region, the others at random.
+     */
     private List<VmId> chooseRelays(MemberEntry target) {
         List<MemberEntry> live =
                 new ArrayList<>(
@@ -193,33 +203,36 @@
     }
 
     private void onRelayReply(
-            long nowMs, VmId relay, IndirectProbe round, Either<Failure, PeerMessage> reply) {
-        round.mPendingReplies--;
+            long nowMs,
+            VmId relay,
+            IndirectProbe indirectProbe,
+            Either<Failure, PeerMessage> reply) {
+        indirectProbe.mPendingReplies--;
         if (reply.isRight() && reply.get() instanceof IndirectAck ack) {
-            round.mReplies++;
-            round.mReached |= ack.reached();
+            indirectProbe.mReplies++;
+            indirectProbe.mReached |= ack.reached();
             onAck(nowMs, relay, ack.rumours());
         }
-        if (round.mPendingReplies > 0 || round.mEpoch != mPauseEpoch) {
+        if (indirectProbe.mPendingReplies > 0 || indirectProbe.mEpoch != mPauseEpoch) {
             return;
         }
-        if (round.mReached) {
-            mCore.recordContact(nowMs, round.mTarget);
+        if (indirectProbe.mReached) {
+            mCore.recordContact(nowMs, indirectProbe.mTarget);
             return;
         }
-        if (round.mReplies == 0) {
+        if (indirectProbe.mReplies == 0) {
             mLocalFaults = Math.min(mLocalFaults + 1, MAX_LOCAL_FAULTS);
         }
-        markSuspect(nowMs, round.mTarget);
+        markSuspect(nowMs, indirectProbe.mTarget);
     }
 
     private void markSuspect(long nowMs, VmId target) {
         Optional<MemberEntry> entry = mCore.mTable.entry(target.name());
-        boolean accused =
+        boolean live =
                 entry.isPresent()
                         && entry.get().vm().equals(target)
                         && entry.get().health() == Health.LIVE;
-        if (accused) {
+        if (live) {
             mCore.setHealth(nowMs, entry.get(), Health.SUSPECT);
         }
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/membership/RejectedAccusations.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/membership/RejectedAccusations.java
@@ -5,11 +5,12 @@
 import java.util.Optional;
 
 /**
- * Decides which accusation that did not count is passed to the accused VM next.
+ * Queue of rejected accusations, which are forwarded to the accused VMs so that they can refute
+ * them.
  *
- * <p>Invariants: at most one per interval, in the order in which the VMs were first accused; one
- * per VM waits; an accusation that the table has overtaken is dropped. Not thread-safe: guarded by
- * the lock of {@link Membership}.
+ * <p>Invariants: at most one accusation per interval is forwarded, in the order in which the VMs
+ * were first accused; at most one per VM is queued; an accusation that the table has superseded is
+ * dropped. Not thread-safe: guarded by the lock of {@link Membership}.
  */
 final class RejectedAccusations {
     static final long INTERVAL_MS = 500;
@@ -17,16 +18,16 @@
     private final Map<String, MemberUpdate> mWaiting = new LinkedHashMap<>();
     private long mNextMs;
 
-    /** Adds an accusation, in place of an older one of the same VM. */
+    /** Adds an accusation, replacing an older one against the same VM. */
     void add(MemberUpdate accusation) {
         mWaiting.put(accusation.name(), accusation);
     }
 
     /**
-     * Takes the next accusation to pass on; empty where none is due.
+     * Removes and returns the next accusation to forward; empty if none is due.
      *
-     * @param nowMs the present time in milliseconds
-     * @param table what this VM believes by now
+     * @param nowMs the current time in milliseconds
+     * @param table the current member table
      */
     Optional<MemberUpdate> next(long nowMs, MemberTable table) {
         if (nowMs < mNextMs) {
@@ -43,7 +44,7 @@
         return Optional.empty();
     }
 
-    /** Returns whether the entry is neither refuted nor believed to be as bad as accused. */
+    /** Returns whether the accusation was not refuted and is worse than what the entry holds. */
     private static boolean isUnresolved(MemberEntry entry, MemberUpdate accusation) {
         boolean newer = accusation.counter() > entry.counter();
         boolean stronger =
--- a/coordination/src/main/java/org/hornbeampass/coordination/membership/Rumours.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/membership/Rumours.java
@@ -5,14 +5,14 @@
 import java.util.List;
 
 /**
- * What every message between members carries besides its own matter.
+ * Gossip data that every message between members carries in addition to its own fields.
  *
  * <p>Immutable; safe for use by any thread.
  *
- * @param digest a hash of the sender's table, equal where two tables are equal
- * @param revision the configuration's revision that the sender runs
+ * @param digest a hash of the sender's table, equal for equal tables
+ * @param revision the revision of the configuration that the sender uses
  * @param upstreamsRevision the revision of the newest change of an upstream that the sender knows
- * @param updates news of members, of bounded size
+ * @param updates updates on members, of limited size
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record Rumours(
--- a/coordination/src/main/java/org/hornbeampass/coordination/membership/Seed.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/membership/Seed.java
@@ -3,7 +3,7 @@
 import java.util.Objects;
 
 /**
- * A VM to ask first when this VM starts.
+ * VM to contact first when this VM starts.
  *
  * <p>Immutable; safe for use by any thread.
  *
@@ -11,7 +11,7 @@
  * @param peerAddress where it listens for other routers, as {@code host:port}
  */
 public record Seed(String name, String peerAddress) {
-    /** Checks that no part is missing. */
+    /** Checks that no component is null. */
     public Seed {
         Objects.requireNonNull(name, "name");
         Objects.requireNonNull(peerAddress, "peerAddress");
--- a/coordination/src/main/java/org/hornbeampass/coordination/membership/SyncReply.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/membership/SyncReply.java
@@ -7,11 +7,11 @@
 import java.util.List;
 
 /**
- * Gives the entries of buckets that differ, as many as its bounded size takes.
+ * Reply to {@link SyncRequest} with the entries of buckets that differ, up to a size limit.
  *
  * <p>Immutable; safe for use by any thread.
  *
- * @param covered a bit for each bucket whose entries are all here
+ * @param covered a bit mask of the buckets whose entries are all included
  * @param more whether further buckets differ
  * @param entries the entries, with details
  */
--- a/coordination/src/main/java/org/hornbeampass/coordination/membership/SyncRequest.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/membership/SyncRequest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 
 /**
- * Asks for the entries in which two tables differ; answered by {@link SyncReply}.
+ * Request for the entries in which two tables differ; answered by {@link SyncReply}.
  *
  * <p>Immutable; safe for use by any thread.
  *
--- a/coordination/src/main/java/org/hornbeampass/coordination/membership/TableSync.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/membership/TableSync.java
@@ -13,10 +13,11 @@
 import java.util.Optional;
 
 /**
- * Compares this VM's table with a peer's, bucket by bucket, where their digests differ for long.
+ * Synchronises this VM's table with a peer's, bucket by bucket, if their digests have differed for
+ * long.
  *
- * <p>Invariant: one comparison at a time, each reply of bounded size, at most one per interval. Not
- * thread-safe: guarded by the lock of {@link Membership}.
+ * <p>Invariant: one synchronisation at a time, at most one per interval, and each reply of limited
+ * size. Not thread-safe: guarded by the lock of {@link Membership}.
  */
 final class TableSync {
     private static final long REPLY_TIMEOUT_MS = 2_000;
@@ -28,12 +29,12 @@
     private long mNextMs;
     private int mStartBucket;
 
-    /** Two digests that differ: since when at all, and since when both stand still. */
+    /** Two digests that differ, since when they do, and since when neither has changed. */
     private record DigestMismatch(long own, long theirs, long sinceMs, long unchangedSinceMs) {
         DigestMismatch next(long nowMs, long nextOwn, long nextTheirs) {
-            boolean still = own == nextOwn && theirs == nextTheirs;
+            boolean unchanged = own == nextOwn && theirs == nextTheirs;
             return new DigestMismatch(
-                    nextOwn, nextTheirs, sinceMs, still ? unchangedSinceMs : nowMs);
+                    nextOwn, nextTheirs, sinceMs, unchanged ? unchangedSinceMs : nowMs);
         }
     }
 
@@ -41,7 +42,7 @@
         mCore = core;
     }
 
-    /** Asks for a comparison with a peer as soon as the interval allows. */
+    /** Requests a synchronisation with a peer as soon as the interval allows. */
     void requestSync(String peer) {
         mNextPeer = Optional.of(peer);
     }
@@ -51,8 +52,9 @@
     }
 
     /**
-     * Notes a peer's digest; wants a comparison where the two differ and neither changes for longer
-     * than news takes, or where they differ for long although both change.
+     * Compares a peer's digest with this VM's. Requests a synchronisation if they differ and
+     * neither has changed for longer than gossip takes, or if they have differed for long although
+     * they change.
      */
     void compareDigest(long nowMs, String peer, long digest) {
         long own = mCore.mTable.digest();
@@ -76,7 +78,10 @@
         }
     }
 
-    /** Drops the digests of peers that are no longer in contact. */
+    /**
+     * Removes mismatches older than ten times the settling time, whose peers are no longer in
+     * contact.
+     */
     void removeOldMismatches(long nowMs) {
         long keepMs = 10 * mCore.mSettings.settleMs();
         mMismatches.values().removeIf(d -> nowMs - d.sinceMs() > keepMs);
@@ -125,7 +130,10 @@
         }
     }
 
-    /** Chooses who is asked for the rest, so that VMs that join don't all load the same seed. */
+    /**
+     * Returns a random live peer to ask for the remaining buckets, so that joining VMs don't all
+     * load the same seed.
+     */
     private Optional<String> randomLivePeer() {
         List<MemberEntry> live =
                 mCore.mTable.entries().stream()
@@ -136,14 +144,14 @@
                 : Optional.of(live.get(mCore.mRandom.nextInt(live.size())).name());
     }
 
-    /** Sends the peer what it lacks in the buckets that its reply covered. */
+    /** Sends the peer the entries that it lacks in the buckets that its reply covered. */
     private void sendNewerEntries(
             String peer, int covered, Map<String, MemberUpdate> theirs, Outbox out) {
         List<MemberUpdate> newer = new ArrayList<>();
         int bytes = 0;
         for (MemberEntry entry : mCore.mTable.entries()) {
-            boolean asked = (covered >>> MemberTable.bucketOf(entry.name()) & 1) == 1;
-            if (!asked || !isNewer(entry, theirs.get(entry.name()))) {
+            boolean inCovered = (covered >>> MemberTable.bucketOf(entry.name()) & 1) == 1;
+            if (!inCovered || !isNewer(entry, theirs.get(entry.name()))) {
                 continue;
             }
             MemberUpdate update = entry.toUpdate(true);
--- a/coordination/src/main/java/org/hornbeampass/coordination/membership/UpdateQueue.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/membership/UpdateQueue.java
@@ -9,11 +9,11 @@
 import java.util.function.Function;
 
 /**
- * Chooses the news that the next message carries: what was sent least often first, within a size.
+ * Chooses the updates for the next message: those sent least often first, up to a size limit.
  *
- * <p>Invariant: each piece of news is sent a number of times that grows with the logarithm of the
- * fleet, and then dropped; that a peer tells it too counts as one of these times. Not thread-safe:
- * guarded by the lock of {@link Membership}.
+ * <p>Invariant: each update is sent a number of times that grows with the logarithm of the fleet's
+ * size, and is then dropped; receiving the same update from a peer counts as one of these times.
+ * Not thread-safe: guarded by the lock of {@link Membership}.
  */
 final class UpdateQueue {
     private static final int MIN_SENDS = 2;
@@ -22,7 +22,7 @@
     private final int mMaxBytes;
     private long mNextOrder;
 
-    /** One VM of which there is news. */
+    /** Pending update on one VM. */
     private static final class QueuedUpdate {
         private final String mName;
         private final boolean mWithDetails;
@@ -48,18 +48,21 @@
         mMaxBytes = maxBytes;
     }
 
-    /** Adds news of a VM, in place of older news of it. */
+    /** Queues an update on a VM, replacing an older one. */
     void add(String name, boolean withDetails) {
         QueuedUpdate old = mQueued.get(name);
         boolean details = withDetails || (old != null && old.mWithDetails);
         mQueued.put(name, new QueuedUpdate(name, details, mNextOrder++));
     }
 
-    /** Notes that a peer told what is queued here, so that fewer need to hear it from us. */
+    /**
+     * Records that a peer sent the update that is queued here, so that it is sent less often from
+     * here.
+     */
     void onReceivedFromPeer(String name) {
-        QueuedUpdate news = mQueued.get(name);
-        if (news != null) {
-            news.mSends++;
+        QueuedUpdate queued = mQueued.get(name);
+        if (queued != null) {
+            queued.mSends++;
         }
     }
 
@@ -68,9 +71,9 @@
     }
 
     /**
-     * Takes the updates for one message.
+     * Returns the updates for one message and counts them as sent.
      *
-     * @param first updates that go first in any case
+     * @param first updates that come first and are always included
      * @param fleetSize the number of members
      * @param lookUp finds an entry by name
      */
@@ -88,20 +91,20 @@
         ordered.sort(
                 Comparator.comparingInt(QueuedUpdate::sends)
                         .thenComparingLong(QueuedUpdate::order));
-        for (QueuedUpdate news : ordered) {
-            Optional<MemberEntry> entry = lookUp.apply(news.mName);
-            if (entry.isEmpty() || news.mSends >= maxSends) {
-                mQueued.remove(news.mName);
+        for (QueuedUpdate queued : ordered) {
+            Optional<MemberEntry> entry = lookUp.apply(queued.mName);
+            if (entry.isEmpty() || queued.mSends >= maxSends) {
+                mQueued.remove(queued.mName);
                 continue;
             }
-            MemberUpdate update = entry.get().toUpdate(news.mWithDetails);
+            MemberUpdate update = entry.get().toUpdate(queued.mWithDetails);
             bytes += update.encodedBytes();
             if (bytes > mMaxBytes) {
                 break;
             }
             taken.add(update);
-            if (++news.mSends >= maxSends) {
-                mQueued.remove(news.mName);
+            if (++queued.mSends >= maxSends) {
+                mQueued.remove(queued.mName);
             }
         }
         return taken;
--- a/coordination/src/main/java/org/hornbeampass/coordination/membership/package-info.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/membership/package-info.java
@@ -1,2 +1,2 @@
-/** Which routers are up, decided by probes and gossip between them and by the platform's list. */
+/** Failure detection and membership of the routers: probes, gossip and the platform's list. */
 package org.hornbeampass.coordination.membership;
--- a/coordination/src/main/java/org/hornbeampass/coordination/news/ViewChangesReply.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/news/ViewChangesReply.java
@@ -7,16 +7,16 @@
 import java.util.List;
 
 /**
- * What a VM has seen of a view since a version, or only that there is more than may be sent.
+ * Changes of a view after a version, or only the information that they are too large to send.
  *
  * <p>Immutable; safe for use by any thread.
  *
  * @param prefix the prefix of the view's keys
- * @param upToVersion the store's version up to which the answering VM is informed; 0 where it knows
- *     nothing newer
- * @param leftOut whether objects changed since the version asked for, and are not sent
- * @param keys the keys of all objects of the view; empty where any are left out
- * @param objects the objects that changed since the version asked for; empty where any are left out
+ * @param upToVersion the store's version up to which the replying VM knows the view; 0 if that is
+ *     not newer than the version asked for
+ * @param leftOut whether objects changed after the version asked for, but are not sent
+ * @param keys the keys of all objects of the view; empty if objects are left out
+ * @param objects the objects that changed after the version asked for; empty if they are left out
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record ViewChangesReply(
@@ -28,12 +28,12 @@
         objects = List.copyOf(objects);
     }
 
-    /** Returns the answer of a VM that knows nothing newer. */
+    /** Returns the reply of a VM that knows no newer version. */
     static ViewChangesReply unchanged(String prefix) {
         return new ViewChangesReply(prefix, 0, false, List.of(), List.of());
     }
 
-    /** Returns the answer of a VM that knows of more than it may send now. */
+    /** Returns the reply of a VM that has more changes than it may send now. */
     static ViewChangesReply tooLarge(String prefix, long upToVersion) {
         return new ViewChangesReply(prefix, upToVersion, true, List.of(), List.of());
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/news/ViewExchange.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/news/ViewExchange.java
@@ -14,17 +14,17 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Keeps views fresh from other VMs while the platform turns this one away.
+ * Keeps views up to date from other VMs while the platform does not serve this VM.
  *
- * <p>Nothing is sent while the platform answers and nobody is known to be informed further, so that
- * it costs nothing on a calm day. Invariant: a view only goes forward, since versions are the
- * store's own. Confined to one thread.
+ * <p>Nothing is sent while the platform answers and no other VM is known to have newer data, so
+ * that the exchange costs nothing in normal operation. Invariant: a view never goes back, since
+ * versions are those of the platform's store. Confined to one thread.
  */
 public final class ViewExchange {
-    /** How long the platform must have been silent before peers are asked, in milliseconds. */
+    /** How long the platform must have failed a view before peers are asked, in milliseconds. */
     public static final long MIN_FAILING_MS = 300;
 
-    /** How often one peer is asked meanwhile, in milliseconds. */
+    /** Interval between requests to peers while the platform fails, in milliseconds. */
     private static final long REQUEST_INTERVAL_MS = 400;
 
     private final Map<String, ViewRefresher> mViews = new HashMap<>();
@@ -33,12 +33,12 @@
     private long mNextMs;
 
     /**
-     * Makes an exchange.
+     * Creates an exchange.
      *
      * @param views the views by their prefixes
      * @param peers sends messages to other VMs
-     * @param names gives the names of other VMs that may be asked
-     * @param random chooses whom to ask
+     * @param names returns the names of other VMs that may be asked
+     * @param random chooses the VM to ask
      */
     public ViewExchange(
             Map<String, WatchedView> views,
@@ -50,7 +50,9 @@
         mRandom = random;
     }
 
-    /** Asks one peer for each view that the platform does not keep fresh. */
+    /**
+     * Requests changes from a random peer for each view that the platform does not keep up to date.
+     */
     public void tick(long nowMs) {
         if (nowMs < mNextMs) {
             return;
@@ -67,12 +69,12 @@
         }
     }
 
-    /** Asks one VM for one view, since it is known to be informed further. */
+    /** Requests changes of one view from a VM that is known to have newer data. */
     public void requestNow(long nowMs, String prefix, String name) {
         Optional.ofNullable(mViews.get(prefix)).ifPresent(view -> view.requestChanges(nowMs, name));
     }
 
-    /** Answers another VM. */
+    /** Handles {@link ViewChangesRequest}; a {@code PeerHandler}. */
     public void onRequest(
             long nowMs, VmId from, ViewChangesRequest request, Consumer<PeerMessage> reply) {
         reply.accept(
--- a/coordination/src/main/java/org/hornbeampass/coordination/news/ViewRefresher.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/news/ViewRefresher.java
@@ -12,36 +12,40 @@
 import java.util.Set;
 
 /**
- * Keeps one view fresh from other VMs, and tells them what it knows.
+ * Keeps one view up to date from other VMs, and answers their requests for its changes.
  *
- * <p>Only what changed is sent. A question is answered with little, or with the word that there is
- * much; much is read from the platform where it answers, and copied from the other VM where it
- * doesn't. Invariants: at most one question is open, and none is begun while the platform's own
- * answer is on its way; this VM gives one large copy after another. A copy and an answer that begin
- * at the same moment may still both come. Confined to one thread.
+ * <p>Only objects that changed are sent. A VM replies to a first request with a small change, or
+ * reports that the change is large. A large change is read from the platform if that answers, and
+ * is otherwise copied from the other VM by a second request. Invariants: at most one request is
+ * open, and none is started while a reply of the platform is being received; this VM sends large
+ * copies one after another. A copy and a reply of the platform that start at the same moment may
+ * still both arrive. Confined to one thread.
  */
 final class ViewRefresher {
-    /** How long a VM may take to answer with little, in milliseconds. */
+    /** Timeout of a request for a small change, in milliseconds. */
     private static final long SMALL_REPLY_TIMEOUT_MS = 400;
 
     /**
-     * The most that is little, in bytes: 20 ms of a link of 7 Mbit/s, and some fifty entries of
-     * upstreams.
+     * Largest size of a small change, in bytes: 20 ms on a link of 7 Mbit/s, and about fifty
+     * entries of upstreams.
      */
     static final int SMALL_REPLY_BYTES = 16 << 10;
 
     /**
-     * How long a large copy may take, in milliseconds. The largest object has 1 MB, and takes 1.2 s
-     * at each of two links of 7 Mbit/s, which callers use as well. With 400 ms no configuration of
-     * 500 KB ever came in time, and each was asked for again: five copies of four versions came to
-     * each of 48 VMs.
+     * Timeout of a request for a large change, in milliseconds. The largest object has 1 MB and
+     * takes 1.2 s on each of two links of 7 Mbit/s, which callers use as well. With a timeout of
+     * 400 ms no configuration of 500 KB arrived in time and each was requested again, so that each
+     * of 48 VMs received five copies of four versions.
      */
     private static final long LARGE_REPLY_TIMEOUT_MS = 4_000;
 
-    /** Asks for all that is newer, however much it is. */
+    /** Size limit of a request for all changes, however large they are. */
     private static final int UNLIMITED_BYTES = Integer.MAX_VALUE;
 
-    /** What the smallest links carry in a millisecond, in bytes: a copy has left after its time. */
+    /**
+     * Bytes per millisecond on the slowest links, from which the time to transmit a copy is
+     * computed.
+     */
     private static final int LINK_BYTES_PER_MS = 875;
 
     private final String mPrefix;
@@ -56,12 +60,12 @@
         mPeers = peers;
     }
 
-    /** Returns for how long the platform has failed this view, in milliseconds. */
+    /** Returns how long the platform has failed this view, in milliseconds. */
     long failingForMs(long nowMs) {
         return mView.failingForMs(nowMs);
     }
 
-    /** Asks another VM for what is newer. */
+    /** Requests newer changes from another VM, unless a request or a reply is already under way. */
     void requestChanges(long nowMs, String name) {
         if (!mRequestOpen && !mView.receiving(nowMs)) {
             sendRequest(nowMs, name, SMALL_REPLY_BYTES, SMALL_REPLY_TIMEOUT_MS);
@@ -90,10 +94,13 @@
         if (!newer) {
             return;
         }
-        ViewChangesReply news = (ViewChangesReply) reply.get();
-        if (!news.leftOut()) {
+        ViewChangesReply changes = (ViewChangesReply) reply.get();
+        if (!changes.leftOut()) {
             mView.offer(
-                    nowMs, Set.copyOf(news.keys()), objects(news.objects()), news.upToVersion());
+                    nowMs,
+                    Set.copyOf(changes.keys()),
+                    objects(changes.objects()),
+                    changes.upToVersion());
         } else if (mView.failingForMs(nowMs) == 0) {
             mView.refresh(nowMs);
         } else if (maxBytes < UNLIMITED_BYTES) {
@@ -105,7 +112,7 @@
         return items.stream().map(i -> new StoredObject(i.key(), i.value(), i.version())).toList();
     }
 
-    /** Answers another VM. */
+    /** Returns the reply to a request of another VM. */
     ViewChangesReply answer(long nowMs, ViewChangesRequest request) {
         long upToVersion = mView.upToVersion();
         if (!mView.ready() || upToVersion <= request.afterVersion()) {
--- a/coordination/src/main/java/org/hornbeampass/coordination/news/package-info.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/news/package-info.java
@@ -1,2 +1,2 @@
-/** Passes configuration and upstream news on to VMs that the platform turns away. */
+/** Exchange of configuration and upstream changes with VMs that the platform does not serve. */
 package org.hornbeampass.coordination.news;
--- a/coordination/src/main/java/org/hornbeampass/coordination/peer/PeerHandler.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/peer/PeerHandler.java
@@ -16,7 +16,7 @@
     /**
      * Handles one message.
      *
-     * @param nowMs the present time in milliseconds
+     * @param nowMs the current time in milliseconds
      * @param from the sender, as authenticated by the transport
      * @param message the message
      * @param reply takes the reply, at most once, now or later; ignored for one-way messages
--- a/coordination/src/main/java/org/hornbeampass/coordination/peer/PeerNetwork.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/peer/PeerNetwork.java
@@ -9,13 +9,12 @@
 /**
  * Sends typed messages to other routers, addressed by VM name.
  *
- * <p>Messages may be lost, late or out of order; a request's reply is given at most once and a
- * request that was answered with a failure may still have been carried out. Implementations are
- * thread-safe.
+ * <p>Messages may be lost, delayed or reordered. A request that ended with a failure may still have
+ * been carried out. Implementations are thread-safe.
  */
 public interface PeerNetwork {
     /**
-     * Sends a message that has no reply; it is dropped where the peer can't be reached.
+     * Sends a message that has no reply; it is dropped if the peer is unreachable.
      *
      * @param vmName the receiver's VM name
      * @param message the message
@@ -25,11 +24,11 @@
     /**
      * Sends a request.
      *
-     * @param nowMs the present time in milliseconds
+     * @param nowMs the current time in milliseconds
      * @param vmName the receiver's VM name
      * @param request the request
      * @param timeoutMs how long to wait for the reply, in milliseconds
-     * @param done run exactly once, on any thread, with the time in milliseconds and the reply
+     * @param done called exactly once, on any thread, with the time in milliseconds and the reply
      */
     void request(
             long nowMs,
--- a/coordination/src/main/java/org/hornbeampass/coordination/peer/package-info.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/peer/package-info.java
@@ -1,2 +1,2 @@
-/** Messages between routers as the coordination library sees them. */
+/** Messages between routers, and the interfaces by which they are sent and handled. */
 package org.hornbeampass.coordination.peer;
--- a/coordination/src/main/java/org/hornbeampass/state/member/ListedVm.java
+++ b/coordination/src/main/java/org/hornbeampass/state/member/ListedVm.java
@@ -7,7 +7,7 @@
 import java.util.Objects;
 
 /**
- * One router VM as the platform's lagging list shows it.
+ * Router VM in the platform's list, which lags behind.
  *
  * <p>Immutable; safe for use by any thread.
  *
@@ -25,7 +25,7 @@
         Region region,
         FailureDomain domain,
         boolean leaving) {
-    /** Checks that no part is missing. */
+    /** Checks that no component is null. */
     public ListedVm {
         Objects.requireNonNull(vm, "vm");
         Objects.requireNonNull(httpAddress, "httpAddress");
--- a/coordination/src/main/java/org/hornbeampass/state/member/Member.java
+++ b/coordination/src/main/java/org/hornbeampass/state/member/Member.java
@@ -7,7 +7,7 @@
 import java.util.Objects;
 
 /**
- * One router VM with its addresses, its place and its state.
+ * Router VM with its addresses, its location and its state.
  *
  * <p>Immutable; safe for use by any thread.
  *
@@ -16,7 +16,7 @@
  * @param peerAddress where other routers connect, as {@code host:port}
  * @param region its region
  * @param domain its failure domain
- * @param state what is believed of it
+ * @param state its state as known to the VM that holds this value
  */
 public record Member(
         VmId vm,
@@ -25,7 +25,7 @@
         Region region,
         FailureDomain domain,
         MemberState state) {
-    /** Checks that no part is missing. */
+    /** Checks that no component is null. */
     public Member {
         Objects.requireNonNull(vm, "vm");
         Objects.requireNonNull(httpAddress, "httpAddress");
--- a/coordination/src/main/java/org/hornbeampass/state/member/MemberState.java
+++ b/coordination/src/main/java/org/hornbeampass/state/member/MemberState.java
@@ -1,18 +1,18 @@
 package org.hornbeampass.state.member;
 
 /**
- * What one VM believes of another.
+ * State of a VM as known to another VM.
  *
  * <p>Immutable; safe for use by any thread.
  */
 public enum MemberState {
-    /** It answers probes, or others say so. */
+    /** It replies to probes, of this VM or of others. */
     LIVE(true),
-    /** It missed a probe and has not yet refuted that it is gone. */
+    /** It did not reply to a probe and has not yet refuted the suspicion that it is gone. */
     SUSPECT(true),
-    /** It said, or the platform's list said, that it shuts down; it takes no new requests. */
+    /** It or the platform's list announced its shutdown; it accepts no new requests. */
     LEAVING(false),
-    /** It was silent for the whole suspicion timeout; it may still come back. */
+    /** It did not reply for the whole suspicion timeout; it may still return. */
     GONE(false);
 
     private final boolean mTakesRequests;
--- a/coordination/src/main/java/org/hornbeampass/state/member/MembershipView.java
+++ b/coordination/src/main/java/org/hornbeampass/state/member/MembershipView.java
@@ -13,10 +13,10 @@
 import java.util.stream.Collectors;
 
 /**
- * All router VMs that one VM knows of at one moment, itself included.
+ * All router VMs that one VM knows at one moment, itself included.
  *
- * <p>Invariants: one entry per VM name, the newest incarnation heard of; lists are in the order of
- * names, so that two VMs with the same knowledge see the same view. Immutable; safe for use by any
+ * <p>Invariants: one entry per VM name, with its newest known incarnation; lists are ordered by
+ * name, so that VMs with the same knowledge have equal views. Immutable; safe for use by any
  * thread.
  */
 public final class MembershipView {
@@ -25,16 +25,18 @@
     private final Map<MemberState, List<Member>> mByState;
 
     /**
-     * Makes a view.
+     * Creates a view.
      *
      * @param self the VM whose view it is; must be among the members
      * @param members the members, one per name
+     * @throws IllegalArgumentException if {@code self} is not among the members
      */
     public MembershipView(VmId self, Collection<Member> members) {
         mSelf = self;
         members.forEach(m -> mByName.put(m.name(), m));
         if (!mByName.containsKey(self.name())) {
-            throw new IllegalArgumentException("the view lacks its own VM " + self);
+            throw new IllegalArgumentException(
+                    "the members do not contain the view's own VM " + self);
         }
         mByState =
                 mByName.values().stream()
@@ -48,12 +50,12 @@
         return mByName.get(mSelf.name());
     }
 
-    /** Returns all members in the order of their names. */
+    /** Returns all members, ordered by name. */
     public List<Member> members() {
         return List.copyOf(mByName.values());
     }
 
-    /** Returns the newest incarnation known of a VM. */
+    /** Returns the newest known incarnation of a VM; empty if the name is unknown. */
     public Optional<Member> member(String name) {
         return Optional.ofNullable(mByName.get(name));
     }
@@ -68,17 +70,17 @@
         return inState(MemberState.SUSPECT);
     }
 
-    /** Returns the members that shut down. */
+    /** Returns the members that are shutting down. */
     public List<Member> leaving() {
         return inState(MemberState.LEAVING);
     }
 
-    /** Returns the members that were silent for the whole suspicion timeout. */
+    /** Returns the members that did not reply for the whole suspicion timeout. */
     public List<Member> gone() {
         return inState(MemberState.GONE);
     }
 
-    /** Returns the members in one state, in the order of their names. */
+    /** Returns the members in one state, ordered by name. */
     public List<Member> inState(MemberState state) {
         return mByState.getOrDefault(state, List.of());
     }
--- a/coordination/src/main/java/org/hornbeampass/state/member/package-info.java
+++ b/coordination/src/main/java/org/hornbeampass/state/member/package-info.java
@@ -1,2 +1,2 @@
-/** The fleet's routers as one VM sees them, as immutable values. */
+/** Immutable values for the fleet's routers as one VM sees them. */
 package org.hornbeampass.state.member;
--- a/coordination/src/test/java/org/hornbeampass/coordination/fleet/FleetInvariant.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/fleet/FleetInvariant.java
@@ -1,23 +1,28 @@
 package org.hornbeampass.coordination.fleet;
 
-/** What must hold after each step of a schedule, or at its end. */
+/** Invariants that hold after each step of a schedule, or at its end. */
 enum FleetInvariant {
-    /** The revision that one life of a VM runs never falls. */
+    /** The configuration revision of a VM never decreases within an incarnation. */
     REVISION_NEVER_FALLS,
-    /** What a VM runs at a revision is what the platform's log says up to that revision. */
+    /**
+     * The configuration of a VM at a revision results from the changes in the log up to that
+     * revision.
+     */
     SAME_REVISION_SAME_CONFIGURATION,
-    /** A change that was answered as accepted stands in the log at the revision answered. */
+    /** A change that was reported as accepted is in the log at the reported revision. */
     ACCEPTED_CHANGE_IN_LOG,
-    /** A change that was answered as refused is not in the log, and none is in it twice. */
+    /** A change that was reported as rejected is not in the log, and no change is in it twice. */
     REJECTED_CHANGE_NOT_IN_LOG,
-    /** A VM that leaves is in no answer of a VM that could hear of it for a while. */
+    /**
+     * A leaving VM is in no address answer of a VM that has had time to receive the announcement.
+     */
     LEAVING_VM_NOT_IN_ANSWERS,
-    /** A VM that died is live in no view of a VM that could find out for a while. */
+    /** A stopped VM is live in no view of a VM that has had time to detect it. */
     STOPPED_VM_NOT_LIVE,
-    /** A life that still runs is never proved gone. */
+    /** A running incarnation is never proved gone. */
     RUNNING_NOT_PROVED_GONE,
-    /** After all faults end, all running VMs see each other. */
+    /** After all faults have ended, all running VMs see each other. */
     VIEWS_AGREE_AT_THE_END,
-    /** After all faults end, all running VMs are ready and run the newest revision. */
+    /** After all faults have ended, all running VMs are ready and have the newest revision. */
     CONFIGURATION_AGREES_AT_THE_END
 }
--- a/coordination/src/test/java/org/hornbeampass/coordination/fleet/FleetMutant.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/fleet/FleetMutant.java
@@ -15,14 +15,14 @@
 import java.util.List;
 
 /**
- * A fleet with one rule deliberately broken, to prove the check that must catch it.
+ * Deliberate faults of the fleet, each of which a check has to detect.
  *
  * <p>Immutable.
  */
 enum FleetMutant {
-    /** No rule is broken. */
+    /** No fault. */
     NONE,
-    /** A create takes effect where the object exists. */
+    /** A create overwrites an existing object. */
     CREATE_OVERWRITES {
         @Override
         PlatformCall rewriteCall(MemoryPlatform store, PlatformCall call) {
@@ -44,14 +44,14 @@
             return rewritten[0];
         }
     },
-    /** A process that resumes has lost its memory but keeps its identity. */
+    /** A resumed process has lost its state but keeps its incarnation. */
     RESUME_LOSES_STATE {
         @Override
         boolean resumeLosesState() {
             return true;
         }
     },
-    /** Nobody tells that a VM leaves. */
+    /** Updates omit that a VM is leaving. */
     LEAVING_IS_NOT_ANNOUNCED {
         @Override
         MemberUpdate rewriteUpdate(MemberUpdate update) {
@@ -63,7 +63,10 @@
                     update.details());
         }
     },
-    /** A refutation has the counter of the rumour that it refutes. */
+    /**
+     * Updates always have the counter 0, so that a refutation does not override the report that it
+     * refutes.
+     */
     REFUTATION_RESETS_COUNTER {
         @Override
         MemberUpdate rewriteUpdate(MemberUpdate update) {
@@ -71,21 +74,21 @@
                     update.name(), update.incarnation(), 0, update.state(), update.details());
         }
     },
-    /** Silence that lasts no time proves a VM gone that a list lacks. */
+    /** A VM that is missing in a list is proved gone without any time of silence. */
     ABSENCE_PROVES_GONE {
         @Override
         long silenceMs() {
             return 0;
         }
     },
-    /** Acknowledgements come from VMs that no longer run. */
+    /** VMs that should have stopped still reply to probes. */
     STOPPED_VM_ACKNOWLEDGES {
         @Override
         boolean stoppedVmAcknowledges() {
             return true;
         }
     },
-    /** Nobody reads the log, and pulls are not answered. */
+    /** No VM can read the log, and replies to pulls are garbled. */
     CHANGES_ARE_NOT_DELIVERED {
         @Override
         PlatformCall rewriteCall(MemoryPlatform store, PlatformCall call) {
@@ -102,7 +105,7 @@
             return false;
         }
     },
-    /** What a VM wrote does not look like its own when it reads it back. */
+    /** A VM does not recognise its own batch when it reads it back. */
     OWN_WRITE_IS_NOT_RECOGNISED {
         @Override
         PlatformCall rewriteCall(MemoryPlatform store, PlatformCall call) {
--- a/coordination/src/test/java/org/hornbeampass/coordination/fleet/FleetMutantsTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/fleet/FleetMutantsTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Proves each check of the schedules by a broken rule that it must catch. */
+/** Tests that each invariant of the fleet schedules detects a mutant that violates it. */
 class FleetMutantsTest {
     private static final int SCHEDULES = 300;
 
--- a/coordination/src/test/java/org/hornbeampass/coordination/fleet/FleetProperties.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/fleet/FleetProperties.java
@@ -12,7 +12,7 @@
 
 import java.util.List;
 
-/** Holds membership, addresses and configuration to their invariants over random schedules. */
+/** Checks the invariants of membership, addresses and configuration under random schedules. */
 class FleetProperties {
     @Property(seed = "20261202", tries = 150, edgeCases = EdgeCasesMode.NONE)
     void invariants_hold(@ForAll("schedules") List<FleetStep> steps, @ForAll long seed) {
--- a/coordination/src/test/java/org/hornbeampass/coordination/fleet/FleetRun.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/fleet/FleetRun.java
@@ -49,7 +49,7 @@
     private long mLastFaultMs;
     private boolean mGarblesReplies;
 
-    /** One proposal and its answer, once there is one. */
+    /** A proposed change and the reply, once it has arrived. */
     private static final class Proposal {
         private final ConfigChange mChange;
         private Either<Failure, Long> mAnswer;
@@ -114,7 +114,7 @@
         return "vm-" + number % VMS;
     }
 
-    /** Runs the steps; returns the invariants that were broken. */
+    /** Runs the steps; returns the invariants that were violated. */
     Set<FleetInvariant> run(List<FleetStep> steps) {
         for (FleetStep step : steps) {
             apply(step.kind(), name(step.vm()));
@@ -230,7 +230,10 @@
         return running;
     }
 
-    /** Gives all VMs a list; an old one has a new version, since lists lag. */
+    /**
+     * Sends a platform list to all VMs. A stale list also gets a new version, since the platform
+     * may serve outdated content.
+     */
     private void sendList(Set<VmId> listed) {
         mFleet.list(++mListVersion, r -> listed.contains(r.vm()));
     }
@@ -291,8 +294,8 @@
                             .isPresent());
             return;
         }
-        boolean open = proposal.mAnswer.getLeft().kind() == ErrorKind.OUTCOME_UNKNOWN;
-        require(FleetInvariant.REJECTED_CHANGE_NOT_IN_LOG, open || times == 0);
+        boolean unknown = proposal.mAnswer.getLeft().kind() == ErrorKind.OUTCOME_UNKNOWN;
+        require(FleetInvariant.REJECTED_CHANGE_NOT_IN_LOG, unknown || times == 0);
     }
 
     private void checkView(FakeRouter router) {
--- a/coordination/src/test/java/org/hornbeampass/coordination/fleet/FleetScenarios.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/fleet/FleetScenarios.java
@@ -7,7 +7,7 @@
 import org.junit.platform.suite.api.SelectClasspathResource;
 import org.junit.platform.suite.api.Suite;
 
-/** Runs the scenarios of membership, addresses and configuration. */
+/** Runs the scenarios on membership, addresses and configuration. */
 @Suite
 @IncludeEngines("cucumber")
 @SelectClasspathResource("features/fleet")
--- a/coordination/src/test/java/org/hornbeampass/coordination/fleet/FleetSchedules.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/fleet/FleetSchedules.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Random;
 
-/** Makes schedules by a seed, for mutants. */
+/** Generates schedules from a seed, for the mutants. */
 final class FleetSchedules {
     private static final int STEPS = 20;
 
--- a/coordination/src/test/java/org/hornbeampass/coordination/fleet/FleetStep.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/fleet/FleetStep.java
@@ -1,16 +1,16 @@
 package org.hornbeampass.coordination.fleet;
 
 /**
- * One step of a schedule.
+ * Step of a schedule.
  *
  * <p>Immutable.
  *
  * @param kind what happens
- * @param vm the number of the VM that it happens to
- * @param waitMs how long the fleet runs after it, in milliseconds
+ * @param vm the number of the VM to which it happens
+ * @param waitMs how long the fleet runs afterwards, in milliseconds
  */
 record FleetStep(Kind kind, int vm, int waitMs) {
-    /** What may happen in a fleet. */
+    /** Events and faults of a fleet. */
     enum Kind {
         WAIT,
         PROPOSE,
--- a/coordination/src/test/java/org/hornbeampass/coordination/fleet/FleetSteps.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/fleet/FleetSteps.java
@@ -31,7 +31,7 @@
 import java.util.Set;
 import java.util.function.Predicate;
 
-/** The steps of the scenarios of membership, addresses and configuration. */
+/** Steps of the scenarios on membership, addresses and configuration. */
 public class FleetSteps {
     private static final long SEED = 20_261_202;
     private static final long STEP_MS = 100;
@@ -102,9 +102,9 @@
         propose(vm, template(name, priority));
     }
 
-    @When("the operator is told that the change is accepted")
-    public void operatorIsTold() {
-        operatorIsToldWithin(5);
+    @When("the change is reported as accepted")
+    public void acceptedSoon() {
+        acceptedWithin(5);
     }
 
     @When("{int} s pass")
@@ -133,13 +133,13 @@
         mFleet.router(vm).membership().leave(mFleet.nowMs());
     }
 
-    @When("{string} dies")
-    public void dies(String vm) {
+    @When("{string} crashes")
+    public void crashes(String vm) {
         mFleet.kill(vm);
     }
 
-    @When("all VMs of failure domain {string} die")
-    public void domainDies(String domain) {
+    @When("all VMs of failure domain {string} crash")
+    public void domainCrashes(String domain) {
         mFleet.running().stream()
                 .filter(r -> r.self().domain().value().equals(domain))
                 .forEach(r -> mFleet.kill(r.vm().name()));
@@ -150,13 +150,13 @@
         mFleet.list(1, r -> true);
     }
 
-    @Then("one of them is told that the change is accepted")
-    public void oneIsAccepted() {
+    @Then("one change is reported as accepted")
+    public void oneAccepted() {
         assertThat(mAnswers).hasSize(2).filteredOn(Either::isRight).hasSize(1);
     }
 
-    @Then("the other is told REVISION_CONFLICT and which revision won")
-    public void otherIsToldConflict() {
+    @Then("the other is rejected with REVISION_CONFLICT and the winning revision")
+    public void otherRejected() {
         Failure failure = mAnswers.stream().filter(Either::isLeft).findFirst().get().getLeft();
         long won = mAnswers.stream().filter(Either::isRight).findFirst().get().get();
         assertThat(failure.kind()).isEqualTo(ErrorKind.REVISION_CONFLICT);
@@ -185,14 +185,14 @@
                 .allMatch(r -> termsPriority(r, id).equals(Optional.of(priority)));
     }
 
-    @Then("the operator is told within {int} s that the change is accepted")
-    public void operatorIsToldWithin(int seconds) {
+    @Then("within {int} s the change is reported as accepted")
+    public void acceptedWithin(int seconds) {
         mFleet.runFor(seconds * 1_000L);
         assertThat(mAnswers).hasSize(1).allMatch(Either::isRight);
     }
 
-    @Then("the platform holds that change once")
-    public void heldOnce() {
+    @Then("the platform stores the change once")
+    public void storedOnce() {
         List<PlatformReply.StoredObject> objects = new ArrayList<>();
         mFleet.platform()
                 .store()
@@ -210,7 +210,7 @@
         assertThat(priority(mFleet.router(vm), name)).contains(priority);
     }
 
-    @Then("no VM is ready, and each says why")
+    @Then("no VM is ready, and each reports the reason")
     public void noneReady() {
         assertThat(mFleet.running()).noneMatch(r -> r.config().ready());
         assertThat(mFleet.running())
@@ -235,7 +235,7 @@
         }
     }
 
-    @Then("no VM that runs is proved gone")
+    @Then("no running VM is proved gone")
     public void noneProvedGone() {
         assertThat(mFleet.running()).allMatch(r -> r.provedGone().isEmpty());
     }
--- a/coordination/src/test/java/org/hornbeampass/coordination/fleet/LogHistory.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/fleet/LogHistory.java
@@ -17,7 +17,7 @@
 import java.util.TreeMap;
 
 /**
- * What the platform's log has ever held, read after each step, also what was truncated since.
+ * All changes that the platform's log has ever held, truncated ones included; read after each step.
  *
  * <p>Not thread-safe: tests run on one thread.
  */
@@ -25,7 +25,7 @@
     private final MemoryPlatform mStore;
     private final Map<Long, ConfigChange> mChanges = new TreeMap<>();
 
-    /** The part of a stored entry that the checks need. */
+    /** Part of a stored entry that the checks need. */
     @JsonIgnoreProperties(ignoreUnknown = true)
     record StoredChange(ConfigChange change) {}
 
@@ -33,7 +33,10 @@
         mStore = store;
     }
 
-    /** Returns a change that no other proposal makes; four templates are changed in turn. */
+    /**
+     * Returns a change that differs from those of all other numbers; it applies to one of four
+     * templates in turn.
+     */
     static ConfigChange numberedChange(int number) {
         Parameters none = Parameters.none();
         Parameters numbered =
@@ -79,9 +82,7 @@
         return (int) mChanges.values().stream().filter(change::equals).count();
     }
 
-    /**
-     * Returns the configuration after the changes up to a revision; empty where some are missing.
-     */
+    /** Returns the configuration after all changes up to a revision; empty if some are missing. */
     Optional<ConfigSnapshot> at(long revision) {
         ConfigSnapshot snapshot = ConfigSnapshot.empty();
         for (long next = 1; next <= revision; next++) {
--- a/coordination/src/test/java/org/hornbeampass/coordination/log/ShardLogTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/log/ShardLogTest.java
@@ -16,7 +16,9 @@
 import java.util.List;
 import java.util.concurrent.atomic.AtomicReference;
 
-/** Checks who wins a place in the log, and that truncated places are never won again. */
+/**
+ * Tests which writer wins a position in the log, and that truncated positions are not won again.
+ */
 class ShardLogTest {
     private static final VmId A = new VmId("a", 1);
     private static final VmId B = new VmId("b", 1);
@@ -36,7 +38,7 @@
     }
 
     @Test
-    void second_writer_loses_and_gets_the_winning_batch() {
+    void second_writer_loses_and_receives_the_winning_batch() {
         append(mLog, 0, A, 7);
 
         AppendResult result = append(mLog, 0, B, 1).get();
@@ -46,20 +48,20 @@
     }
 
     @Test
-    void own_batch_is_recognised_when_its_reply_was_lost() {
-        Platform losing =
+    void own_batch_is_recognised_after_its_reply_was_lost() {
+        Platform lossy =
                 (nowMs, call, done) ->
                         mPlatform.submit(
                                 nowMs, call, (atMs, reply) -> done.accept(atMs, lost(call, reply)));
 
-        assertThat(append(new ShardLog(losing, "requests/3"), 0, A, 1).get())
+        assertThat(append(new ShardLog(lossy, "requests/3"), 0, A, 1).get())
                 .isInstanceOf(AppendResult.Won.class);
         assertThat(append(mLog, 0, A, 1).get()).isInstanceOf(AppendResult.Won.class);
         assertThat(append(mLog, 0, A, 2).get()).isInstanceOf(AppendResult.Lost.class);
     }
 
     @Test
-    void truncated_place_is_not_won_again() {
+    void truncated_position_is_not_won_again() {
         append(mLog, 0, A, 1);
         append(mLog, 1, A, 2);
         assertThat(truncate(1).get()).isEqualTo(1);
@@ -74,7 +76,7 @@
     }
 
     @Test
-    void page_before_the_floor_key_is_checked_against_the_floor() {
+    void read_that_ends_before_the_floor_key_still_checks_the_floor() {
         for (int i = 0; i < 5; i++) {
             append(mLog, i, A, i);
         }
@@ -85,7 +87,7 @@
     }
 
     @Test
-    void batch_above_the_platforms_limit_is_refused_before_it_is_sent() {
+    void batch_above_the_size_limit_is_rejected_before_it_is_sent() {
         LogBatch large = new LogBatch(0, A, 1, List.of("x".repeat(PlatformCall.MAX_VALUE_BYTES)));
         AtomicReference<Either<Failure, AppendResult>> result = new AtomicReference<>();
 
--- a/coordination/src/test/java/org/hornbeampass/coordination/news/ViewExchangeTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/news/ViewExchangeTest.java
@@ -25,7 +25,10 @@
 import java.util.Set;
 import java.util.function.BiConsumer;
 
-/** Checks that a VM that the platform turns away learns from another, and never goes back. */
+/**
+ * Tests that a VM that the platform does not serve receives changes from a peer, and that a view
+ * never goes back to an older version.
+ */
 class ViewExchangeTest {
     private static final String PREFIX = "config/";
     private static final VmId SELF = new VmId("self", 1);
@@ -67,7 +70,7 @@
                 listener);
     }
 
-    /** Hands requests straight to the peer. */
+    /** Passes requests directly to the peer. */
     private final class ToPeer implements PeerNetwork {
         @Override
         public void send(String vmName, PeerMessage message) {}
@@ -90,11 +93,11 @@
         }
     }
 
-    /** Is never asked. */
+    /** Fails the test on any message. */
     private static final class Unused implements PeerNetwork {
         @Override
         public void send(String vmName, PeerMessage message) {
-            throw new AssertionError("not expected");
+            throw new AssertionError("unexpected message");
         }
 
         @Override
@@ -104,7 +107,7 @@
                 PeerMessage request,
                 long timeoutMs,
                 BiConsumer<Long, Either<Failure, PeerMessage>> done) {
-            throw new AssertionError("not expected");
+            throw new AssertionError("unexpected message");
         }
     }
 
@@ -150,7 +153,7 @@
         write("1", 0);
         run(0, 1_000);
         mThrottled = true;
-        run(1_000, 2_500); // Until no watch is open any more.
+        run(1_000, 2_500); // Waits until no watch is open.
         mStore.submit(2_500, new PlatformCall.Create("config/other", "a"), (t, reply) -> {});
         run(2_500, 4_000);
         assertThat(mSeen).containsExactly("1", "a");
@@ -187,7 +190,7 @@
         write("1", 0);
         run(0, 1_000);
         mSilent = true;
-        run(1_000, 3_000); // The watch that is renewed now is never answered.
+        run(1_000, 3_000); // The watch that is renewed now gets no reply.
         mSilent = false;
         String large = "2".repeat(ViewRefresher.SMALL_REPLY_BYTES + 1);
         write(large, 1);
--- a/coordination/src/test/java/org/hornbeampass/coordination/peer/SendOnlyPeerNetwork.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/peer/SendOnlyPeerNetwork.java
@@ -6,7 +6,7 @@
 
 import java.util.function.BiConsumer;
 
-/** The network of a test in which nothing is asked. */
+/** Peer network of a test in which no requests are expected. */
 public abstract class SendOnlyPeerNetwork implements PeerNetwork {
     @Override
     public final void request(
@@ -15,6 +15,6 @@
             PeerMessage request,
             long timeoutMs,
             BiConsumer<Long, Either<Failure, PeerMessage>> done) {
-        throw new AssertionError("nothing is asked");
+        throw new AssertionError("unexpected request");
     }
 }
--- a/coordination/src/test/resources/features/fleet/configuration.feature
+++ b/coordination/src/test/resources/features/fleet/configuration.feature
@@ -4,11 +4,11 @@
     Given 6 VMs in 1 region
     And the template "desk" has priority 5
     When an operator at "vm-1" and an operator at "vm-2" set the priority of template "desk" to 6 and 7 at once
-    Then one of them is told that the change is accepted
-    And the other is told REVISION_CONFLICT and which revision won
+    Then one change is reported as accepted
+    And the other is rejected with REVISION_CONFLICT and the winning revision
     And the accepted priority of template "desk" is in force on all VMs within 5 s
 
-  Scenario: A template's change reaches the organisations that did not override it
+  Scenario: A template change applies to the organisations that did not override it
     Given 6 VMs in 1 region
     And the template "desk" has priority 5
     And the organisation "flights" uses template "desk"
@@ -21,16 +21,16 @@
     Given 6 VMs in 1 region
     And the platform loses half of its replies
     When an operator at "vm-4" sets the priority of template "desk" to 3
-    Then the operator is told within 30 s that the change is accepted
-    And the platform holds that change once
+    Then within 30 s the change is reported as accepted
+    And the platform stores the change once
 
-  Scenario: A region that lost the platform hears of a change from its peers
+  Scenario: A region without access to the platform receives a change from its peers
     Given 12 VMs in 3 regions
     And the VMs of region "r2" are cut off from the platform
     When an operator at "vm-0" sets the priority of template "desk" to 4
     Then the priority 4 of template "desk" is in force on all VMs within 13 s
 
-  Scenario: A region that lost everybody catches up when it is back
+  Scenario: An isolated region catches up after the partition
     Given 12 VMs in 3 regions
     And region "r2" is cut off from the platform and from all other VMs
     When an operator at "vm-0" sets the priority of template "desk" to 4
@@ -38,7 +38,7 @@
     And all partitions end
     Then the priority 4 of template "desk" is in force on all VMs within 60 s
 
-  Scenario: A VM that starts in a platform outage takes the newest from its peers
+  Scenario: A VM that starts in a platform outage loads the newest configuration from its peers
     Given 6 VMs in 1 region
     And the template "desk" has priority 5
     And the platform is out of service
@@ -51,13 +51,13 @@
     And the platform is out of service
     When all VMs are restarted
     And 60 s pass
-    Then no VM is ready, and each says why
+    Then no VM is ready, and each reports the reason
     When the platform is back in service
     Then the priority 5 of template "desk" is in force on all VMs within 30 s
 
-  Scenario: An accepted change outlives every VM
+  Scenario: An accepted change survives a restart of all VMs
     Given 6 VMs in 1 region
     When an operator at "vm-0" sets the priority of template "desk" to 9
-    And the operator is told that the change is accepted
+    And the change is reported as accepted
     And all VMs are restarted
     Then the priority 9 of template "desk" is in force on all VMs within 30 s
