--- a/coordination/src/main/java/org/hornbeampass/coordination/log/LogTruncation.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/log/LogTruncation.java
@@ -14,11 +14,11 @@
 import java.util.function.BiConsumer;
 
 /**
- * One run of truncating a log: raise the floor, then delete what is below it.
+ * One truncation of a log: raises the floor, then deletes the batches below it.
  *
- * <p>Invariant: no batch is deleted before a floor above it is known to be stored. Deletes that
- * fail are left for the next run. Used by one run; safe since each step follows the reply of the
- * last one.
+ * <p>Invariant: no batch is deleted before a floor above it is known to be stored. Batches whose
+ * deletion fails are left to the next truncation. Used for one truncation only; needs no lock,
+ * since each step starts after the reply of the last one.
  */
 final class LogTruncation {
     private final Platform mPlatform;
@@ -41,16 +41,16 @@
                 new PlatformCall.Get(mFloorKey),
                 (atMs, reply) -> {
                     if (reply instanceof PlatformReply.Missing) {
-                        raise(atMs, wanted, Optional.empty(), done);
+                        raiseFloor(atMs, wanted, Optional.empty(), done);
                     } else if (reply instanceof PlatformReply.Found found) {
-                        compare(atMs, wanted, found.object(), done);
+                        compareFloor(atMs, wanted, found.object(), done);
                     } else {
-                        done.accept(atMs, Either.left(ShardLog.unexpected(reply)));
+                        done.accept(atMs, Either.left(ShardLog.unexpectedReply(reply)));
                     }
                 });
     }
 
-    private void compare(
+    private void compareFloor(
             long nowMs,
             LogFloor wanted,
             StoredObject stored,
@@ -59,13 +59,13 @@
         if (floor.isLeft()) {
             done.accept(nowMs, Either.left(floor.getLeft()));
         } else if (floor.get().sequence() >= wanted.sequence()) {
-            list(nowMs, done);
+            listBatches(nowMs, done);
         } else {
-            raise(nowMs, wanted, Optional.of(stored), done);
+            raiseFloor(nowMs, wanted, Optional.of(stored), done);
         }
     }
 
-    private void raise(
+    private void raiseFloor(
             long nowMs,
             LogFloor wanted,
             Optional<StoredObject> stored,
@@ -80,27 +80,27 @@
                 write,
                 (atMs, reply) -> {
                     if (reply instanceof PlatformReply.Written) {
-                        list(atMs, done);
+                        listBatches(atMs, done);
                     } else {
-                        done.accept(atMs, Either.left(ShardLog.unexpected(reply)));
+                        done.accept(atMs, Either.left(ShardLog.unexpectedReply(reply)));
                     }
                 });
     }
 
-    private void list(long nowMs, BiConsumer<Long, Either<Failure, Integer>> done) {
+    private void listBatches(long nowMs, BiConsumer<Long, Either<Failure, Integer>> done) {
         mPlatform.submit(
                 nowMs,
                 new PlatformCall.ListObjects(mPrefix + "/", mPrefix + "/", mLimit),
                 (atMs, reply) -> {
                     if (reply instanceof PlatformReply.Listed listed) {
-                        delete(atMs, listed.objects(), done);
+                        deleteBelowFloor(atMs, listed.objects(), done);
                     } else {
-                        done.accept(atMs, Either.left(ShardLog.unexpected(reply)));
+                        done.accept(atMs, Either.left(ShardLog.unexpectedReply(reply)));
                     }
                 });
     }
 
-    private void delete(
+    private void deleteBelowFloor(
             long nowMs,
             List<StoredObject> objects,
             BiConsumer<Long, Either<Failure, Integer>> done) {
--- a/coordination/src/main/java/org/hornbeampass/coordination/log/ShardLog.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/log/ShardLog.java
@@ -19,21 +19,21 @@
 import java.util.function.BiConsumer;
 
 /**
- * An append-only log of batches on the platform, one object per batch.
+ * Append-only log of batches on the platform, with one object per batch.
  *
- * <p>Batch N is the object {@code <prefix>/<N, 12 digits>}, made by conditional create, so of any
- * number of writers that race for N exactly one wins, however old its view is, and a writer that
+ * <p>Batch N is the object {@code <prefix>/<N, 12 digits>}, written by a conditional create. Of any
+ * number of writers that append at N, exactly one wins, however outdated its view is; a writer that
  * was paused can lose but never overwrite. Batches below the floor ({@code <prefix>/~floor}) have
- * been truncated. A create below the floor could succeed again where a truncated batch stood; so an
- * append counts as won only if the floor, read after the create, is not above it. The floor is
- * raised before anything is deleted, hence that check can't miss a truncation that came before the
- * create, and a pause at any point of it is harmless.
+ * been truncated. A create below the floor could succeed again where a batch was deleted, so an
+ * append has won only if the floor, read after the create, is not above it. The floor is raised
+ * before anything is deleted, so this check detects every truncation before the create, and a pause
+ * at any point is harmless.
  *
- * <p>Rules for callers: append at N only after batch N-1 was read, won or lost; when the result is
- * a {@link Failure}, the batch may still take effect at N (also later), so try N again, with the
- * same or another batch, until N is decided. A failure of kind {@code REVISION_CONFLICT} tells that
- * the log was truncated above the sequence asked for: start from a snapshot. Never writes anything
- * without being asked. Thread-safe: holds no state.
+ * <p>Rules for callers: append at N only after batch N-1 was read, won or lost. If the result is a
+ * {@link Failure}, the batch may still be stored at N, also later; append at N again, with the same
+ * or another batch, until there is an {@link AppendResult}. A failure of kind {@code
+ * REVISION_CONFLICT} means that the log was truncated above the requested sequence: start from a
+ * snapshot. The log writes nothing by itself. Thread-safe: holds no state.
  */
 public final class ShardLog {
     private static final String FLOOR_NAME = "~floor";
@@ -44,7 +44,7 @@
     /**
      * Opens a log, which need not exist yet.
      *
-     * @param platform the platform that keeps it
+     * @param platform the platform that stores it
      * @param prefix the key prefix of its objects, without the last slash
      */
     public ShardLog(Platform platform, String prefix) {
@@ -62,19 +62,19 @@
     }
 
     /**
-     * Tries to put a batch at a sequence; one write and one read where nothing fails.
+     * Tries to store a batch at a sequence; takes one write and one read if nothing fails.
      *
-     * @param nowMs the present time in milliseconds
-     * @param sequence where to put it
+     * @param nowMs the current time in milliseconds
+     * @param sequence the position at which to store it
      * @param batch the batch; its own sequence is replaced by {@code sequence}
-     * @param done takes the time in milliseconds and the result
+     * @param done receives the time in milliseconds and the result
      */
     public void tryAppend(
             long nowMs,
             long sequence,
             LogBatch batch,
             BiConsumer<Long, Either<Failure, AppendResult>> done) {
-        LogBatch placed = batch.at(sequence);
+        LogBatch placed = batch.withSequence(sequence);
         String value = Json.encode(placed);
         int bytes = value.getBytes(StandardCharsets.UTF_8).length;
         if (bytes > PlatformCall.MAX_VALUE_BYTES) {
@@ -83,33 +83,33 @@
                     Either.left(
                             Failure.of(
                                     ErrorKind.REQUEST_TOO_LARGE,
-                                    "log batch of " + bytes + " bytes; split it")));
+                                    "log batch of " + bytes + " bytes is too large; split it")));
             return;
         }
         mPlatform.submit(
                 nowMs,
                 new PlatformCall.Create(key(sequence), value),
-                (atMs, reply) -> created(atMs, placed, reply, done));
+                (atMs, reply) -> onCreateReply(atMs, placed, reply, done));
     }
 
-    private void created(
+    private void onCreateReply(
             long nowMs,
             LogBatch batch,
             PlatformReply reply,
             BiConsumer<Long, Either<Failure, AppendResult>> done) {
         if (reply instanceof PlatformReply.Written) {
-            confirm(nowMs, batch, done);
+            confirmWon(nowMs, batch, done);
         } else if (reply instanceof PlatformReply.Conflict conflict
                 && conflict.current().isPresent()) {
-            settle(nowMs, batch, conflict.current().get(), done);
+            decide(nowMs, batch, conflict.current().get(), done);
         } else if (reply instanceof PlatformReply.Unavailable) {
             readBack(nowMs, batch, done);
         } else {
-            done.accept(nowMs, Either.left(unexpected(reply)));
+            done.accept(nowMs, Either.left(unexpectedReply(reply)));
         }
     }
 
-    /** Finds out what stands at the sequence after a create whose reply was lost. */
+    /** Reads the batch at the sequence after a create whose reply was lost. */
     private void readBack(
             long nowMs, LogBatch batch, BiConsumer<Long, Either<Failure, AppendResult>> done) {
         mPlatform.submit(
@@ -117,14 +117,14 @@
                 new PlatformCall.Get(key(batch.sequence())),
                 (atMs, reply) -> {
                     if (reply instanceof PlatformReply.Found found) {
-                        settle(atMs, batch, found.object(), done);
+                        decide(atMs, batch, found.object(), done);
                     } else {
-                        done.accept(atMs, Either.left(unexpected(reply)));
+                        done.accept(atMs, Either.left(unexpectedReply(reply)));
                     }
                 });
     }
 
-    private void settle(
+    private void decide(
             long nowMs,
             LogBatch batch,
             StoredObject stored,
@@ -132,20 +132,20 @@
         Either<Failure, LogBatch> decoded = Json.decode(stored.value(), LogBatch.class);
         if (decoded.isLeft()) {
             done.accept(nowMs, Either.left(decoded.getLeft()));
-        } else if (decoded.get().sameWrite(batch)) {
-            confirm(nowMs, batch, done);
+        } else if (decoded.get().matchesWrite(batch)) {
+            confirmWon(nowMs, batch, done);
         } else {
             AppendResult lost = new AppendResult.Lost(decoded.get());
             checkFloor(nowMs, batch.sequence(), lost, done);
         }
     }
 
-    private void confirm(
+    private void confirmWon(
             long nowMs, LogBatch batch, BiConsumer<Long, Either<Failure, AppendResult>> done) {
         checkFloor(nowMs, batch.sequence(), new AppendResult.Won(), done);
     }
 
-    /** Gives a result only if the log was not truncated above the sequence. */
+    /** Passes on a result if the sequence is not below the floor, and a failure otherwise. */
     private <T> void checkFloor(
             long nowMs, long sequence, T result, BiConsumer<Long, Either<Failure, T>> done) {
         mPlatform.submit(
@@ -154,22 +154,22 @@
                 (atMs, reply) ->
                         done.accept(
                                 atMs,
-                                floorOf(reply)
-                                        .flatMap(f -> atOrAbove(f.sequence(), sequence))
+                                decodeFloor(reply)
+                                        .flatMap(f -> checkAtOrAbove(f.sequence(), sequence))
                                         .map(s -> result)));
     }
 
-    private static Either<Failure, LogFloor> floorOf(PlatformReply reply) {
+    private static Either<Failure, LogFloor> decodeFloor(PlatformReply reply) {
         if (reply instanceof PlatformReply.Missing) {
             return Either.right(new LogFloor(0));
         }
         if (reply instanceof PlatformReply.Found found) {
             return Json.decode(found.object().value(), LogFloor.class);
         }
-        return Either.left(unexpected(reply));
+        return Either.left(unexpectedReply(reply));
     }
 
-    private Either<Failure, Long> atOrAbove(long floor, long sequence) {
+    private Either<Failure, Long> checkAtOrAbove(long floor, long sequence) {
         if (sequence >= floor) {
             return Either.right(sequence);
         }
@@ -180,13 +180,13 @@
     }
 
     /**
-     * Reads batches in their order, without gaps; empty where none stands at {@code fromSequence}
-     * yet. One read where the end of the log is reached.
+     * Reads batches in order and without gaps; the list is empty if there is none at {@code
+     * fromSequence} yet. Takes one read where the end of the log is reached.
      *
-     * @param nowMs the present time in milliseconds
+     * @param nowMs the current time in milliseconds
      * @param fromSequence the first sequence to read
      * @param limit the largest number of batches, at least 1
-     * @param done takes the time in milliseconds and the batches
+     * @param done receives the time in milliseconds and the batches
      */
     public void read(
             long nowMs,
@@ -197,17 +197,17 @@
         mPlatform.submit(
                 nowMs,
                 new PlatformCall.ListObjects(mPrefix + "/", afterKey, limit + 1),
-                (atMs, reply) -> listed(atMs, fromSequence, limit, reply, done));
+                (atMs, reply) -> onListReply(atMs, fromSequence, limit, reply, done));
     }
 
-    private void listed(
+    private void onListReply(
             long nowMs,
             long fromSequence,
             int limit,
             PlatformReply reply,
             BiConsumer<Long, Either<Failure, List<LogBatch>>> done) {
         if (!(reply instanceof PlatformReply.Listed listed)) {
-            done.accept(nowMs, Either.left(unexpected(reply)));
+            done.accept(nowMs, Either.left(unexpectedReply(reply)));
             return;
         }
         Either<Failure, List<LogBatch>> batches = consecutive(listed, fromSequence, limit);
@@ -223,8 +223,8 @@
                             .orElseGet(PlatformReply.Missing::new);
             done.accept(
                     nowMs,
-                    floorOf(floorReply)
-                            .flatMap(f -> atOrAbove(f.sequence(), fromSequence))
+                    decodeFloor(floorReply)
+                            .flatMap(f -> checkAtOrAbove(f.sequence(), fromSequence))
                             .flatMap(s -> batches));
             return;
         }
@@ -249,13 +249,13 @@
     }
 
     /**
-     * Raises the floor, after which nothing below it counts, and then deletes up to {@code limit}
-     * batches below it; safe to repeat until nothing is left.
+     * Raises the floor, which invalidates all batches below it, and then deletes up to {@code
+     * limit} of them. May be repeated until none is left.
      *
-     * @param nowMs the present time in milliseconds
-     * @param belowSequence the new floor; ignored where the floor is higher
-     * @param limit the largest number of deletes, each one write
-     * @param done takes the time in milliseconds and the number of batches found below the floor
+     * @param nowMs the current time in milliseconds
+     * @param belowSequence the new floor; ignored if the stored floor is higher
+     * @param limit the largest number of deletions, each one write
+     * @param done receives the time in milliseconds and the number of batches found below the floor
      */
     public void truncate(
             long nowMs,
@@ -266,12 +266,12 @@
                 .start(nowMs, new LogFloor(belowSequence), done);
     }
 
-    static Failure unexpected(PlatformReply reply) {
+    static Failure unexpectedReply(PlatformReply reply) {
         String reason =
                 reply instanceof PlatformReply.Unavailable unavailable
                         ? unavailable.reason()
                         : reply.getClass().getSimpleName();
         return Failure.of(
-                ErrorKind.PLATFORM_UNAVAILABLE, "the platform's reply is open: " + reason);
+                ErrorKind.PLATFORM_UNAVAILABLE, "the platform did not confirm the call: " + reason);
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/membership/GoneEvidence.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/membership/GoneEvidence.java
@@ -9,12 +9,13 @@
 import java.util.TreeMap;
 
 /**
- * Decides whether an incarnation can't be running any more, which suspicion alone never proves.
+ * Decides whether an incarnation of a VM has certainly stopped, which suspicion alone never proves.
  *
- * <p>Proof is a newer incarnation of the same name, or that the platform's lists lack the name for
- * the whole of {@link MembershipSettings#silenceMs} while nothing is heard of it for as long; a VM
- * that has just started has heard nothing for no longer than it runs. Lists that are older than one
- * seen before count for nothing. Not thread-safe: guarded by the lock of {@link Membership}.
+ * <p>An incarnation is proved gone if a newer incarnation of the same name is known, or if for the
+ * whole of {@link MembershipSettings#silenceMs} the platform's lists lacked the name and no sign
+ * that the VM is live arrived. For a VM without an entry in the table the silence is counted from
+ * the first list, so that a VM that has just started proves nothing. A list with a lower version
+ * than the last one is ignored. Not thread-safe: guarded by the lock of {@link Membership}.
  */
 final class GoneEvidence {
     private final MemberTable mTable;
@@ -30,8 +31,8 @@
         mSilenceMs = silenceMs;
     }
 
-    /** Takes a list; returns whether it is newer than those seen before. */
-    boolean take(long nowMs, long version, List<ListedVm> list) {
+    /** Stores the platform's list; returns false where it is older than the last one. */
+    boolean updateList(long nowMs, long version, List<ListedVm> list) {
         if (version < mVersion) {
             return false;
         }
@@ -39,7 +40,7 @@
         mFirstListMs = Math.min(mFirstListMs, nowMs);
         mLastListMs = Math.max(mLastListMs, nowMs);
         Map<String, ListedVm> now = new TreeMap<>();
-        list.forEach(vm -> now.merge(vm.vm().name(), vm, (a, b) -> newer(a, b) ? a : b));
+        list.forEach(vm -> now.merge(vm.vm().name(), vm, (a, b) -> isNewer(a, b) ? a : b));
         mListed.keySet().stream()
                 .filter(name -> !now.containsKey(name))
                 .forEach(name -> mAbsentSinceMs.put(name, nowMs));
@@ -49,7 +50,7 @@
         return true;
     }
 
-    private static boolean newer(ListedVm a, ListedVm b) {
+    private static boolean isNewer(ListedVm a, ListedVm b) {
         return a.vm().incarnation() > b.vm().incarnation();
     }
 
@@ -57,8 +58,8 @@
         return mListed.values();
     }
 
-    boolean provedGone(VmId vm) {
-        if (mTable.knowsNewerThan(vm)) {
+    boolean isProvedGone(VmId vm) {
+        if (mTable.hasNewerIncarnation(vm)) {
             return true;
         }
         ListedVm listed = mListed.get(vm.name());
@@ -71,7 +72,7 @@
         long absentSinceMs = mAbsentSinceMs.getOrDefault(vm.name(), mFirstListMs);
         long quietSinceMs =
                 mTable.entry(vm.name())
-                        .map(e -> e.health() == Health.GONE ? e.heardMs() : mLastListMs)
+                        .map(e -> e.health() == Health.GONE ? e.lastContactMs() : mLastListMs)
                         .orElse(mFirstListMs);
         return mLastListMs - Math.max(absentSinceMs, quietSinceMs) >= mSilenceMs;
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/membership/MemberEntry.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/membership/MemberEntry.java
@@ -9,9 +9,9 @@
 import java.util.Optional;
 
 /**
- * The newest incarnation known of one VM name, with what is rumoured of it.
+ * Newest known incarnation of one VM name, with its reported health.
  *
- * <p>Invariant: {@code leaving} is never taken back. Not thread-safe: guarded by the lock of {@link
+ * <p>Invariant: {@code leaving} is never reset. Not thread-safe: guarded by the lock of {@link
  * Membership}.
  */
 final class MemberEntry {
@@ -20,14 +20,14 @@
     private long mCounter;
     private Health mHealth;
     private boolean mLeaving;
-    private long mSinceMs;
-    private long mHeardMs;
+    private long mChangedMs;
+    private long mLastContactMs;
 
     MemberEntry(long nowMs, MemberUpdate update, MemberDetails details) {
         mVm = update.vm();
         mDetails = details;
-        mHeardMs = nowMs;
-        set(nowMs, update.counter(), update.health());
+        mLastContactMs = nowMs;
+        setHealth(nowMs, update.counter(), update.health());
         mLeaving = update.leaving();
     }
 
@@ -63,40 +63,46 @@
         return mLeaving;
     }
 
-    /** Returns the time of the last change of health or counter, in milliseconds. */
-    long sinceMs() {
-        return mSinceMs;
+    /**
+     * Returns when the health or the counter last changed, in milliseconds; later by the pauses
+     * that {@link #extendSuspicion} added.
+     */
+    long changedMs() {
+        return mChangedMs;
     }
 
-    /** Returns when a message from the VM itself, or a rumour that it is live, last came. */
-    long heardMs() {
-        return mHeardMs;
+    /**
+     * Returns when the last message from the VM, or report that it is live, arrived, in
+     * milliseconds.
+     */
+    long lastContactMs() {
+        return mLastContactMs;
     }
 
-    void heard(long nowMs) {
-        mHeardMs = Math.max(mHeardMs, nowMs);
+    void recordContact(long nowMs) {
+        mLastContactMs = Math.max(mLastContactMs, nowMs);
     }
 
-    void set(long nowMs, long counter, Health health) {
+    void setHealth(long nowMs, long counter, Health health) {
         mCounter = counter;
         mHealth = health;
-        mSinceMs = nowMs;
+        mChangedMs = nowMs;
     }
 
-    void postpone(long byMs) {
-        mSinceMs += byMs;
+    void extendSuspicion(long byMs) {
+        mChangedMs += byMs;
     }
 
     void markLeaving() {
         mLeaving = true;
     }
 
-    MemberUpdate update(boolean withDetails) {
+    MemberUpdate toUpdate(boolean withDetails) {
         Optional<MemberDetails> details = withDetails ? Optional.of(mDetails) : Optional.empty();
         return MemberUpdate.of(mVm, mCounter, mHealth, mLeaving, details);
     }
 
-    /** Returns a hash of what two tables have to agree on; 0 for a VM that is gone. */
+    /** Returns a hash of the state on which two tables have to agree; 0 for a VM that is gone. */
     long digest() {
         if (mHealth == Health.GONE) {
             return 0;
--- a/coordination/src/main/java/org/hornbeampass/coordination/membership/MemberTable.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/membership/MemberTable.java
@@ -10,21 +10,21 @@
 import java.util.TreeMap;
 
 /**
- * Merges updates into one entry per VM name.
+ * Table of members with one entry per VM name, into which updates are merged.
  *
- * <p>Invariants: an entry's incarnation never falls, its counter never falls within an incarnation,
- * and {@code leaving} is never taken back; so the order in which updates come does not matter. A
- * rumour that a live VM is gone makes it a suspect first, so that it has time to refute. Not
- * thread-safe: guarded by the lock of {@link Membership}.
+ * <p>Invariants: an entry's incarnation never decreases, its counter never decreases within an
+ * incarnation, and {@code leaving} is never reset; the order in which updates arrive therefore does
+ * not matter. An update that a live VM is gone first makes it a suspect, so that it has time to
+ * refute. Not thread-safe: guarded by the lock of {@link Membership}.
  */
 final class MemberTable {
-    /** The number of buckets in which tables are compared; one bit each in an int. */
-    static final int BUCKETS = 32;
+    /** The number of buckets whose digests are compared; one bit each in an int. */
+    static final int BUCKET_COUNT = 32;
 
     private final VmId mSelf;
     private final Region mSelfRegion;
     private final TreeMap<String, MemberEntry> mEntries = new TreeMap<>();
-    private final TreeMap<String, Long> mForgotten = new TreeMap<>();
+    private final TreeMap<String, Long> mForgottenIncarnations = new TreeMap<>();
 
     MemberTable(long nowMs, MemberUpdate self, MemberDetails details) {
         mSelf = self.vm();
@@ -48,24 +48,24 @@
         return mEntries.values();
     }
 
-    /** Returns the region of a VM by name, where it is known. */
+    /** Returns the region of a VM by name, if it is known. */
     Optional<Region> regionOf(String name) {
         return entry(name).map(MemberEntry::region);
     }
 
-    /** Returns whether a newer incarnation of the name is or was known. */
-    boolean knowsNewerThan(VmId vm) {
+    /** Returns whether a newer incarnation of the same name is or was in the table. */
+    boolean hasNewerIncarnation(VmId vm) {
         long newest = entry(vm.name()).map(e -> e.vm().incarnation()).orElse(Long.MIN_VALUE);
-        long forgotten = mForgotten.getOrDefault(vm.name(), Long.MIN_VALUE);
+        long forgotten = mForgottenIncarnations.getOrDefault(vm.name(), Long.MIN_VALUE);
         return Math.max(newest, forgotten) > vm.incarnation();
     }
 
     /**
      * Merges one update.
      *
-     * @param nowMs the present time in milliseconds
+     * @param nowMs the current time in milliseconds
      * @param update the update
-     * @param senderRegion the region of the VM that sent it, where that is known
+     * @param senderRegion the region of the VM that sent it, if known
      */
     MergeResult merge(long nowMs, MemberUpdate update, Optional<Region> senderRegion) {
         if (update.name().equals(mSelf.name())) {
@@ -76,14 +76,14 @@
             return mergeNewIncarnation(nowMs, update);
         }
         if (update.incarnation() < entry.vm().incarnation()) {
-            return MergeResult.KNOWN;
+            return MergeResult.UNCHANGED;
         }
         boolean leaves = update.leaving() && !entry.leaving();
         if (leaves) {
             entry.markLeaving();
         }
         MergeResult result = mergeHealth(nowMs, entry, update, senderRegion);
-        return leaves && result == MergeResult.KNOWN ? MergeResult.CHANGED : result;
+        return leaves && result == MergeResult.UNCHANGED ? MergeResult.CHANGED : result;
     }
 
     private MergeResult mergeSelf(MemberUpdate update) {
@@ -92,18 +92,19 @@
         }
         MemberEntry self = self();
         if (update.incarnation() < mSelf.incarnation() || update.counter() < self.counter()) {
-            return MergeResult.KNOWN;
+            return MergeResult.UNCHANGED;
         }
-        boolean news = update.health() != Health.LIVE || update.counter() > self.counter();
+        boolean contradicts = update.health() != Health.LIVE || update.counter() > self.counter();
         boolean leaves = update.leaving() && !self.leaving();
-        return news || leaves ? MergeResult.ACCUSES_SELF : MergeResult.KNOWN;
+        return contradicts || leaves ? MergeResult.NEEDS_REFUTATION : MergeResult.UNCHANGED;
     }
 
     private MergeResult mergeNewIncarnation(long nowMs, MemberUpdate update) {
         boolean forgotten =
-                mForgotten.getOrDefault(update.name(), Long.MIN_VALUE) >= update.incarnation();
+                mForgottenIncarnations.getOrDefault(update.name(), Long.MIN_VALUE)
+                        >= update.incarnation();
         if (update.health() == Health.GONE || forgotten) {
-            return MergeResult.KNOWN;
+            return MergeResult.UNCHANGED;
         }
         if (update.details().isEmpty()) {
             return MergeResult.LACKS_DETAILS;
@@ -116,40 +117,41 @@
             long nowMs, MemberEntry entry, MemberUpdate update, Optional<Region> senderRegion) {
         boolean newer = update.counter() > entry.counter();
         boolean stronger =
-                update.counter() == entry.counter() && update.health().strongerThan(entry.health());
+                update.counter() == entry.counter() && update.health().overrides(entry.health());
         if (!newer && !stronger) {
-            return MergeResult.KNOWN;
+            return MergeResult.UNCHANGED;
         }
         if (update.health() == Health.LIVE) {
-            entry.heard(nowMs);
-            entry.set(nowMs, update.counter(), Health.LIVE);
+            entry.recordContact(nowMs);
+            entry.setHealth(nowMs, update.counter(), Health.LIVE);
             return MergeResult.CHANGED;
         }
-        if (!countsAgainst(entry, senderRegion)) {
-            return MergeResult.REFUSED;
+        if (!isAccusationAccepted(entry, senderRegion)) {
+            return MergeResult.REJECTED;
         }
         boolean mayRefute = entry.health() == Health.LIVE && !entry.leaving();
-        entry.set(nowMs, update.counter(), mayRefute ? Health.SUSPECT : update.health());
+        entry.setHealth(nowMs, update.counter(), mayRefute ? Health.SUSPECT : update.health());
         return MergeResult.CHANGED;
     }
 
     /**
-     * Returns whether a sender's accusation counts: only that of a VM in the accused VM's region or
-     * in our own, so that two regions that lost each other don't accuse each other to a third.
+     * Returns whether a report that a VM is suspect or gone is accepted: only from a sender in the
+     * region of the accused VM or of this VM. Otherwise two regions that are disconnected from each
+     * other would accuse each other at a third region.
      */
-    private boolean countsAgainst(MemberEntry accused, Optional<Region> senderRegion) {
+    private boolean isAccusationAccepted(MemberEntry accused, Optional<Region> senderRegion) {
         return senderRegion
                 .filter(r -> r.equals(accused.region()) || r.equals(mSelfRegion))
                 .isPresent();
     }
 
-    /** Drops an entry for good; older or equal incarnations of the name are never taken again. */
+    /** Removes an entry; later updates on this or an older incarnation of the name are ignored. */
     void forget(MemberEntry entry) {
         mEntries.remove(entry.name());
-        mForgotten.merge(entry.name(), entry.vm().incarnation(), Math::max);
+        mForgottenIncarnations.merge(entry.name(), entry.vm().incarnation(), Math::max);
     }
 
-    /** Returns a hash that two tables share where they hold the same entries that are not gone. */
+    /** Returns a hash that is equal for tables with the same entries, those that are gone aside. */
     long digest() {
         long sum = 0;
         for (MemberEntry entry : mEntries.values()) {
@@ -159,22 +161,22 @@
     }
 
     List<Long> bucketDigests() {
-        long[] sums = new long[BUCKETS];
+        long[] sums = new long[BUCKET_COUNT];
         for (MemberEntry entry : mEntries.values()) {
-            sums[bucket(entry.name())] += entry.digest();
+            sums[bucketOf(entry.name())] += entry.digest();
         }
-        List<Long> digests = new ArrayList<>(BUCKETS);
+        List<Long> digests = new ArrayList<>(BUCKET_COUNT);
         for (long sum : sums) {
             digests.add(sum);
         }
         return digests;
     }
 
-    List<MemberEntry> inBucket(int bucket) {
-        return mEntries.values().stream().filter(e -> bucket(e.name()) == bucket).toList();
+    List<MemberEntry> entriesInBucket(int bucket) {
+        return mEntries.values().stream().filter(e -> bucketOf(e.name()) == bucket).toList();
     }
 
-    static int bucket(String name) {
+    static int bucketOf(String name) {
         int hash = name.hashCode() * 0x9E3779B9;
         return hash >>> 27;
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/membership/UpdateQueue.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/membership/UpdateQueue.java
@@ -9,27 +9,27 @@
 import java.util.function.Function;
 
 /**
- * Chooses the news that the next message carries: what was sent least often first, within a size.
+ * Chooses the updates for the next message: those sent least often first, up to a size limit.
  *
- * <p>Invariant: each piece of news is sent a number of times that grows with the logarithm of the
- * fleet, and then dropped; that a peer tells it too counts as one of these times. Not thread-safe:
- * guarded by the lock of {@link Membership}.
+ * <p>Invariant: each update is sent a number of times that grows with the logarithm of the fleet's
+ * size, and is then dropped; receiving the same update from a peer counts as one of these times.
+ * Not thread-safe: guarded by the lock of {@link Membership}.
  */
 final class UpdateQueue {
     private static final int MIN_SENDS = 2;
 
-    private final Map<String, News> mNews = new HashMap<>();
+    private final Map<String, QueuedUpdate> mQueued = new HashMap<>();
     private final int mMaxBytes;
     private long mNextOrder;
 
-    /** One VM of which there is news. */
-    private static final class News {
+    /** Pending update on one VM. */
+    private static final class QueuedUpdate {
         private final String mName;
         private final boolean mWithDetails;
         private final long mOrder;
         private int mSends;
 
-        News(String name, boolean withDetails, long order) {
+        QueuedUpdate(String name, boolean withDetails, long order) {
             mName = name;
             mWithDetails = withDetails;
             mOrder = order;
@@ -48,29 +48,32 @@
         mMaxBytes = maxBytes;
     }
 
-    /** Adds news of a VM, in place of older news of it. */
+    /** Queues an update on a VM, replacing an older one. */
     void add(String name, boolean withDetails) {
-        News old = mNews.get(name);
+        QueuedUpdate old = mQueued.get(name);
         boolean details = withDetails || (old != null && old.mWithDetails);
-        mNews.put(name, new News(name, details, mNextOrder++));
+        mQueued.put(name, new QueuedUpdate(name, details, mNextOrder++));
     }
 
-    /** Notes that a peer told what is queued here, so that fewer need to hear it from us. */
-    void toldByPeer(String name) {
-        News news = mNews.get(name);
-        if (news != null) {
-            news.mSends++;
+    /**
+     * Records that a peer sent the update that is queued here, so that it is sent less often from
+     * here.
+     */
+    void onReceivedFromPeer(String name) {
+        QueuedUpdate queued = mQueued.get(name);
+        if (queued != null) {
+            queued.mSends++;
         }
     }
 
-    private static int doublings(int fleetSize) {
+    private static int bitLength(int fleetSize) {
         return Integer.SIZE - Integer.numberOfLeadingZeros(fleetSize);
     }
 
     /**
-     * Takes the updates for one message.
+     * Returns the updates for one message and counts them as sent.
      *
-     * @param first updates that go first in any case
+     * @param first updates that come first and are always included
      * @param fleetSize the number of members
      * @param lookUp finds an entry by name
      */
@@ -79,27 +82,29 @@
             int fleetSize,
             Function<String, Optional<MemberEntry>> lookUp) {
         List<MemberUpdate> taken = new ArrayList<>(first);
-        if (mNews.isEmpty()) {
+        if (mQueued.isEmpty()) {
             return taken;
         }
         int bytes = first.stream().mapToInt(MemberUpdate::encodedBytes).sum();
-        int maxSends = MIN_SENDS + doublings(fleetSize);
-        List<News> ordered = new ArrayList<>(mNews.values());
-        ordered.sort(Comparator.comparingInt(News::sends).thenComparingLong(News::order));
-        for (News news : ordered) {
-            Optional<MemberEntry> entry = lookUp.apply(news.mName);
-            if (entry.isEmpty() || news.mSends >= maxSends) {
-                mNews.remove(news.mName);
+        int maxSends = MIN_SENDS + bitLength(fleetSize);
+        List<QueuedUpdate> ordered = new ArrayList<>(mQueued.values());
+        ordered.sort(
+                Comparator.comparingInt(QueuedUpdate::sends)
+                        .thenComparingLong(QueuedUpdate::order));
+        for (QueuedUpdate queued : ordered) {
+            Optional<MemberEntry> entry = lookUp.apply(queued.mName);
+            if (entry.isEmpty() || queued.mSends >= maxSends) {
+                mQueued.remove(queued.mName);
                 continue;
             }
-            MemberUpdate update = entry.get().update(news.mWithDetails);
+            MemberUpdate update = entry.get().toUpdate(queued.mWithDetails);
             bytes += update.encodedBytes();
             if (bytes > mMaxBytes) {
                 break;
             }
             taken.add(update);
-            if (++news.mSends >= maxSends) {
-                mNews.remove(news.mName);
+            if (++queued.mSends >= maxSends) {
+                mQueued.remove(queued.mName);
             }
         }
         return taken;
--- a/coordination/src/test/java/org/hornbeampass/coordination/fleet/FleetMutant.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/fleet/FleetMutant.java
@@ -15,17 +15,17 @@
 import java.util.List;
 
 /**
- * A fleet with one rule deliberately broken, to prove the check that must catch it.
+ * Deliberate faults of the fleet, each of which a check has to detect.
  *
  * <p>Immutable.
  */
 enum FleetMutant {
-    /** No rule is broken. */
+    /** No fault. */
     NONE,
-    /** A create takes effect where the object exists. */
+    /** A create overwrites an existing object. */
     CREATE_OVERWRITES {
         @Override
-        PlatformCall call(MemoryPlatform store, PlatformCall call) {
+        PlatformCall rewriteCall(MemoryPlatform store, PlatformCall call) {
             if (!(call instanceof PlatformCall.Create create)
                     || !create.key().startsWith("config/log/")) {
                 return call;
@@ -44,17 +44,17 @@
             return rewritten[0];
         }
     },
-    /** A process that resumes has lost its memory but keeps its identity. */
-    RESUME_FORGETS {
+    /** A resumed process has lost its state but keeps its incarnation. */
+    RESUME_LOSES_STATE {
         @Override
-        boolean resumeForgets() {
+        boolean resumeLosesState() {
             return true;
         }
     },
-    /** Nobody tells that a VM leaves. */
-    LEAVING_IS_NOT_TOLD {
+    /** Updates omit that a VM is leaving. */
+    LEAVING_IS_NOT_ANNOUNCED {
         @Override
-        MemberUpdate update(MemberUpdate update) {
+        MemberUpdate rewriteUpdate(MemberUpdate update) {
             return new MemberUpdate(
                     update.name(),
                     update.incarnation(),
@@ -63,32 +63,35 @@
                     update.details());
         }
     },
-    /** A refutation has the counter of the rumour that it refutes. */
-    REFUTATION_IS_WEAK {
+    /**
+     * Updates always have the counter 0, so that a refutation does not override the report that it
+     * refutes.
+     */
+    REFUTATION_RESETS_COUNTER {
         @Override
-        MemberUpdate update(MemberUpdate update) {
+        MemberUpdate rewriteUpdate(MemberUpdate update) {
             return new MemberUpdate(
                     update.name(), update.incarnation(), 0, update.state(), update.details());
         }
     },
-    /** Silence that lasts no time proves a VM gone that a list lacks. */
+    /** A VM that is missing in a list is proved gone without any time of silence. */
     ABSENCE_PROVES_GONE {
         @Override
         long silenceMs() {
             return 0;
         }
     },
-    /** Acknowledgements come from VMs that no longer run. */
-    DEAD_ANSWER {
+    /** VMs that should have stopped still reply to probes. */
+    STOPPED_VM_ACKNOWLEDGES {
         @Override
-        boolean deadAnswer() {
+        boolean stoppedVmAcknowledges() {
             return true;
         }
     },
-    /** Nobody reads the log, and pulls are not answered. */
-    NOBODY_HEARS {
+    /** No VM can read the log, and replies to pulls are garbled. */
+    CHANGES_ARE_NOT_DELIVERED {
         @Override
-        PlatformCall call(MemoryPlatform store, PlatformCall call) {
+        PlatformCall rewriteCall(MemoryPlatform store, PlatformCall call) {
             if (call instanceof PlatformCall.Watch watch) {
                 return new PlatformCall.Watch("nothing/", watch.afterVersion(), watch.atMost());
             }
@@ -98,14 +101,14 @@
         }
 
         @Override
-        boolean relays() {
+        boolean answersPulls() {
             return false;
         }
     },
-    /** What a VM wrote does not look like its own when it reads it back. */
+    /** A VM does not recognise its own batch when it reads it back. */
     OWN_WRITE_IS_NOT_RECOGNISED {
         @Override
-        PlatformCall call(MemoryPlatform store, PlatformCall call) {
+        PlatformCall rewriteCall(MemoryPlatform store, PlatformCall call) {
             if (!(call instanceof PlatformCall.Create create)
                     || !create.key().startsWith("config/log/")) {
                 return call;
@@ -118,15 +121,15 @@
         }
     };
 
-    PlatformCall call(MemoryPlatform store, PlatformCall call) {
+    PlatformCall rewriteCall(MemoryPlatform store, PlatformCall call) {
         return call;
     }
 
-    boolean resumeForgets() {
+    boolean resumeLosesState() {
         return false;
     }
 
-    MemberUpdate update(MemberUpdate update) {
+    MemberUpdate rewriteUpdate(MemberUpdate update) {
         return update;
     }
 
@@ -134,43 +137,43 @@
         return FleetRun.SILENCE_MS;
     }
 
-    boolean deadAnswer() {
+    boolean stoppedVmAcknowledges() {
         return false;
     }
 
-    boolean relays() {
+    boolean answersPulls() {
         return true;
     }
 
-    PeerMessage message(PeerMessage message) {
+    PeerMessage rewriteMessage(PeerMessage message) {
         if (message instanceof Ping ping) {
-            return new Ping(rumours(ping.rumours()));
+            return new Ping(rewriteRumours(ping.rumours()));
         }
         if (message instanceof Ack ack) {
-            return new Ack(rumours(ack.rumours()));
+            return new Ack(rewriteRumours(ack.rumours()));
         }
         if (message instanceof Gossip gossip) {
-            return new Gossip(rumours(gossip.rumours()));
+            return new Gossip(rewriteRumours(gossip.rumours()));
         }
         if (message instanceof SyncReply sync) {
-            return new SyncReply(sync.covered(), sync.more(), updates(sync.entries()));
+            return new SyncReply(sync.covered(), sync.more(), rewriteUpdates(sync.entries()));
         }
-        if (message instanceof PullReply reply && !relays()) {
+        if (message instanceof PullReply reply && !answersPulls()) {
             return new PullReply(
                     reply.ready(), reply.newest(), reply.problem(), "", List.of("garbled"));
         }
         return message;
     }
 
-    private Rumours rumours(Rumours rumours) {
+    private Rumours rewriteRumours(Rumours rumours) {
         return new Rumours(
                 rumours.digest(),
                 rumours.revision(),
                 rumours.upstreamsRevision(),
-                updates(rumours.updates()));
+                rewriteUpdates(rumours.updates()));
     }
 
-    private List<MemberUpdate> updates(List<MemberUpdate> updates) {
-        return updates.stream().map(this::update).toList();
+    private List<MemberUpdate> rewriteUpdates(List<MemberUpdate> updates) {
+        return updates.stream().map(this::rewriteUpdate).toList();
     }
 }
--- a/coordination/src/test/java/org/hornbeampass/coordination/fleet/FleetStep.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/fleet/FleetStep.java
@@ -1,16 +1,16 @@
 package org.hornbeampass.coordination.fleet;
 
 /**
- * One step of a schedule.
+ * Step of a schedule.
  *
  * <p>Immutable.
  *
  * @param kind what happens
- * @param vm the number of the VM that it happens to
- * @param waitMs how long the fleet runs after it, in milliseconds
+ * @param vm the number of the VM to which it happens
+ * @param waitMs how long the fleet runs afterwards, in milliseconds
  */
 record FleetStep(Kind kind, int vm, int waitMs) {
-    /** What may happen in a fleet. */
+    /** Events and faults of a fleet. */
     enum Kind {
         WAIT,
         PROPOSE,
@@ -24,12 +24,12 @@
         CUT_VM,
         HEAL,
         PLATFORM_OUTAGE,
-        PLATFORM_LOSSES,
-        PLATFORM_WELL,
-        PEER_LOSSES,
-        PEERS_WELL,
-        OLD_LIST,
-        NEW_LIST,
+        PLATFORM_MESSAGE_LOSS,
+        PLATFORM_RECOVERY,
+        PEER_MESSAGE_LOSS,
+        PEER_RECOVERY,
+        STALE_LIST,
+        CURRENT_LIST,
         GARBLED_REPLIES
     }
 }
--- a/coordination/src/test/java/org/hornbeampass/coordination/fleet/FleetSteps.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/fleet/FleetSteps.java
@@ -31,7 +31,7 @@
 import java.util.Set;
 import java.util.function.Predicate;
 
-/** The steps of the scenarios of membership, addresses and configuration. */
+/** Steps of the scenarios on membership, addresses and configuration. */
 public class FleetSteps {
     private static final long SEED = 20_261_202;
     private static final long STEP_MS = 100;
@@ -47,17 +47,17 @@
 
     @Given("the template {string} has priority {int}")
     public void templateHasPriority(String name, int priority) {
-        accepted("vm-0", template(name, priority));
+        proposeAndExpectAccepted("vm-0", template(name, priority));
     }
 
     @Given("the organisation {string} uses template {string}")
     public void organisationUses(String id, String template) {
-        accepted("vm-0", organisation(id, template, Parameters.none()));
+        proposeAndExpectAccepted("vm-0", organisation(id, template, Parameters.none()));
     }
 
     @Given("the organisation {string} uses template {string} with its own priority {int}")
     public void organisationOverrides(String id, String template, int priority) {
-        accepted("vm-0", organisation(id, template, priority(priority)));
+        proposeAndExpectAccepted("vm-0", organisation(id, template, priority(priority)));
     }
 
     @Given("the platform loses half of its replies")
@@ -102,9 +102,9 @@
         propose(vm, template(name, priority));
     }
 
-    @When("the operator is told that the change is accepted")
-    public void operatorIsTold() {
-        operatorIsToldWithin(5);
+    @When("the change is reported as accepted")
+    public void acceptedSoon() {
+        acceptedWithin(5);
     }
 
     @When("{int} s pass")
@@ -133,13 +133,13 @@
         mFleet.router(vm).membership().leave(mFleet.nowMs());
     }
 
-    @When("{string} dies")
-    public void dies(String vm) {
+    @When("{string} crashes")
+    public void crashes(String vm) {
         mFleet.kill(vm);
     }
 
-    @When("all VMs of failure domain {string} die")
-    public void domainDies(String domain) {
+    @When("all VMs of failure domain {string} crash")
+    public void domainCrashes(String domain) {
         mFleet.running().stream()
                 .filter(r -> r.self().domain().value().equals(domain))
                 .forEach(r -> mFleet.kill(r.vm().name()));
@@ -150,13 +150,13 @@
         mFleet.list(1, r -> true);
     }
 
-    @Then("one of them is told that the change is accepted")
-    public void oneIsAccepted() {
+    @Then("one change is reported as accepted")
+    public void oneAccepted() {
         assertThat(mAnswers).hasSize(2).filteredOn(Either::isRight).hasSize(1);
     }
 
-    @Then("the other is told REVISION_CONFLICT and which revision won")
-    public void otherIsToldConflict() {
+    @Then("the other is rejected with REVISION_CONFLICT and the winning revision")
+    public void otherRejected() {
         Failure failure = mAnswers.stream().filter(Either::isLeft).findFirst().get().getLeft();
         long won = mAnswers.stream().filter(Either::isRight).findFirst().get().get();
         assertThat(failure.kind()).isEqualTo(ErrorKind.REVISION_CONFLICT);
@@ -171,12 +171,12 @@
 
     @Then("the priority {int} of template {string} is in force on all VMs within {int} s")
     public void inForce(int priority, String name, int seconds) {
-        within(seconds, r -> priority(r, name).equals(Optional.of(priority)));
+        assertWithin(seconds, r -> priority(r, name).equals(Optional.of(priority)));
     }
 
     @Then("within {int} s organisation {string} has priority {int} on all VMs")
     public void organisationWithin(int seconds, String id, int priority) {
-        within(seconds, r -> termsPriority(r, id).equals(Optional.of(priority)));
+        assertWithin(seconds, r -> termsPriority(r, id).equals(Optional.of(priority)));
     }
 
     @Then("organisation {string} has priority {int} on all VMs")
@@ -185,14 +185,14 @@
                 .allMatch(r -> termsPriority(r, id).equals(Optional.of(priority)));
     }
 
-    @Then("the operator is told within {int} s that the change is accepted")
-    public void operatorIsToldWithin(int seconds) {
+    @Then("within {int} s the change is reported as accepted")
+    public void acceptedWithin(int seconds) {
         mFleet.runFor(seconds * 1_000L);
         assertThat(mAnswers).hasSize(1).allMatch(Either::isRight);
     }
 
-    @Then("the platform holds that change once")
-    public void heldOnce() {
+    @Then("the platform stores the change once")
+    public void storedOnce() {
         List<PlatformReply.StoredObject> objects = new ArrayList<>();
         mFleet.platform()
                 .store()
@@ -210,7 +210,7 @@
         assertThat(priority(mFleet.router(vm), name)).contains(priority);
     }
 
-    @Then("no VM is ready, and each says why")
+    @Then("no VM is ready, and each reports the reason")
     public void noneReady() {
         assertThat(mFleet.running()).noneMatch(r -> r.config().ready());
         assertThat(mFleet.running())
@@ -235,7 +235,7 @@
         }
     }
 
-    @Then("no VM that runs is proved gone")
+    @Then("no running VM is proved gone")
     public void noneProvedGone() {
         assertThat(mFleet.running()).allMatch(r -> r.provedGone().isEmpty());
     }
@@ -243,10 +243,10 @@
     @Then("all VMs see each other live within {int} s")
     public void allLive(int seconds) {
         int size = mFleet.running().size();
-        within(seconds, r -> r.membership().view().live().size() == size);
+        assertWithin(seconds, r -> r.membership().view().live().size() == size);
     }
 
-    private void within(int seconds, Predicate<FakeRouter> holds) {
+    private void assertWithin(int seconds, Predicate<FakeRouter> holds) {
         for (long ms = 0; ms < seconds * 1_000L; ms += STEP_MS) {
             if (mFleet.running().stream().allMatch(holds)) {
                 return;
@@ -256,7 +256,7 @@
         assertThat(mFleet.running()).allMatch(holds);
     }
 
-    private void accepted(String vm, ConfigChange change) {
+    private void proposeAndExpectAccepted(String vm, ConfigChange change) {
         propose(vm, change);
         mFleet.runFor(5_000);
         assertThat(mAnswers).hasSize(1).allMatch(Either::isRight);
--- a/coordination/src/test/java/org/hornbeampass/coordination/peer/OneWayPeers.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/peer/SendOnlyPeerNetwork.java
@@ -6,8 +6,8 @@
 
 import java.util.function.BiConsumer;
 
-/** The network of a test in which nothing is asked. */
-public abstract class OneWayPeers implements PeerNetwork {
+/** Peer network of a test in which no requests are expected. */
+public abstract class SendOnlyPeerNetwork implements PeerNetwork {
     @Override
     public final void request(
             long nowMs,
@@ -15,6 +15,6 @@
             PeerMessage request,
             long timeoutMs,
             BiConsumer<Long, Either<Failure, PeerMessage>> done) {
-        throw new AssertionError("nothing is asked");
+        throw new AssertionError("unexpected request");
     }
 }
--- a/coordination/src/test/java/org/hornbeampass/coordination/service/LoadExchangeTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/service/LoadExchangeTest.java
@@ -2,8 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import org.hornbeampass.coordination.peer.OneWayPeers;
 import org.hornbeampass.coordination.peer.PeerMessage;
+import org.hornbeampass.coordination.peer.SendOnlyPeerNetwork;
 import org.hornbeampass.state.FailureDomain;
 import org.hornbeampass.state.VmId;
 import org.hornbeampass.state.service.Prompt;
@@ -32,7 +32,7 @@
             new LoadExchange(mRegistry, new Recorder(), () -> mPaths);
 
     /** Records the messages and their recipients. */
-    private final class Recorder extends OneWayPeers {
+    private final class Recorder extends SendOnlyPeerNetwork {
         @Override
         public void send(String vmName, PeerMessage message) {
             mRecipients.add(vmName);
