--- a/router/src/main/java/org/hornbeampass/router/flow/UsageMeter.java
+++ b/router/src/main/java/org/hornbeampass/router/flow/UsageMeter.java
@@ -6,29 +6,31 @@
 import java.util.Optional;
 
 /**
- * Counts the tokens of one attempt and decides what may be billed for them.
+ * Counts the tokens of one answer and computes the amount to bill for them.
  *
- * <p>The upstream's figures are taken where they fit what was seen: at least one token for each
- * part generated, at most one for each byte of it and never more than was reserved. Where the
- * upstream gives no figures, one token is counted for each part generated and none for the prompt.
- * Not thread-safe; confined to its request's flow.
+ * <p>The upstream's reported usage is limited to plausible values: at least one token for each
+ * generated part, at most one for each byte of generated text (with an allowance for tokens without
+ * text), and never more than was reserved. If the upstream reports no usage, one token is counted
+ * for each generated part and none for the prompt. Not thread-safe; confined to its request's flow.
  */
 final class UsageMeter {
-    /** Tokens that generate no text, such as an end mark, that a usage may count. */
-    private static final long SILENT_TOKENS = 8;
+    /**
+     * The number of tokens without text, such as an end marker, that reported usage may include.
+     */
+    private static final long MAX_TEXTLESS_TOKENS = 8;
 
-    private final long mPromptBound;
+    private final long mMaxPromptTokens;
     private final long mCompletionLimit;
     private long mParts;
     private long mBytes;
     private Optional<Usage> mReported = Optional.empty();
 
-    UsageMeter(long promptBound, long completionLimit) {
-        mPromptBound = promptBound;
+    UsageMeter(long maxPromptTokens, long completionLimit) {
+        mMaxPromptTokens = maxPromptTokens;
         mCompletionLimit = completionLimit;
     }
 
-    /** Counts a chunk, or a whole answer. */
+    /** Counts a chunk, or an answer that is not streamed. */
     void count(ChatChunk chunk) {
         if (chunk.hasDelta()) {
             mParts++;
@@ -39,28 +41,28 @@
         }
     }
 
-    /** Returns the number of tokens generated up to here. */
+    /** Returns the number of tokens generated so far. */
     long completionTokens() {
         long atLeast = mParts;
-        long atMost = mBytes + SILENT_TOKENS;
+        long atMost = mBytes + MAX_TEXTLESS_TOKENS;
         long reported = mReported.map(Usage::completionTokens).orElse(0L);
         return Math.max(atLeast, Math.min(reported, atMost));
     }
 
-    /** Returns whether more was generated than the upstream was allowed. */
+    /** Returns whether more tokens were generated than the limit allows. */
     boolean isOverLimit() {
         return completionTokens() > mCompletionLimit;
     }
 
-    /** Returns whether the limit is reached, so that any further part would be over it. */
+    /** Returns whether the limit is reached, so that any further part would exceed it. */
     boolean isAtLimit() {
         return completionTokens() >= mCompletionLimit;
     }
 
-    /** Returns what to bill: never more than the worst case that was reserved. */
-    Bill bill() {
+    /** Returns the amount to bill, which never exceeds the reserved number of tokens. */
+    BillAmount bill() {
         long prompt = mReported.map(Usage::promptTokens).orElse(0L);
-        return new Bill(
-                Math.min(prompt, mPromptBound), Math.min(completionTokens(), mCompletionLimit));
+        return new BillAmount(
+                Math.min(prompt, mMaxPromptTokens), Math.min(completionTokens(), mCompletionLimit));
     }
 }
--- a/router/src/main/java/org/hornbeampass/router/serve/FlowRecorder.java
+++ b/router/src/main/java/org/hornbeampass/router/serve/FlowRecorder.java
@@ -5,7 +5,7 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.hornbeampass.coordination.slo.SloSample;
-import org.hornbeampass.router.flow.Bill;
+import org.hornbeampass.router.flow.BillAmount;
 import org.hornbeampass.router.flow.BillResult;
 import org.hornbeampass.router.flow.Charge;
 import org.hornbeampass.router.flow.FlowObserver;
@@ -22,7 +22,7 @@
 import java.util.function.Supplier;
 
 /**
- * Writes one request's milestones to metrics and to the log.
+ * Records one request's milestones in the metrics and the log.
  *
  * <p>Not thread-safe: confined to the request's flow.
  */
@@ -41,11 +41,11 @@
     private long mParts;
 
     /**
-     * Makes the recorder of one request.
+     * Creates the recorder of one request.
      *
-     * @param arrivedMs when it arrived, in milliseconds
-     * @param upstream tells which upstream served it last
-     * @param onEnd run once when it has ended
+     * @param arrivedMs the time at which the request arrived, in milliseconds
+     * @param upstream returns the upstream of the request's most recent attempt
+     * @param onEnd run once when the request has ended
      */
     FlowRecorder(
             RouterMetrics metrics,
@@ -69,46 +69,48 @@
         mFirstPartMs = nowMs;
         mLastPartMs = nowMs;
         mParts = 1;
-        mMetrics.firstPart(nowMs - mArrivedMs);
+        mMetrics.recordFirstPart(nowMs - mArrivedMs);
     }
 
     @Override
     public void onPart(long nowMs) {
-        mMetrics.betweenParts(nowMs - mLastPartMs);
+        mMetrics.recordPartGap(nowMs - mLastPartMs);
         mLastPartMs = nowMs;
         mParts++;
     }
 
     @Override
     public void onInternalFault(RuntimeException fault) {
-        CloseableThreadContext.Instance context = context();
+        CloseableThreadContext.Instance context = logContext();
         try {
-            LOG.error("the request met an internal fault", fault);
+            LOG.error("an event of the request failed with an internal error", fault);
         } finally {
             context.close();
         }
     }
 
     @Override
-    public void onEnd(long nowMs, Optional<ErrorKind> error, Bill bill, Optional<Charge> charge) {
-        mMetrics.ended(mKind, mOrganisation, error);
-        mMetrics.sample(nowMs, sample(error));
-        charge.ifPresent(this::count);
-        log(nowMs, error, bill);
+    public void onEnd(
+            long nowMs, Optional<ErrorKind> error, BillAmount bill, Optional<Charge> charge) {
+        mMetrics.countEnded(mKind, mOrganisation, error);
+        mMetrics.reportSample(nowMs, sloSample(error));
+        charge.ifPresent(this::countCharge);
+        logEnd(nowMs, error, bill);
         mOnEnd.run();
     }
 
-    private void count(Charge charge) {
-        mMetrics.bill(charge.result().name().toLowerCase(Locale.ROOT), 0);
+    private void countCharge(Charge charge) {
+        mMetrics.countBill(charge.result().name().toLowerCase(Locale.ROOT), 0);
         if (charge.result() != BillResult.DUPLICATE) {
-            mMetrics.billed(mOrganisation, charge.tokens());
+            mMetrics.addBilledTokens(mOrganisation, charge.tokens());
         }
     }
 
     /**
-     * Writes one line; a refusal of a request that did not run is counted, and logged in detail.
+     * Logs the end of the request, at debug level if it succeeded or did not run; the metrics count
+     * every request.
      */
-    private void log(long nowMs, Optional<ErrorKind> error, Bill bill) {
+    private void logEnd(long nowMs, Optional<ErrorKind> error, BillAmount bill) {
         Level level =
                 error.filter(k -> k.runState() != RunState.NOT_RUN).isPresent()
                         ? Level.INFO
@@ -116,13 +118,13 @@
         if (!LOG.isEnabled(level)) {
             return;
         }
-        CloseableThreadContext.Instance context = context();
+        CloseableThreadContext.Instance context = logContext();
         try {
             LOG.log(
                     level,
-                    "{} ended with {} after {} ms, {} + {} tokens",
+                    "{} ended with {} after {} ms, billed {} prompt and {} completion tokens",
                     mKind,
-                    error.map(ErrorKind::code).orElse("its whole answer"),
+                    error.map(ErrorKind::code).orElse("a complete answer"),
                     nowMs - mArrivedMs,
                     bill.promptTokens(),
                     bill.completionTokens());
@@ -131,12 +133,12 @@
         }
     }
 
-    private CloseableThreadContext.Instance context() {
+    private CloseableThreadContext.Instance logContext() {
         return CloseableThreadContext.put("request_id", mId.value())
                 .put("organisation", mOrganisation.value());
     }
 
-    private SloSample sample(Optional<ErrorKind> error) {
+    private SloSample sloSample(Optional<ErrorKind> error) {
         return new SloSample(
                 mOrganisation,
                 mParts > 0 ? OptionalLong.of(mFirstPartMs - mArrivedMs) : OptionalLong.empty(),
--- a/router/src/main/java/org/hornbeampass/router/serve/LedgerBill.java
+++ b/router/src/main/java/org/hornbeampass/router/serve/LedgerBillPort.java
@@ -3,7 +3,7 @@
 import io.vavr.control.Either;
 
 import org.hornbeampass.coordination.requests.RequestLedger;
-import org.hornbeampass.router.flow.Bill;
+import org.hornbeampass.router.flow.BillAmount;
 import org.hornbeampass.router.flow.BillPort;
 import org.hornbeampass.router.flow.BillResult;
 import org.hornbeampass.router.flow.Charge;
@@ -20,12 +20,12 @@
 import java.util.function.BiConsumer;
 
 /**
- * Binds one request's flow to the VM's request ledger, for its bill.
+ * Bills one request in the VM's request ledger.
  *
- * <p>Invariant: the flow is answered exactly once, at the bound at the latest; what is settled
- * beyond a charge that is known only after that is refunded. Thread-safe.
+ * <p>Invariant: the flow receives exactly one reply, at the latest when the wait times out. If the
+ * charge becomes known only after that, the tokens settled beyond it are refunded. Thread-safe.
  */
-final class LedgerBill implements BillPort {
+final class LedgerBillPort implements BillPort {
     private static final long BACKLOG_RETRY_MS = 5_000;
 
     private final RequestLedger mLedger;
@@ -33,25 +33,25 @@
     private final BudgetId mBudget;
     private final AttemptId mAttempt;
     private final long mAdmittedMs;
-    private final Wait mWait;
+    private final DurabilityWait mWait;
 
     /**
-     * How long a bill is waited for, and who is told of what comes later.
+     * How long to wait for a bill to become durable, and how to refund tokens after that.
      *
-     * @param timers bounds the wait
-     * @param boundMs the bound in milliseconds
-     * @param onLateRefund takes the time and how many tokens were settled too many, where the
-     *     charge came after the bound
+     * @param timers runs the timer that ends the wait
+     * @param boundMs the longest wait in milliseconds
+     * @param onLateRefund called with the time and the number of excess tokens that were settled,
+     *     if the charge becomes known after the wait has timed out
      */
-    record Wait(TimerPort timers, long boundMs, BiConsumer<Long, Long> onLateRefund) {}
+    record DurabilityWait(TimerPort timers, long boundMs, BiConsumer<Long, Long> onLateRefund) {}
 
-    LedgerBill(
+    LedgerBillPort(
             RequestLedger ledger,
             RequestKey key,
             BudgetId budget,
             AttemptId attempt,
             long admittedMs,
-            Wait wait) {
+            DurabilityWait wait) {
         mLedger = ledger;
         mKey = key;
         mBudget = budget;
@@ -66,23 +66,23 @@
             return Optional.of(
                     Failure.retryAfter(
                             ErrorKind.BILLING_BACKLOG,
-                            "too many bills wait for the platform; retry later or elsewhere",
+                            "too many bills await the platform; retry later or on another router",
                             BACKLOG_RETRY_MS));
         }
         return mLedger.refusal(nowMs, mKey);
     }
 
     @Override
-    public void bill(long nowMs, Bill bill, BiConsumer<Long, Charge> done) {
+    public void bill(long nowMs, BillAmount bill, BiConsumer<Long, Charge> done) {
         AtomicBoolean answered = new AtomicBoolean();
         Runnable timer =
                 mWait.timers()
-                        .at(
+                        .schedule(
                                 nowMs,
                                 nowMs + mWait.boundMs(),
                                 t -> {
                                     if (answered.compareAndSet(false, true)) {
-                                        done.accept(t, Charge.whole(BillResult.QUEUED, bill));
+                                        done.accept(t, Charge.ofFullBill(BillResult.QUEUED, bill));
                                     }
                                 });
         org.hornbeampass.state.requests.Bill entry =
@@ -107,9 +107,9 @@
                 });
     }
 
-    private static Charge charge(Bill bill, Either<Failure, BillCharge> decided) {
+    private static Charge charge(BillAmount bill, Either<Failure, BillCharge> decided) {
         if (decided.isLeft()) {
-            return Charge.whole(BillResult.QUEUED, bill);
+            return Charge.ofFullBill(BillResult.QUEUED, bill);
         }
         BillResult result =
                 switch (decided.get().outcome()) {
--- a/router/src/main/java/org/hornbeampass/router/serve/RequestGate.java
+++ b/router/src/main/java/org/hornbeampass/router/serve/RequestGate.java
@@ -11,20 +11,20 @@
 import java.util.function.BiConsumer;
 
 /**
- * Takes one request through its organisation's limits and then through its target's queue.
+ * Admits one request: checks its organisation's limits and then enters the queue of its target.
  *
- * <p>Invariant: what was taken of either is given back exactly once, by {@link #leave}.
- * Thread-safe: the queue may answer on any thread while the request leaves.
+ * <p>Invariant: what was acquired from the limits and the queue is released exactly once.
+ * Thread-safe: the queue may reply on any thread while the request leaves.
  */
 final class RequestGate implements AdmissionPort {
     private final OrganisationLimits mLimits;
     private final AdmissionQueue mQueue;
     private final AdmissionRequest mRequest;
     private final AtomicReference<State> mState = new AtomicReference<>(State.OUTSIDE);
-    private volatile long mNumber;
+    private volatile long mTicket;
     private volatile boolean mStarted;
 
-    /** Where the request is with respect to the queue. */
+    /** The position of the request relative to the queue. */
     private enum State {
         OUTSIDE,
         WAITING,
@@ -47,10 +47,10 @@
         }
         mStarted = true;
         mState.set(State.WAITING);
-        mNumber = mQueue.submit(nowMs, mRequest, (t, shed) -> answered(t, shed, done));
+        mTicket = mQueue.submit(nowMs, mRequest, (t, shed) -> onQueueReply(t, shed, done));
     }
 
-    private void answered(
+    private void onQueueReply(
             long nowMs, Optional<Failure> shed, BiConsumer<Long, Optional<Failure>> done) {
         State next = shed.isPresent() ? State.OUTSIDE : State.ADMITTED;
         if (mState.compareAndSet(State.WAITING, next)) {
@@ -66,7 +66,7 @@
         if (before == State.ADMITTED) {
             mQueue.release(nowMs);
         } else if (before == State.WAITING) {
-            mQueue.abandon(mNumber);
+            mQueue.abandon(mTicket);
         }
         if (mStarted) {
             mStarted = false;
--- a/router/src/main/java/org/hornbeampass/router/upstream/HttpAttempt.java
+++ b/router/src/main/java/org/hornbeampass/router/upstream/HttpAttempt.java
@@ -87,7 +87,8 @@
             fail(AttemptOutcome.SILENT, "it sent nothing for too long");
             closeConnection();
         } else if (nextCheckMs < Long.MAX_VALUE) {
-            mCancelSilenceCheck = mContext.timers().at(nowMs, nextCheckMs, this::checkSilence);
+            mCancelSilenceCheck =
+                    mContext.timers().schedule(nowMs, nextCheckMs, this::checkSilence);
             if (ended()) {
                 mCancelSilenceCheck.run();
             }
@@ -156,7 +157,7 @@
         UpstreamAnswer answer = new UpstreamAnswer(mStatus, mContentType, mBody.toByteArray());
         AttemptOutcome outcome = outcomeOf(mStatus, mLeaving);
         if (outcome == AttemptOutcome.SUCCEEDED && tryEnd(nowMs, outcome)) {
-            mListener.onWhole(nowMs, mNumber, answer);
+            mListener.onFullAnswer(nowMs, mNumber, answer);
         } else if (outcome == AttemptOutcome.REJECTED && tryEnd(nowMs, outcome)) {
             mListener.onRejected(nowMs, mNumber, answer);
         } else {
--- a/router/src/test/java/org/hornbeampass/router/upstream/HttpAttemptTest.java
+++ b/router/src/test/java/org/hornbeampass/router/upstream/HttpAttemptTest.java
@@ -6,7 +6,7 @@
 import org.hornbeampass.coordination.limit.Deadline;
 import org.hornbeampass.coordination.routing.RoutingQuery;
 import org.hornbeampass.router.flow.Attempt;
-import org.hornbeampass.router.flow.Relayed;
+import org.hornbeampass.router.flow.RelayProgress;
 import org.hornbeampass.router.flow.Retry;
 import org.hornbeampass.state.OrganisationId;
 import org.hornbeampass.state.upstream.PrefixDigests;
@@ -27,7 +27,7 @@
     @Test
     void upstreamSilentBeforeFirstToken_isCancelledAndRetriedElsewhere() {
         ChatDispatcher dispatcher = chat(true);
-        start(dispatcher, 1, Relayed.NOTHING);
+        start(dispatcher, 1, RelayProgress.NOTHING);
         mFixture.call(0).head();
         mFixture.advance(4_700);
         assertThat(mFixture.faults()).isEmpty();
@@ -37,16 +37,17 @@
         assertThat(mFixture.faults()).singleElement().matches(f -> isSilent(f.outcome()));
         assertThat(mFixture.call(0).cancelled()).isTrue();
         Retry retry =
-                dispatcher.afterFault(mFixture.nowMs(), mFixture.faults().get(0), Relayed.NOTHING);
+                dispatcher.decideRetry(
+                        mFixture.nowMs(), mFixture.faults().get(0), RelayProgress.NOTHING);
         assertThat(retry).isEqualTo(new Retry.Again(0));
-        start(dispatcher, 2, Relayed.NOTHING);
+        start(dispatcher, 2, RelayProgress.NOTHING);
         assertThat(mFixture.call(1).uri()).isNotEqualTo(mFixture.call(0).uri());
     }
 
     @Test
     void upstreamSilentInStream_isCancelledAndResumedAtExactOffset() {
         ChatDispatcher dispatcher = chat(true);
-        start(dispatcher, 1, Relayed.NOTHING);
+        start(dispatcher, 1, RelayProgress.NOTHING);
         mFixture.call(0).head();
         for (int token = 0; token < 3; token++) {
             mFixture.advance(10);
@@ -57,8 +58,8 @@
         assertThat(mFixture.chunks()).isEqualTo(3);
         assertThat(mFixture.faults()).singleElement().matches(f -> isSilent(f.outcome()));
         assertThat(mFixture.call(0).cancelled()).isTrue();
-        Relayed relayed = new Relayed(3, 3);
-        assertThat(dispatcher.afterFault(mFixture.nowMs(), mFixture.faults().get(0), relayed))
+        RelayProgress relayed = new RelayProgress(3, 3);
+        assertThat(dispatcher.decideRetry(mFixture.nowMs(), mFixture.faults().get(0), relayed))
                 .isEqualTo(new Retry.Again(0));
         start(dispatcher, 2, relayed);
         assertThat(mFixture.call(1).header(UpstreamHeaders.RESUME_OFFSET)).isEqualTo("3");
@@ -66,7 +67,7 @@
 
     @Test
     void slowStream_isNotCancelled() {
-        start(chat(true), 1, Relayed.NOTHING);
+        start(chat(true), 1, RelayProgress.NOTHING);
         mFixture.call(0).head();
         mFixture.advance(4_000);
         for (int token = 0; token < 30; token++) {
@@ -79,7 +80,7 @@
 
     @Test
     void streamPausedByCaller_isNotCancelled() {
-        Attempt attempt = start(chat(true), 1, Relayed.NOTHING);
+        Attempt attempt = start(chat(true), 1, RelayProgress.NOTHING);
         mFixture.call(0).head();
         mFixture.call(0).token();
         attempt.pause();
@@ -93,7 +94,7 @@
 
     @Test
     void wholeAnswer_hasLongerTimeoutThanStream() {
-        start(chat(false), 1, Relayed.NOTHING);
+        start(chat(false), 1, RelayProgress.NOTHING);
         mFixture.advance(19_900);
         assertThat(mFixture.faults()).isEmpty();
 
@@ -107,7 +108,7 @@
         RoutingQuery query = query(WorkTarget.service("records"));
         ServiceDispatcher dispatcher =
                 new ServiceDispatcher(mFixture.context(), "r", query, call, false);
-        dispatcher.start(mFixture.nowMs(), 1, Relayed.NOTHING, mFixture.listener());
+        dispatcher.start(mFixture.nowMs(), 1, RelayProgress.NOTHING, mFixture.listener());
         mFixture.advance(DEADLINE_MS - 1);
 
         assertThat(mFixture.faults()).isEmpty();
@@ -116,7 +117,7 @@
 
     @Test
     void endedAttempt_leavesNoTimer() {
-        Attempt attempt = start(chat(true), 1, Relayed.NOTHING);
+        Attempt attempt = start(chat(true), 1, RelayProgress.NOTHING);
         attempt.cancel(mFixture.nowMs());
 
         assertThat(mFixture.timers()).isZero();
@@ -126,7 +127,7 @@
         return outcome == AttemptOutcome.SILENT;
     }
 
-    private Attempt start(ChatDispatcher dispatcher, int number, Relayed relayed) {
+    private Attempt start(ChatDispatcher dispatcher, int number, RelayProgress relayed) {
         return dispatcher.start(mFixture.nowMs(), number, relayed, mFixture.listener()).get();
     }
 
