--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/ActiveClock.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/ActiveClock.java
@@ -23,9 +23,9 @@
     static final long MAX_STEP_MS = 60_000;
 
     /** How many stretches without batches are kept; each takes at least one step to come about. */
-    private static final int MAX_IDLE = 128;
+    private static final int MAX_IDLE_PERIODS = 128;
 
-    private final Deque<Idle> mIdle = new ArrayDeque<>();
+    private final Deque<IdlePeriod> mIdle = new ArrayDeque<>();
     private long mTimeMs;
     private long mActiveMs;
 
@@ -36,7 +36,7 @@
      * @param toMs its end
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
-    record Idle(long fromMs, long toMs) {}
+    record IdlePeriod(long fromMs, long toMs) {}
 
     /**
      * What a checkpoint keeps of the clock.
@@ -45,11 +45,11 @@
      * @param activeMs the active time
      * @param idle the kept stretches, in their order
      */
-    record Saved(long timeMs, long activeMs, List<Idle> idle) {}
+    record Snapshot(long timeMs, long activeMs, List<IdlePeriod> idle) {}
 
     ActiveClock() {}
 
-    ActiveClock(Saved saved) {
+    ActiveClock(Snapshot saved) {
         mTimeMs = saved.timeMs();
         mActiveMs = saved.activeMs();
         mIdle.addAll(saved.idle());
@@ -66,8 +66,8 @@
             return;
         }
         if (step > MAX_STEP_MS) {
-            mIdle.addLast(new Idle(mTimeMs + MAX_STEP_MS, batchMs));
-            if (mIdle.size() > MAX_IDLE) {
+            mIdle.addLast(new IdlePeriod(mTimeMs + MAX_STEP_MS, batchMs));
+            if (mIdle.size() > MAX_IDLE_PERIODS) {
                 mIdle.removeFirst();
             }
         }
@@ -88,18 +88,18 @@
     /**
      * Returns how much active time has passed since a moment, in milliseconds; 0 for the future.
      */
-    long activeSince(long momentMs) {
+    long activeMsSince(long momentMs) {
         if (momentMs >= mTimeMs) {
             return 0;
         }
         long idle = 0;
-        for (Idle stretch : mIdle) {
+        for (IdlePeriod stretch : mIdle) {
             idle += Math.max(0, stretch.toMs() - Math.max(stretch.fromMs(), momentMs));
         }
         return mTimeMs - momentMs - idle;
     }
 
-    Saved save() {
-        return new Saved(mTimeMs, mActiveMs, List.copyOf(mIdle));
+    Snapshot snapshot() {
+        return new Snapshot(mTimeMs, mActiveMs, List.copyOf(mIdle));
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/BillReader.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/BillReader.java
@@ -29,7 +29,7 @@
  * One run per instance; each step follows the reply of the last one, so it needs no lock.
  */
 public final class BillReader {
-    private static final int PAGE = 8;
+    private static final int PAGE_BATCHES = 8;
     private static final int MAX_RESTARTS = 5;
 
     private final Platform mPlatform;
@@ -38,7 +38,7 @@
     private final String mAfter;
     private final int mLimit;
     private final TreeMap<String, Bill> mPage = new TreeMap<>();
-    private final Map<RequestKey, Bill> mFirst = new HashMap<>();
+    private final Map<RequestKey, Bill> mFirstBills = new HashMap<>();
     private int mRestarts;
 
     /**
@@ -65,10 +65,11 @@
 
     /** Reads every shard; {@code done} is run once. */
     public void run(long nowMs, BiConsumer<Long, Either<Failure, BillPage>> done) {
-        shard(nowMs, 0, done);
+        readShard(nowMs, 0, done);
     }
 
-    private void shard(long nowMs, int shard, BiConsumer<Long, Either<Failure, BillPage>> done) {
+    private void readShard(
+            long nowMs, int shard, BiConsumer<Long, Either<Failure, BillPage>> done) {
         if (shard == mSettings.shards()) {
             done.accept(nowMs, Either.right(page()));
             return;
@@ -78,12 +79,12 @@
                         new CheckpointKeys(shard),
                         mSettings.retention(),
                         (atMs, loaded) ->
-                                loaded.peek(state -> readOn(atMs, shard, state, done))
-                                        .peekLeft(f -> restart(atMs, shard, f, done)))
+                                loaded.peek(state -> readNextPage(atMs, shard, state, done))
+                                        .peekLeft(f -> restartShard(atMs, shard, f, done)))
                 .start(nowMs);
     }
 
-    private void readOn(
+    private void readNextPage(
             long nowMs,
             int shard,
             ShardState state,
@@ -92,13 +93,13 @@
                 .read(
                         nowMs,
                         state.nextSequence(),
-                        PAGE,
+                        PAGE_BATCHES,
                         (atMs, page) ->
-                                page.peek(batches -> take(atMs, shard, state, batches, done))
-                                        .peekLeft(f -> restart(atMs, shard, f, done)));
+                                page.peek(batches -> collect(atMs, shard, state, batches, done))
+                                        .peekLeft(f -> restartShard(atMs, shard, f, done)));
     }
 
-    private void take(
+    private void collect(
             long nowMs,
             int shard,
             ShardState state,
@@ -106,22 +107,22 @@
             BiConsumer<Long, Either<Failure, BillPage>> done) {
         if (batches.isEmpty()) {
             mRestarts = 0;
-            mFirst.clear();
-            shard(nowMs, shard + 1, done);
+            mFirstBills.clear();
+            readShard(nowMs, shard + 1, done);
             return;
         }
         for (LogBatch batch : batches) {
             Iterator<EntryDecision> decisions = state.apply(batch).iterator();
             for (String text : batch.entries()) {
                 if (EntryCodec.decodeTime(text).isEmpty()) {
-                    EntryCodec.decode(text).peek(entry -> take(entry, decisions.next()));
+                    EntryCodec.decode(text).peek(entry -> collect(entry, decisions.next()));
                 }
             }
         }
-        readOn(nowMs, shard, state, done);
+        readNextPage(nowMs, shard, state, done);
     }
 
-    private void take(RequestEntry entry, EntryDecision decision) {
+    private void collect(RequestEntry entry, EntryDecision decision) {
         boolean stands =
                 decision.kind() == EntryDecision.Kind.BILLED
                         || decision.kind() == EntryDecision.Kind.RAISED;
@@ -130,9 +131,9 @@
                 || !known.key().organisation().equals(mOrganisation)) {
             return;
         }
-        Bill first = mFirst.computeIfAbsent(known.key(), k -> known.bill());
-        Bill bill = standing(first, known.bill());
-        String place = place(bill);
+        Bill first = mFirstBills.computeIfAbsent(known.key(), k -> known.bill());
+        Bill bill = withRaisedAmount(first, known.bill());
+        String place = sortKey(bill);
         if (place.compareTo(mAfter) <= 0) {
             return;
         }
@@ -143,7 +144,7 @@
     }
 
     /** Returns a raised bill as it stands, at the place of the first. */
-    private static Bill standing(Bill first, Bill raised) {
+    private static Bill withRaisedAmount(Bill first, Bill raised) {
         return new Bill(
                 first.key(),
                 first.budget(),
@@ -154,7 +155,7 @@
     }
 
     /** Returns a bill's place in the order of admission. */
-    private static String place(Bill bill) {
+    private static String sortKey(Bill bill) {
         return String.format(
                 java.util.Locale.ROOT,
                 "%019d~%s~%s",
@@ -174,7 +175,7 @@
     }
 
     /** Starts a shard anew where its log was truncated while it was read. */
-    private void restart(
+    private void restartShard(
             long nowMs,
             int shard,
             Failure failure,
@@ -185,6 +186,6 @@
             done.accept(nowMs, Either.left(Failure.of(failure.kind(), message)));
             return;
         }
-        shard(nowMs, shard, done);
+        readShard(nowMs, shard, done);
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/Checkpoint.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/Checkpoint.java
@@ -19,21 +19,21 @@
 record Checkpoint(
         long nextSequence,
         long openNumber,
-        ActiveClock.Saved clock,
-        List<BillMemory.Generation> generations,
+        ActiveClock.Snapshot clock,
+        List<RecentBills.Generation> generations,
         List<String> claims,
         List<String> totals) {
     /** Takes a checkpoint of a state whose open generation is empty. */
     static Checkpoint of(ShardState state) {
-        List<BillMemory.Generation> generations = new ArrayList<>();
-        state.bills().closed().forEach(generations::add);
+        List<RecentBills.Generation> generations = new ArrayList<>();
+        state.bills().closedGenerations().forEach(generations::add);
         return new Checkpoint(
                 state.nextSequence(),
                 state.bills().openNumber(),
-                state.clock().save(),
+                state.clock().snapshot(),
                 generations,
-                CheckpointParts.ofClaims(state.claims()),
-                CheckpointParts.ofTotals(state.totals()));
+                CheckpointParts.encodeClaims(state.claims()),
+                CheckpointParts.encodeTotals(state.totals()));
     }
 
     /** Returns the manifest that names this checkpoint's parts. */
@@ -43,13 +43,13 @@
                         .map(
                                 g ->
                                         new CheckpointManifest.GenerationParts(
-                                                g.number(), partsOf(g.size())))
+                                                g.number(), partCount(g.size())))
                         .toList();
         return new CheckpointManifest(
                 nextSequence, openNumber, clock, parts, claims.size(), totals.size());
     }
 
-    private static int partsOf(int ids) {
+    private static int partCount(int ids) {
         return (ids + CheckpointParts.IDS_PER_PART - 1) / CheckpointParts.IDS_PER_PART;
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/CheckpointKeys.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/CheckpointKeys.java
@@ -35,7 +35,7 @@
     }
 
     /** Returns the keys of the parts that one manifest names and its successor does not. */
-    List<String> dropped(CheckpointManifest before, CheckpointManifest after) {
+    List<String> obsoleteKeys(CheckpointManifest before, CheckpointManifest after) {
         List<String> keys = new ArrayList<>();
         before.generations().stream()
                 .filter(g -> after.generation(g.number()).isEmpty())
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/CheckpointLoader.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/CheckpointLoader.java
@@ -30,7 +30,7 @@
     private final Retention mRetention;
     private final BiConsumer<Long, Either<Failure, ShardState>> mDone;
     private final Deque<Part> mParts = new ArrayDeque<>();
-    private final ClaimMemory mClaims = new ClaimMemory();
+    private final ClaimTable mClaims = new ClaimTable();
     private final Map<BudgetKey, BudgetTotals> mTotals = new HashMap<>();
 
     /** A part to be read, and how. */
@@ -66,28 +66,28 @@
     }
 
     private void readParts(long nowMs, CheckpointManifest manifest) {
-        BillMemory bills = new BillMemory(manifest.openNumber());
+        RecentBills bills = new RecentBills(manifest.openNumber());
         for (CheckpointManifest.GenerationParts each : manifest.generations()) {
-            BillMemory.Generation generation = new BillMemory.Generation(each.number());
+            RecentBills.Generation generation = new RecentBills.Generation(each.number());
             bills.addClosed(generation);
             for (int i = 0; i < each.parts(); i++) {
                 mParts.add(
                         new Part(
                                 mKeys.generation(each.number(), i),
-                                text -> CheckpointParts.readGeneration(text, generation)));
+                                text -> CheckpointParts.decodeGeneration(text, generation)));
             }
         }
         for (int i = 0; i < manifest.claimParts(); i++) {
             mParts.add(
                     new Part(
                             mKeys.claims(manifest.openNumber(), i),
-                            text -> CheckpointParts.readClaims(text, mClaims)));
+                            text -> CheckpointParts.decodeClaims(text, mClaims)));
         }
         for (int i = 0; i < manifest.totalParts(); i++) {
             mParts.add(
                     new Part(
                             mKeys.totals(manifest.openNumber(), i),
-                            text -> CheckpointParts.readTotals(text, mTotals)));
+                            text -> CheckpointParts.decodeTotals(text, mTotals)));
         }
         ShardState state =
                 new ShardState(
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/CheckpointManifest.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/CheckpointManifest.java
@@ -23,7 +23,7 @@
 record CheckpointManifest(
         long nextSequence,
         long openNumber,
-        ActiveClock.Saved clock,
+        ActiveClock.Snapshot clock,
         List<GenerationParts> generations,
         int claimParts,
         int totalParts) {
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/CheckpointParts.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/CheckpointParts.java
@@ -30,7 +30,7 @@
     static final int IDS_PER_PART = 22_000;
 
     private static final int ID_BYTES = 4 * Long.BYTES;
-    private static final int MAX_CHARS = 400_000;
+    private static final int MAX_PART_CHARS = 400_000;
 
     private CheckpointParts() {}
 
@@ -56,7 +56,7 @@
      * @param held claims that stand
      * @param withdrawn attempts that gave up
      */
-    private record ClaimPart(List<ClaimMemory.Held> held, List<Withdrawal> withdrawn) {}
+    private record ClaimPart(List<ClaimTable.HeldClaim> held, List<Withdrawal> withdrawn) {}
 
     /**
      * One budget's totals.
@@ -76,7 +76,7 @@
     private record TotalPart(List<TotalLine> lines) {}
 
     /** Returns a closed generation's ids, in their order. */
-    static List<String> ofGeneration(BillMemory.Generation generation) {
+    static List<String> encodeGeneration(RecentBills.Generation generation) {
         List<long[]> ids = new ArrayList<>(generation.size());
         generation.forEach(
                 (id, entry) ->
@@ -93,7 +93,7 @@
     }
 
     /** Reads one part into a generation. */
-    static Either<Failure, Boolean> readGeneration(String text, BillMemory.Generation into) {
+    static Either<Failure, Boolean> decodeGeneration(String text, RecentBills.Generation into) {
         return Json.decode(text, IdPart.class)
                 .map(
                         part -> {
@@ -103,17 +103,18 @@
                                 long low = bytes.getLong();
                                 into.put(
                                         new RequestFingerprint(high, low),
-                                        new BillMemory.Entry(bytes.getLong(), bytes.getLong()));
+                                        new RecentBills.Entry(bytes.getLong(), bytes.getLong()));
                             }
                             return true;
                         });
     }
 
     /** Returns the claims and withdrawals, in the order of their ids. */
-    static List<String> ofClaims(ClaimMemory claims) {
-        List<ClaimMemory.Held> held = new ArrayList<>(claims.held());
+    static List<String> encodeClaims(ClaimTable claims) {
+        List<ClaimTable.HeldClaim> held = new ArrayList<>(claims.heldClaims());
         held.sort(
-                Comparator.<ClaimMemory.Held, OrganisationId>comparing(h -> h.key().organisation())
+                Comparator.<ClaimTable.HeldClaim, OrganisationId>comparing(
+                                h -> h.key().organisation())
                         .thenComparing(h -> h.key().request()));
         List<Withdrawal> withdrawn = new ArrayList<>();
         claims.withdrawals().forEach((a, atMs) -> withdrawn.add(new Withdrawal(a, atMs)));
@@ -127,7 +128,7 @@
     }
 
     /** Reads one part of claims. */
-    static Either<Failure, Boolean> readClaims(String text, ClaimMemory into) {
+    static Either<Failure, Boolean> decodeClaims(String text, ClaimTable into) {
         return Json.decode(text, ClaimPart.class)
                 .map(
                         part -> {
@@ -138,7 +139,7 @@
     }
 
     /** Returns the totals, in the order of the budgets. */
-    static List<String> ofTotals(Map<BudgetKey, BudgetTotals> totals) {
+    static List<String> encodeTotals(Map<BudgetKey, BudgetTotals> totals) {
         List<TotalLine> lines = new ArrayList<>();
         totals.forEach((k, t) -> lines.add(new TotalLine(k.organisation(), k.budget(), t)));
         lines.sort(Comparator.comparing(TotalLine::organisation).thenComparing(TotalLine::budget));
@@ -146,7 +147,7 @@
     }
 
     /** Reads one part of totals. */
-    static Either<Failure, Boolean> readTotals(String text, Map<BudgetKey, BudgetTotals> into) {
+    static Either<Failure, Boolean> decodeTotals(String text, Map<BudgetKey, BudgetTotals> into) {
         return Json.decode(text, TotalPart.class)
                 .map(
                         part -> {
@@ -164,10 +165,10 @@
     /** Splits a list so that each chunk's text stays well below what the platform holds. */
     private static <T> List<List<T>> chunks(List<T> all) {
         List<List<T>> chunks = new ArrayList<>();
-        int chars = MAX_CHARS;
+        int chars = MAX_PART_CHARS;
         for (T each : all) {
             int length = Json.encode(each).length();
-            if (chars + length > MAX_CHARS) {
+            if (chars + length > MAX_PART_CHARS) {
                 chunks.add(new ArrayList<>());
                 chars = 0;
             }
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/CheckpointWriter.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/CheckpointWriter.java
@@ -26,7 +26,7 @@
  * <p>Used by one run, each step following the reply of the last one.
  */
 final class CheckpointWriter {
-    private static final long NOTHING = 0;
+    private static final long NOT_WRITTEN = 0;
 
     private final Platform mPlatform;
     private final CheckpointKeys mKeys;
@@ -34,8 +34,8 @@
     private final CheckpointManifest mManifest;
     private final BiConsumer<Long, Long> mDone;
 
-    private Optional<CheckpointManifest> mBefore = Optional.empty();
-    private long mVersion;
+    private Optional<CheckpointManifest> mStoredManifest = Optional.empty();
+    private long mStoredVersion;
 
     /** A part to be written. */
     private record Part(String key, String text) {}
@@ -64,22 +64,22 @@
                     if (reply instanceof PlatformReply.Missing) {
                         writeParts(atMs);
                     } else if (reply instanceof PlatformReply.Found found) {
-                        follow(atMs, found.object());
+                        replaceStored(atMs, found.object());
                     } else {
-                        mDone.accept(atMs, NOTHING);
+                        mDone.accept(atMs, NOT_WRITTEN);
                     }
                 });
     }
 
-    private void follow(long nowMs, StoredObject stored) {
+    private void replaceStored(long nowMs, StoredObject stored) {
         Either<?, CheckpointManifest> before =
                 Json.decode(stored.value(), CheckpointManifest.class);
         if (before.isLeft() || before.get().nextSequence() >= mManifest.nextSequence()) {
-            mDone.accept(nowMs, NOTHING);
+            mDone.accept(nowMs, NOT_WRITTEN);
             return;
         }
-        mBefore = Optional.of(before.get());
-        mVersion = stored.version();
+        mStoredManifest = Optional.of(before.get());
+        mStoredVersion = stored.version();
         writeParts(nowMs);
     }
 
@@ -93,18 +93,18 @@
             parts.add(
                     new Part(mKeys.totals(mManifest.openNumber(), i), mCheckpoint.totals().get(i)));
         }
-        Iterator<BillMemory.Generation> missing =
-                mCheckpoint.generations().stream().filter(g -> !written(g.number())).iterator();
+        Iterator<RecentBills.Generation> missing =
+                mCheckpoint.generations().stream().filter(g -> !isStored(g.number())).iterator();
         writeNext(nowMs, parts.iterator(), missing);
     }
 
-    private boolean written(long number) {
-        return mBefore.flatMap(b -> b.generation(number)).isPresent();
+    private boolean isStored(long number) {
+        return mStoredManifest.flatMap(b -> b.generation(number)).isPresent();
     }
 
     /** Writes the next part; a generation is only turned into text when its turn comes. */
     private void writeNext(
-            long nowMs, Iterator<Part> parts, Iterator<BillMemory.Generation> generations) {
+            long nowMs, Iterator<Part> parts, Iterator<RecentBills.Generation> generations) {
         if (!parts.hasNext() && !generations.hasNext()) {
             writeManifest(nowMs);
             return;
@@ -124,13 +124,13 @@
                     if (stands) {
                         writeNext(atMs, parts, generations);
                     } else {
-                        mDone.accept(atMs, NOTHING);
+                        mDone.accept(atMs, NOT_WRITTEN);
                     }
                 });
     }
 
-    private Iterator<Part> partsOf(BillMemory.Generation generation) {
-        List<String> texts = CheckpointParts.ofGeneration(generation);
+    private Iterator<Part> partsOf(RecentBills.Generation generation) {
+        List<String> texts = CheckpointParts.encodeGeneration(generation);
         List<Part> parts = new ArrayList<>();
         for (int i = 0; i < texts.size(); i++) {
             parts.add(new Part(mKeys.generation(generation.number(), i), texts.get(i)));
@@ -141,23 +141,23 @@
     private void writeManifest(long nowMs) {
         String value = Json.encode(mManifest);
         PlatformCall call =
-                mBefore.isEmpty()
+                mStoredManifest.isEmpty()
                         ? new PlatformCall.Create(mKeys.manifest(), value)
-                        : new PlatformCall.Update(mKeys.manifest(), value, mVersion);
+                        : new PlatformCall.Update(mKeys.manifest(), value, mStoredVersion);
         mPlatform.submit(
                 nowMs,
                 call,
                 (atMs, reply) -> {
                     if (reply instanceof PlatformReply.Written) {
-                        deleteParts(atMs, dropped().iterator());
+                        deleteParts(atMs, obsoleteKeys().iterator());
                     } else {
-                        mDone.accept(atMs, NOTHING);
+                        mDone.accept(atMs, NOT_WRITTEN);
                     }
                 });
     }
 
-    private List<String> dropped() {
-        return mBefore.map(b -> mKeys.dropped(b, mManifest)).orElse(List.of());
+    private List<String> obsoleteKeys() {
+        return mStoredManifest.map(b -> mKeys.obsoleteKeys(b, mManifest)).orElse(List.of());
     }
 
     private void deleteParts(long nowMs, Iterator<String> keys) {
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/ClaimAnswer.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/ClaimOutcomeMapper.java
@@ -14,8 +14,8 @@
  *
  * <p>Thread-safe: holds no state.
  */
-final class ClaimAnswer {
-    private ClaimAnswer() {}
+final class ClaimOutcomeMapper {
+    private ClaimOutcomeMapper() {}
 
     /**
      * Returns the answer.
@@ -23,17 +23,18 @@
      * @param decision the log's decision
      * @param provedGone whether a VM's life is proved to be over
      */
-    static Either<Failure, ClaimOutcome> of(EntryDecision decision, Predicate<VmId> provedGone) {
+    static Either<Failure, ClaimOutcome> toOutcome(
+            EntryDecision decision, Predicate<VmId> provedGone) {
         return switch (decision.kind()) {
-            case GRANTED -> right(ClaimOutcome.Status.GRANTED);
+            case GRANTED -> success(ClaimOutcome.Status.GRANTED);
             case HELD ->
-                    right(
+                    success(
                             decision.holder().filter(provedGone).isPresent()
                                     ? ClaimOutcome.Status.OUTCOME_UNKNOWN
                                     : ClaimOutcome.Status.RUNNING);
             case RECORDED -> Either.right(ClaimOutcome.recorded(decision.outcome().orElseThrow()));
-            case KEY_REUSED -> right(ClaimOutcome.Status.KEY_REUSED);
-            case EXPIRED -> right(ClaimOutcome.Status.EXPIRED);
+            case KEY_REUSED -> success(ClaimOutcome.Status.KEY_REUSED);
+            case EXPIRED -> success(ClaimOutcome.Status.EXPIRED);
             case FULL ->
                     Either.left(
                             Failure.of(
@@ -48,7 +49,7 @@
         };
     }
 
-    private static Either<Failure, ClaimOutcome> right(ClaimOutcome.Status status) {
+    private static Either<Failure, ClaimOutcome> success(ClaimOutcome.Status status) {
         return Either.right(ClaimOutcome.of(status));
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/ClaimMemory.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/ClaimTable.java
@@ -23,10 +23,10 @@
  * refused as expired; an id that carries none is never forgotten. Not thread-safe; the ledger's
  * lock guards it.
  */
-final class ClaimMemory {
-    private static final long FIXED_BYTES = 200;
+final class ClaimTable {
+    private static final long CLAIM_OVERHEAD_BYTES = 200;
 
-    private final Map<ClaimId, Held> mClaims = new HashMap<>();
+    private final Map<ClaimId, HeldClaim> mClaims = new HashMap<>();
     private final Map<AttemptId, Long> mWithdrawn = new HashMap<>();
     private long mUndatedBytes;
 
@@ -46,60 +46,60 @@
      * @param outcome the call's outcome, where it is known
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
-    record Held(
+    record HeldClaim(
             RequestKey key, AttemptId attempt, long claimedAtMs, Optional<CallOutcome> outcome) {
-        private Held with(CallOutcome known) {
-            return new Held(key, attempt, claimedAtMs, Optional.of(known));
+        private HeldClaim withOutcome(CallOutcome known) {
+            return new HeldClaim(key, attempt, claimedAtMs, Optional.of(known));
         }
 
-        private long bytes() {
+        private long estimatedBytes() {
             int id = key.organisation().value().length() + key.request().value().length();
-            return FIXED_BYTES
+            return CLAIM_OVERHEAD_BYTES
                     + id
                     + key.bodyDigest().length()
                     + outcome.map(o -> o.body().length()).orElse(0);
         }
 
         private boolean undated() {
-            return KeyTime.of(key.request()).isEmpty();
+            return KeyTimestamp.parse(key.request()).isEmpty();
         }
     }
 
     /** Returns the claim on an id. */
-    Optional<Held> find(RequestKey key) {
+    Optional<HeldClaim> find(RequestKey key) {
         return Optional.ofNullable(mClaims.get(ClaimId.of(key)));
     }
 
     /** Remembers that an attempt holds an id that is not held yet. */
     void grant(Claim claim, long atMs) {
-        add(new Held(claim.key(), claim.attempt(), atMs, Optional.empty()));
+        add(new HeldClaim(claim.key(), claim.attempt(), atMs, Optional.empty()));
     }
 
     /** Takes in a claim from a checkpoint, or a new one. */
-    void add(Held held) {
+    void add(HeldClaim held) {
         mClaims.put(ClaimId.of(held.key()), held);
-        count(held, 1);
+        addUndatedBytes(held, 1);
     }
 
     /** Remembers the outcome of a held id. */
-    void record(Held held, CallOutcome outcome) {
-        count(held, -1);
-        add(held.with(outcome));
+    void recordOutcome(HeldClaim held, CallOutcome outcome) {
+        addUndatedBytes(held, -1);
+        add(held.withOutcome(outcome));
     }
 
-    private void count(Held held, int sign) {
+    private void addUndatedBytes(HeldClaim held, int sign) {
         if (held.undated()) {
-            mUndatedBytes += sign * held.bytes();
+            mUndatedBytes += sign * held.estimatedBytes();
         }
     }
 
     /** Ends an attempt's claim, now or when its entry comes later. */
     void withdraw(RequestKey key, AttemptId attempt, long withdrawnAtMs) {
         mWithdrawn.put(attempt, withdrawnAtMs);
-        Held held = mClaims.get(ClaimId.of(key));
+        HeldClaim held = mClaims.get(ClaimId.of(key));
         if (held != null && held.attempt().equals(attempt)) {
             mClaims.remove(ClaimId.of(key));
-            count(held, -1);
+            addUndatedBytes(held, -1);
         }
     }
 
@@ -109,7 +109,7 @@
     }
 
     /** Returns whether an attempt gave up. */
-    boolean withdrawn(AttemptId attempt) {
+    boolean isWithdrawn(AttemptId attempt) {
         return mWithdrawn.containsKey(attempt);
     }
 
@@ -119,14 +119,14 @@
     }
 
     /** Forgets what can't be asked for any more. */
-    void sweep(ActiveClock clock, Retention retention) {
-        mClaims.values().removeIf(h -> expired(h.key().request(), clock.timeMs(), retention));
-        mWithdrawn.values().removeIf(atMs -> clock.activeSince(atMs) > retention.lateMs());
+    void removeExpired(ActiveClock clock, Retention retention) {
+        mClaims.values().removeIf(h -> isExpired(h.key().request(), clock.timeMs(), retention));
+        mWithdrawn.values().removeIf(atMs -> clock.activeMsSince(atMs) > retention.lateMs());
     }
 
     /** Returns whether an id that carries a time is too old, or too far ahead, to be claimed. */
-    static boolean expired(RequestId id, long logTimeMs, Retention retention) {
-        OptionalLong time = KeyTime.of(id);
+    static boolean isExpired(RequestId id, long logTimeMs, Retention retention) {
+        OptionalLong time = KeyTimestamp.parse(id);
         if (time.isEmpty()) {
             return false;
         }
@@ -135,7 +135,7 @@
     }
 
     /** Returns all claims that stand. */
-    Collection<Held> held() {
+    Collection<HeldClaim> heldClaims() {
         return mClaims.values();
     }
 
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/Deferred.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/DeferredActions.java
@@ -8,21 +8,21 @@
  *
  * <p>Not thread-safe; used by the one thread that holds, then has released, the lock.
  */
-final class Deferred {
-    private final List<Runnable> mSteps = new ArrayList<>();
+final class DeferredActions {
+    private final List<Runnable> mActions = new ArrayList<>();
 
     void add(Runnable step) {
-        mSteps.add(step);
+        mActions.add(step);
     }
 
     void run() {
-        mSteps.forEach(Runnable::run);
+        mActions.forEach(Runnable::run);
     }
 
     /** Runs a step with the ledger's lock held, then what the step deferred without it. */
     @FunctionalInterface
-    interface Guard {
+    interface LockRunner {
         /** Runs a step. */
-        void locked(java.util.function.Consumer<Deferred> step);
+        void runLocked(java.util.function.Consumer<DeferredActions> step);
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/KeyTime.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/KeyTimestamp.java
@@ -12,7 +12,7 @@
  *
  * <p>Thread-safe: holds no state.
  */
-public final class KeyTime {
+public final class KeyTimestamp {
     private static final Pattern UUID_7 =
             Pattern.compile(
                     "([0-9a-fA-F]{8})-([0-9a-fA-F]{4})-7[0-9a-fA-F]{3}"
@@ -20,10 +20,10 @@
     private static final Pattern SUFFIX = Pattern.compile(".+@([0-9]{13})");
     private static final int HEX = 16;
 
-    private KeyTime() {}
+    private KeyTimestamp() {}
 
     /** Returns the time in a key, in Unix milliseconds; empty where it carries none. */
-    public static OptionalLong of(RequestId id) {
+    public static OptionalLong parse(RequestId id) {
         Matcher uuid = UUID_7.matcher(id.value());
         if (uuid.matches()) {
             return OptionalLong.of(Long.parseLong(uuid.group(1) + uuid.group(2), HEX));
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/LedgerSettings.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/LedgerSettings.java
@@ -2,7 +2,7 @@
 
 /**
  * How the request log is sharded and written; shards and retention must be the same on all VMs,
- * which {@link RequestLedger#notReady} checks.
+ * which {@link RequestLedger#readinessFailure} checks.
  *
  * <p>Immutable; safe for use by any thread.
  *
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/ClaimWaits.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/PendingClaims.java
@@ -21,18 +21,18 @@
  * <p>Invariants: each claim is answered once; one that was answered as not run is never answered as
  * granted afterwards, whatever the log decides. Not thread-safe; the ledger's lock guards it.
  */
-final class ClaimWaits {
-    private final Predicate<VmId> mProvedGone;
-    private final Deque<Waiting> mWaiting = new ArrayDeque<>();
+final class PendingClaims {
+    private final Predicate<VmId> mIsGone;
+    private final Deque<PendingClaim> mPending = new ArrayDeque<>();
 
     /** A claim that may time out. */
-    static final class Waiting {
+    static final class PendingClaim {
         private final Claim mClaim;
         private final long mDeadlineMs;
         private final BiConsumer<Long, Either<Failure, ClaimOutcome>> mDone;
         private boolean mAnswered;
 
-        private Waiting(
+        private PendingClaim(
                 Claim claim,
                 long deadlineMs,
                 BiConsumer<Long, Either<Failure, ClaimOutcome>> done) {
@@ -43,37 +43,38 @@
     }
 
     /** Creates a table in which nothing waits. */
-    ClaimWaits(Predicate<VmId> provedGone) {
-        mProvedGone = provedGone;
+    PendingClaims(Predicate<VmId> provedGone) {
+        mIsGone = provedGone;
     }
 
     /** Adds a claim; deadlines must be added in their order. */
-    Waiting add(
+    PendingClaim add(
             Claim claim, long deadlineMs, BiConsumer<Long, Either<Failure, ClaimOutcome>> done) {
-        Waiting waiting = new Waiting(claim, deadlineMs, done);
-        mWaiting.addLast(waiting);
+        PendingClaim waiting = new PendingClaim(claim, deadlineMs, done);
+        mPending.addLast(waiting);
         return waiting;
     }
 
     /** Answers a claim with the log's decision, unless it was answered before. */
-    void decided(long nowMs, Waiting waiting, EntryDecision decision, Deferred deferred) {
+    void onDecision(
+            long nowMs, PendingClaim waiting, EntryDecision decision, DeferredActions deferred) {
         if (waiting.mAnswered) {
             return;
         }
         waiting.mAnswered = true;
-        Either<Failure, ClaimOutcome> answer = ClaimAnswer.of(decision, mProvedGone);
+        Either<Failure, ClaimOutcome> answer = ClaimOutcomeMapper.toOutcome(decision, mIsGone);
         deferred.add(() -> waiting.mDone.accept(nowMs, answer));
     }
 
     /** Answers claims past their deadline as not run; returns them, to be withdrawn. */
-    List<Claim> expire(long nowMs, Deferred deferred) {
+    List<Claim> expire(long nowMs, DeferredActions deferred) {
         List<Claim> expired = new ArrayList<>();
-        while (!mWaiting.isEmpty()) {
-            Waiting first = mWaiting.peekFirst();
+        while (!mPending.isEmpty()) {
+            PendingClaim first = mPending.peekFirst();
             if (!first.mAnswered && first.mDeadlineMs > nowMs) {
                 break;
             }
-            mWaiting.removeFirst();
+            mPending.removeFirst();
             if (first.mAnswered) {
                 continue;
             }
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/Proposal.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/PendingEntry.java
@@ -10,22 +10,22 @@
  *
  * @param entry the entry
  * @param text the entry's text in the log
- * @param own whether the entry is this VM's own, so that no other VM holds it too
+ * @param local whether the entry is this VM's own, so that no other VM holds it too
  * @param done takes the time in milliseconds and the decision, with the ledger's lock not held
  */
-record Proposal(
-        RequestEntry entry, String text, boolean own, BiConsumer<Long, EntryDecision> done) {
+record PendingEntry(
+        RequestEntry entry, String text, boolean local, BiConsumer<Long, EntryDecision> done) {
     /** Room for the escapes of the text within a batch's JSON. */
-    private static final int ESCAPED = 24;
+    private static final int ESCAPE_BYTES = 24;
 
     /** Returns the room that the entry takes in a batch, in bytes; an upper bound for most. */
-    int bytes() {
-        return text.getBytes(StandardCharsets.UTF_8).length + ESCAPED;
+    int estimatedBytes() {
+        return text.getBytes(StandardCharsets.UTF_8).length + ESCAPE_BYTES;
     }
 
     /** Returns the same entry, no longer as this VM's own. */
-    Proposal notOwn() {
-        return new Proposal(entry, text, false, done);
+    PendingEntry asRemote() {
+        return new PendingEntry(entry, text, false, done);
     }
 
     boolean urgent() {
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/EntryReception.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/PendingSubmission.java
@@ -12,28 +12,28 @@
  * <p>Invariant: answered once, with all decisions or with a refusal; the entries are decided either
  * way. Not thread-safe; the ledger's lock guards it.
  */
-final class EntryReception {
+final class PendingSubmission {
     private final EntryDecision[] mDecisions;
     private final Consumer<PeerMessage> mReply;
     private final long mReceivedMs;
-    private int mMissing;
+    private int mUndecided;
     private boolean mAnswered;
 
-    EntryReception(int entries, long receivedMs, Consumer<PeerMessage> reply) {
+    PendingSubmission(int entries, long receivedMs, Consumer<PeerMessage> reply) {
         mDecisions = new EntryDecision[entries];
-        mMissing = entries;
+        mUndecided = entries;
         mReceivedMs = receivedMs;
         mReply = reply;
     }
 
     /** Takes in one decision; answers once it was the last one missing. */
-    void decided(int index, EntryDecision decision, Deferred deferred) {
+    void onDecision(int index, EntryDecision decision, DeferredActions deferred) {
         if (mDecisions[index] != null) {
             return;
         }
         mDecisions[index] = decision;
-        mMissing--;
-        if (mMissing == 0 && !mAnswered) {
+        mUndecided--;
+        if (mUndecided == 0 && !mAnswered) {
             mAnswered = true;
             List<EntryDecision> all = new ArrayList<>(List.of(mDecisions));
             deferred.add(() -> mReply.accept(new EntriesDecided(all)));
@@ -41,7 +41,7 @@
     }
 
     /** Refuses where the decisions take too long; returns whether the message is answered. */
-    boolean answeredOrRefused(long nowMs, long holdMs, Deferred deferred) {
+    boolean rejectIfOverdue(long nowMs, long holdMs, DeferredActions deferred) {
         if (!mAnswered && nowMs - mReceivedMs >= holdMs) {
             mAnswered = true;
             deferred.add(() -> mReply.accept(new EntriesRefused(holdMs)));
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/BillMemory.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/RecentBills.java
@@ -13,7 +13,7 @@
  * its newest value and amount. A value is an attempt's mark in the upper 56 bits and a count in the
  * lowest 8; it is never 0. Not thread-safe; the ledger's lock guards it.
  */
-final class BillMemory {
+final class RecentBills {
     private final Deque<Generation> mClosed = new ArrayDeque<>();
     private Generation mOpen;
 
@@ -59,7 +59,7 @@
         void visit(RequestFingerprint id, Entry entry);
     }
 
-    BillMemory(long openNumber) {
+    RecentBills(long openNumber) {
         mOpen = new Generation(openNumber);
     }
 
@@ -79,7 +79,7 @@
     }
 
     /** Closes the open generation where a later one has begun; forgets the old ones. */
-    boolean advanceTo(long number) {
+    boolean openGeneration(long number) {
         if (number <= mOpen.number()) {
             return false;
         }
@@ -104,7 +104,7 @@
     }
 
     /** Returns the closed generations, the oldest first. */
-    Iterable<Generation> closed() {
+    Iterable<Generation> closedGenerations() {
         return mClosed;
     }
 
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/RequestAudit.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/RequestAudit.java
@@ -27,7 +27,7 @@
  * not thread-safe beyond that each step follows the reply of the last one.
  */
 public final class RequestAudit {
-    private static final int PAGE = 8;
+    private static final int PAGE_BATCHES = 8;
     private static final int MAX_RESTARTS = 5;
     private static final int MAX_FINDINGS = 100;
 
@@ -38,7 +38,7 @@
     private final List<OpenClaim> mOpenClaims = new ArrayList<>();
     private final List<String> mFindings = new ArrayList<>();
     private long mMoreOpenClaims;
-    private long mRemembered;
+    private long mRememberedIds;
     private int mRestarts;
 
     /**
@@ -62,10 +62,10 @@
      *     read
      */
     public void run(long nowMs, BiConsumer<Long, Either<Failure, RequestAuditReport>> done) {
-        shard(nowMs, 0, done);
+        readShard(nowMs, 0, done);
     }
 
-    private void shard(
+    private void readShard(
             long nowMs, int shard, BiConsumer<Long, Either<Failure, RequestAuditReport>> done) {
         if (shard == mSettings.shards()) {
             done.accept(nowMs, Either.right(report()));
@@ -76,12 +76,12 @@
                         new CheckpointKeys(shard),
                         mSettings.retention(),
                         (atMs, loaded) ->
-                                loaded.peek(state -> readOn(atMs, shard, state, done))
-                                        .peekLeft(f -> restart(atMs, shard, f, done)))
+                                loaded.peek(state -> readNextPage(atMs, shard, state, done))
+                                        .peekLeft(f -> restartShard(atMs, shard, f, done)))
                 .start(nowMs);
     }
 
-    private void readOn(
+    private void readNextPage(
             long nowMs,
             int shard,
             ShardState state,
@@ -90,33 +90,33 @@
                 .read(
                         nowMs,
                         state.nextSequence(),
-                        PAGE,
+                        PAGE_BATCHES,
                         (atMs, page) ->
-                                page.peek(batches -> take(atMs, shard, state, batches, done))
-                                        .peekLeft(f -> restart(atMs, shard, f, done)));
+                                page.peek(batches -> onPageRead(atMs, shard, state, batches, done))
+                                        .peekLeft(f -> restartShard(atMs, shard, f, done)));
     }
 
-    private void take(
+    private void onPageRead(
             long nowMs,
             int shard,
             ShardState state,
             List<LogBatch> batches,
             BiConsumer<Long, Either<Failure, RequestAuditReport>> done) {
         for (LogBatch batch : batches) {
-            check(shard, batch);
+            checkBatch(shard, batch);
             state.apply(batch);
         }
         if (!batches.isEmpty()) {
-            readOn(nowMs, shard, state, done);
+            readNextPage(nowMs, shard, state, done);
             return;
         }
-        add(state);
+        addShard(state);
         mRestarts = 0;
-        shard(nowMs, shard + 1, done);
+        readShard(nowMs, shard + 1, done);
     }
 
     /** Starts a shard anew where its log was truncated while it was read. */
-    private void restart(
+    private void restartShard(
             long nowMs,
             int shard,
             Failure failure,
@@ -127,17 +127,17 @@
             done.accept(nowMs, Either.left(Failure.of(failure.kind(), message)));
             return;
         }
-        shard(nowMs, shard, done);
+        readShard(nowMs, shard, done);
     }
 
-    private void check(int shard, LogBatch batch) {
+    private void checkBatch(int shard, LogBatch batch) {
         for (String text : batch.entries()) {
             if (EntryCodec.decodeTime(text).isPresent()) {
                 continue;
             }
             Either<Failure, RequestEntry> entry = EntryCodec.decode(text);
             if (entry.isLeft()) {
-                find(shard, batch, entry.getLeft().message());
+                addFinding(shard, batch, entry.getLeft().message());
                 continue;
             }
             RequestEntry known = entry.get();
@@ -145,21 +145,22 @@
                     RequestFingerprint.shard(
                             known.key().organisation(), known.key().request(), mSettings.shards());
             if (place != shard) {
-                find(shard, batch, "an entry of shard " + place + "; were the shards changed?");
+                addFinding(
+                        shard, batch, "an entry of shard " + place + "; were the shards changed?");
             }
         }
     }
 
-    private void find(int shard, LogBatch batch, String what) {
+    private void addFinding(int shard, LogBatch batch, String what) {
         if (mFindings.size() < MAX_FINDINGS) {
             mFindings.add("shard " + shard + ", batch " + batch.sequence() + ": " + what);
         }
     }
 
-    private void add(ShardState state) {
+    private void addShard(ShardState state) {
         state.totals().forEach((key, totals) -> mTotals.merge(key, totals, BudgetTotals::plus));
-        mRemembered += state.bills().size();
-        for (ClaimMemory.Held held : state.claims().held()) {
+        mRememberedIds += state.bills().size();
+        for (ClaimTable.HeldClaim held : state.claims().heldClaims()) {
             if (held.outcome().isPresent()) {
                 continue;
             }
@@ -173,6 +174,6 @@
 
     private RequestAuditReport report() {
         return new RequestAuditReport(
-                mTotals, mOpenClaims, mMoreOpenClaims, mRemembered, mFindings);
+                mTotals, mOpenClaims, mMoreOpenClaims, mRememberedIds, mFindings);
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/RequestFingerprint.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/RequestFingerprint.java
@@ -54,7 +54,7 @@
     }
 
     /** Returns a 56-bit mark of an attempt, never 0. */
-    static long mark(AttemptId attempt) {
+    static long attemptTag(AttemptId attempt) {
         long high = hash(attempt.vm().toString() + SEPARATOR + attempt.number()).high();
         return (high >>> Byte.SIZE) | 1L;
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/RequestLedger.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/RequestLedger.java
@@ -38,7 +38,7 @@
  * sums to it; a claim is granted to one attempt ever, and only once that is durable; an attempt
  * whose claim was answered with a failure is never granted later, and its claim is withdrawn
  * durably before the id may run elsewhere. What waits is kept in memory until it is decided; {@link
- * #backlogFull} tells when no new work may be admitted.
+ * #isBacklogFull} tells when no new work may be admitted.
  *
  * <p>Thread-safe: one lock guards all state, and it is the only lock; calls, messages and callbacks
  * run without it.
@@ -47,15 +47,15 @@
 
     private final LedgerSettings mSettings;
     private final Object mLock = new Object();
-    private final ShardTraffic mTraffic;
+    private final ShardDispatcher mDispatcher;
     private final SettingsAgreement mAgreement;
-    private final ClaimWaits mClaims;
-    private final RepeatLimit mRepeats;
-    private final List<LongConsumer> mHandOvers = new ArrayList<>();
+    private final PendingClaims mClaims;
+    private final RepeatLimiter mRepeatLimiter;
+    private final List<LongConsumer> mDrainCallbacks = new ArrayList<>();
 
-    private int mWaiting;
-    private long mWaitingBytes;
-    private boolean mHandingOver;
+    private int mPendingCount;
+    private long mPendingChars;
+    private boolean mDraining;
 
     /**
      * Creates a ledger in which nothing waits.
@@ -79,18 +79,18 @@
             LedgerSettings settings,
             long seed) {
         mSettings = settings;
-        mClaims = new ClaimWaits(provedGone);
-        mRepeats = new RepeatLimit(settings.retention());
+        mClaims = new PendingClaims(provedGone);
+        mRepeatLimiter = new RepeatLimiter(settings.retention());
         SplittableRandom random = new SplittableRandom(seed);
-        mAgreement = new SettingsAgreement(platform, settings, this::locked, random.split());
-        mTraffic =
-                new ShardTraffic(
-                        new ShardTraffic.Links(platform, background, peers),
+        mAgreement = new SettingsAgreement(platform, settings, this::runLocked, random.split());
+        mDispatcher =
+                new ShardDispatcher(
+                        new ShardDispatcher.Connections(platform, background, peers),
                         self,
                         owners,
                         settings,
-                        this::locked,
-                        mAgreement::same,
+                        this::runLocked,
+                        mAgreement::isMatching,
                         random);
     }
 
@@ -98,9 +98,9 @@
      * Says why this VM must not take requests yet, or at all: the fleet's settings of the log are
      * not read yet, or are not this VM's. Until then nothing is read from the log or written to it.
      */
-    public Optional<Failure> notReady() {
+    public Optional<Failure> readinessFailure() {
         synchronized (mLock) {
-            return mAgreement.notReady();
+            return mAgreement.readinessFailure();
         }
     }
 
@@ -112,8 +112,8 @@
      * @return {@code IDEMPOTENCY_KEY_EXPIRED} where the key's own time is too old, or where too
      *     many attempts of the request were answered without being billed
      */
-    public Optional<Failure> refusal(long nowMs, RequestKey key) {
-        if (ClaimMemory.expired(key.request(), nowMs, mSettings.retention())) {
+    public Optional<Failure> rejectionReason(long nowMs, RequestKey key) {
+        if (ClaimTable.isExpired(key.request(), nowMs, mSettings.retention())) {
             return Optional.of(
                     Failure.of(
                             ErrorKind.IDEMPOTENCY_KEY_EXPIRED,
@@ -121,7 +121,7 @@
                                     + " is new"));
         }
         synchronized (mLock) {
-            if (!mRepeats.exhausted(nowMs, key)) {
+            if (!mRepeatLimiter.isExhausted(nowMs, key)) {
                 return Optional.empty();
             }
         }
@@ -140,22 +140,22 @@
      *     durable
      */
     public void bill(long nowMs, Bill bill, BiConsumer<Long, Either<Failure, BillCharge>> done) {
-        locked(
+        runLocked(
                 deferred ->
                         enqueue(
                                 nowMs,
                                 new BillEntry(bill),
-                                (atMs, decision) -> billed(atMs, bill, decision, done),
+                                (atMs, decision) -> onBillDecision(atMs, bill, decision, done),
                                 deferred));
     }
 
-    private void billed(
+    private void onBillDecision(
             long nowMs,
             Bill bill,
             EntryDecision decision,
             BiConsumer<Long, Either<Failure, BillCharge>> done) {
         synchronized (mLock) {
-            mRepeats.note(nowMs, bill.key(), decision.repeats());
+            mRepeatLimiter.recordRepeats(nowMs, bill.key(), decision.repeats());
         }
         BillOutcome outcome =
                 switch (decision.kind()) {
@@ -177,14 +177,14 @@
     public void claim(
             long nowMs, Claim claim, BiConsumer<Long, Either<Failure, ClaimOutcome>> done) {
         long deadlineMs = nowMs + mSettings.claimWaitMs();
-        locked(
+        runLocked(
                 deferred -> {
-                    ClaimWaits.Waiting waiting = mClaims.add(claim, deadlineMs, done);
+                    PendingClaims.PendingClaim waiting = mClaims.add(claim, deadlineMs, done);
                     enqueue(
                             nowMs,
                             new ClaimEntry(claim),
                             (atMs, decision) ->
-                                    locked(d -> mClaims.decided(atMs, waiting, decision, d)),
+                                    runLocked(d -> mClaims.onDecision(atMs, waiting, decision, d)),
                             deferred);
                 });
     }
@@ -196,10 +196,10 @@
      * @param claim the claim
      */
     public void withdraw(long nowMs, Claim claim) {
-        locked(deferred -> enqueueWithdrawal(nowMs, claim, deferred));
+        runLocked(deferred -> enqueueWithdrawal(nowMs, claim, deferred));
     }
 
-    private void enqueueWithdrawal(long nowMs, Claim claim, Deferred deferred) {
+    private void enqueueWithdrawal(long nowMs, Claim claim, DeferredActions deferred) {
         long atMs = Math.max(nowMs, claim.admittedAtMs());
         AttemptId attempt = claim.attempt();
         enqueue(
@@ -219,7 +219,7 @@
      */
     public void recordOutcome(
             long nowMs, CallOutcome outcome, BiConsumer<Long, Either<Failure, Boolean>> done) {
-        locked(
+        runLocked(
                 deferred ->
                         enqueue(
                                 nowMs,
@@ -237,11 +237,11 @@
             long nowMs,
             RequestEntry entry,
             BiConsumer<Long, EntryDecision> done,
-            Deferred deferred) {
+            DeferredActions deferred) {
         String text = EntryCodec.encode(entry);
         boolean[] decided = new boolean[1];
-        Proposal proposal =
-                new Proposal(
+        PendingEntry proposal =
+                new PendingEntry(
                         entry,
                         text,
                         true,
@@ -250,9 +250,9 @@
                                 done.accept(atMs, decision);
                             }
                         });
-        mWaiting++;
-        mWaitingBytes += text.length();
-        mTraffic.add(nowMs, shardOf(entry.key()), proposal, deferred);
+        mPendingCount++;
+        mPendingChars += text.length();
+        mDispatcher.add(nowMs, shardOf(entry.key()), proposal, deferred);
     }
 
     /** Counts an entry as no longer waiting; returns false where it was decided before. */
@@ -262,8 +262,8 @@
                 return false;
             }
             decided[0] = true;
-            mWaiting--;
-            mWaitingBytes -= text.length();
+            mPendingCount--;
+            mPendingChars -= text.length();
             return true;
         }
     }
@@ -273,17 +273,17 @@
     }
 
     /** Returns whether so much waits to become durable that new work must be refused. */
-    public boolean backlogFull() {
+    public boolean isBacklogFull() {
         synchronized (mLock) {
-            return mWaiting >= mSettings.backlog().maxEntries()
-                    || mWaitingBytes >= mSettings.backlog().maxBytes();
+            return mPendingCount >= mSettings.backlog().maxEntries()
+                    || mPendingChars >= mSettings.backlog().maxBytes();
         }
     }
 
     /** Returns how many of this VM's own entries are not durable yet. */
-    public int waiting() {
+    public int pendingCount() {
         synchronized (mLock) {
-            return mWaiting;
+            return mPendingCount;
         }
     }
 
@@ -293,25 +293,25 @@
      * @param nowMs the present time in milliseconds
      */
     public void tick(long nowMs) {
-        locked(
+        runLocked(
                 deferred -> {
                     mAgreement.step(nowMs, deferred);
                     mClaims.expire(nowMs, deferred)
                             .forEach(c -> enqueueWithdrawal(nowMs, c, deferred));
-                    mTraffic.tick(nowMs, deferred);
-                    finishHandOver(nowMs, deferred);
+                    mDispatcher.tick(nowMs, deferred);
+                    finishDrain(nowMs, deferred);
                 });
     }
 
     /** Returns the handler of other VMs' entries for shards that this VM owns. */
     public PeerHandler<SubmitEntries> submitHandler() {
         return (nowMs, from, message, reply) ->
-                locked(
+                runLocked(
                         deferred -> {
-                            if (mHandingOver) {
-                                ShardTraffic.refuse(reply, deferred);
+                            if (mDraining) {
+                                ShardDispatcher.reject(reply, deferred);
                             } else {
-                                mTraffic.receive(nowMs, message, reply, deferred);
+                                mDispatcher.onSubmission(nowMs, message, reply, deferred);
                             }
                         });
     }
@@ -323,26 +323,26 @@
      * @param nowMs the present time in milliseconds
      * @param done takes the time in milliseconds at which all is durable
      */
-    public void handOver(long nowMs, LongConsumer done) {
-        locked(
+    public void drain(long nowMs, LongConsumer done) {
+        runLocked(
                 deferred -> {
-                    mHandingOver = true;
-                    mHandOvers.add(done);
-                    finishHandOver(nowMs, deferred);
+                    mDraining = true;
+                    mDrainCallbacks.add(done);
+                    finishDrain(nowMs, deferred);
                 });
     }
 
-    private void finishHandOver(long nowMs, Deferred deferred) {
-        if (mHandOvers.isEmpty() || mWaiting > 0 || !mTraffic.idle()) {
+    private void finishDrain(long nowMs, DeferredActions deferred) {
+        if (mDrainCallbacks.isEmpty() || mPendingCount > 0 || !mDispatcher.isIdle()) {
             return;
         }
-        List<LongConsumer> waiting = List.copyOf(mHandOvers);
-        mHandOvers.clear();
+        List<LongConsumer> waiting = List.copyOf(mDrainCallbacks);
+        mDrainCallbacks.clear();
         waiting.forEach(w -> deferred.add(() -> w.accept(nowMs)));
     }
 
-    private void locked(Consumer<Deferred> step) {
-        Deferred deferred = new Deferred();
+    private void runLocked(Consumer<DeferredActions> step) {
+        DeferredActions deferred = new DeferredActions();
         synchronized (mLock) {
             step.accept(deferred);
         }
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/Retention.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/Retention.java
@@ -38,12 +38,12 @@
     }
 
     /** Returns for how long a bill's id is remembered, in milliseconds of active time. */
-    long rememberMs() {
+    long retentionMs() {
         return retryMs + lateMs + skewMs;
     }
 
     /** Returns the length of one generation, in milliseconds of active time. */
     long generationMs() {
-        return Math.max(1, rememberMs() / GENERATIONS);
+        return Math.max(1, retentionMs() / GENERATIONS);
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/SettingsAgreement.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/SettingsAgreement.java
@@ -23,24 +23,24 @@
     static final String KEY = "requests/settings";
 
     /** The number of the rules by which the log is decided; raised with every change of them. */
-    static final int RULES = 2;
+    static final int RULES_VERSION = 2;
 
     private static final RetryPolicy BACKOFF = new RetryPolicy(50, 2_000, Integer.MAX_VALUE);
 
     private final Platform mPlatform;
-    private final Agreed mOwn;
-    private final Deferred.Guard mGuard;
+    private final SharedSettings mOwnSettings;
+    private final DeferredActions.LockRunner mLockRunner;
     private final SplittableRandom mRandom;
 
-    private Answer mAnswer = Answer.NOT_KNOWN;
-    private String mTheirs = "";
+    private Comparison mComparison = Comparison.UNKNOWN;
+    private String mStoredSettings = "";
     private boolean mCallOpen;
     private int mFailures;
     private long mNextTryMs = Long.MIN_VALUE;
 
     /** What is known. */
-    private enum Answer {
-        NOT_KNOWN,
+    private enum Comparison {
+        UNKNOWN,
         SAME,
         DIFFERENT
     }
@@ -52,29 +52,29 @@
      * @param shards the number of shards
      * @param retention how long ids are remembered
      */
-    record Agreed(int rules, int shards, Retention retention) {}
+    record SharedSettings(int rules, int shards, Retention retention) {}
 
     SettingsAgreement(
             Platform platform,
             LedgerSettings settings,
-            Deferred.Guard guard,
+            DeferredActions.LockRunner guard,
             SplittableRandom random) {
         mPlatform = platform;
-        mOwn = new Agreed(RULES, settings.shards(), settings.retention());
-        mGuard = guard;
+        mOwnSettings = new SharedSettings(RULES_VERSION, settings.shards(), settings.retention());
+        mLockRunner = guard;
         mRandom = random;
     }
 
     /** Returns whether this VM may read and write the log. */
-    boolean same() {
-        return mAnswer == Answer.SAME;
+    boolean isMatching() {
+        return mComparison == Comparison.SAME;
     }
 
     /** Returns why this VM may not, if so. */
-    Optional<Failure> notReady() {
-        return switch (mAnswer) {
+    Optional<Failure> readinessFailure() {
+        return switch (mComparison) {
             case SAME -> Optional.empty();
-            case NOT_KNOWN ->
+            case UNKNOWN ->
                     Optional.of(
                             Failure.of(
                                     ErrorKind.NOT_READY,
@@ -84,9 +84,9 @@
                             Failure.of(
                                     ErrorKind.NOT_READY,
                                     "this VM's settings of the request log, "
-                                            + Json.encode(mOwn)
+                                            + Json.encode(mOwnSettings)
                                             + ", are not the fleet's, "
-                                            + mTheirs
+                                            + mStoredSettings
                                             + ", kept at "
                                             + KEY
                                             + "; start this VM with the fleet's settings and"
@@ -95,31 +95,32 @@
     }
 
     /** Asks the platform where that is due. */
-    void step(long nowMs, Deferred deferred) {
-        if (mAnswer != Answer.NOT_KNOWN || mCallOpen || nowMs < mNextTryMs) {
+    void step(long nowMs, DeferredActions deferred) {
+        if (mComparison != Comparison.UNKNOWN || mCallOpen || nowMs < mNextTryMs) {
             return;
         }
         submit(nowMs, new PlatformCall.Get(KEY), deferred);
     }
 
-    private void submit(long nowMs, PlatformCall call, Deferred deferred) {
+    private void submit(long nowMs, PlatformCall call, DeferredActions deferred) {
         mCallOpen = true;
         deferred.add(
                 () ->
                         mPlatform.submit(
                                 nowMs,
                                 call,
-                                (atMs, reply) -> mGuard.locked(d -> replied(atMs, reply, d))));
+                                (atMs, reply) ->
+                                        mLockRunner.runLocked(d -> onReply(atMs, reply, d))));
     }
 
-    private void replied(long nowMs, PlatformReply reply, Deferred deferred) {
+    private void onReply(long nowMs, PlatformReply reply, DeferredActions deferred) {
         mCallOpen = false;
         if (reply instanceof PlatformReply.Written) {
-            mAnswer = Answer.SAME;
+            mComparison = Comparison.SAME;
         } else if (reply instanceof PlatformReply.Found found) {
             compare(found.object().value());
         } else if (reply instanceof PlatformReply.Missing) {
-            submit(nowMs, new PlatformCall.Create(KEY, Json.encode(mOwn)), deferred);
+            submit(nowMs, new PlatformCall.Create(KEY, Json.encode(mOwnSettings)), deferred);
         } else {
             mFailures++;
             mNextTryMs = nowMs + BACKOFF.waitMs(mFailures, mRandom);
@@ -127,8 +128,9 @@
     }
 
     private void compare(String theirs) {
-        boolean same = Json.decode(theirs, Agreed.class).filter(mOwn::equals).isDefined();
-        mTheirs = theirs;
-        mAnswer = same ? Answer.SAME : Answer.DIFFERENT;
+        boolean same =
+                Json.decode(theirs, SharedSettings.class).filter(mOwnSettings::equals).isDefined();
+        mStoredSettings = theirs;
+        mComparison = same ? Comparison.SAME : Comparison.DIFFERENT;
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/ShardTraffic.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/ShardDispatcher.java
@@ -24,24 +24,24 @@
  * its own entries wait, others' are refused and no shard is opened. Not thread-safe; the ledger's
  * lock guards it.
  */
-final class ShardTraffic {
-    private static final long HOLD_MS = 1_500;
-    private static final long CUT_OFF_MS = 3_000;
+final class ShardDispatcher {
+    private static final long MAX_DECISION_MS = 1_500;
+    private static final long PLATFORM_UNREACHABLE_MS = 3_000;
     private static final long REPLICA_IDLE_MS = 60_000;
     private static final long OWNERS_REFRESH_MS = 1_000;
     private static final int MAX_LOADING = 4;
 
-    private final Links mLinks;
+    private final Connections mConnections;
     private final VmId mSelf;
     private final ShardOwners mOwners;
     private final LedgerSettings mSettings;
-    private final Deferred.Guard mGuard;
-    private final BooleanSupplier mOpen;
+    private final DeferredActions.LockRunner mLockRunner;
+    private final BooleanSupplier mSettingsMatch;
     private final SplittableRandom mRandom;
-    private final Map<Integer, Place> mPlaces = new HashMap<>();
-    private final List<EntryReception> mReceptions = new ArrayList<>();
+    private final Map<Integer, LocalShard> mShards = new HashMap<>();
+    private final List<PendingSubmission> mSubmissions = new ArrayList<>();
 
-    private long mOwnersAtMs = Long.MIN_VALUE;
+    private long mOwnersRefreshedMs = Long.MIN_VALUE;
     private long mWriterSequence;
 
     /**
@@ -51,107 +51,111 @@
      * @param background the same platform, for checkpoints and truncation, which can wait
      * @param peers the other routers
      */
-    record Links(Platform platform, Platform background, PeerNetwork peers) {}
+    record Connections(Platform platform, Platform background, PeerNetwork peers) {}
 
     /** What this VM holds of one shard. */
-    private static final class Place {
+    private static final class LocalShard {
         private final ShardOutbox mOutbox;
         private Optional<VmId> mOwner = Optional.empty();
         private Optional<VmId> mBackup = Optional.empty();
         private Optional<ShardReplica> mReplica = Optional.empty();
         private long mUsedMs;
 
-        private Place(ShardOutbox outbox) {
+        private LocalShard(ShardOutbox outbox) {
             mOutbox = outbox;
         }
 
-        private boolean ownedBy(VmId vm) {
+        private boolean isOwnedBy(VmId vm) {
             return mOwner.isEmpty() || mOwner.get().equals(vm);
         }
     }
 
-    ShardTraffic(
-            Links links,
+    ShardDispatcher(
+            Connections links,
             VmId self,
             ShardOwners owners,
             LedgerSettings settings,
-            Deferred.Guard guard,
+            DeferredActions.LockRunner guard,
             BooleanSupplier open,
             SplittableRandom random) {
-        mLinks = links;
+        mConnections = links;
         mSelf = self;
         mOwners = owners;
         mSettings = settings;
-        mGuard = guard;
-        mOpen = open;
+        mLockRunner = guard;
+        mSettingsMatch = open;
         mRandom = random;
         for (int shard = 0; shard < settings.shards(); shard++) {
             ShardOutbox outbox = new ShardOutbox(shard, links.peers(), guard, random.split());
-            mPlaces.put(shard, new Place(outbox));
+            mShards.put(shard, new LocalShard(outbox));
         }
     }
 
     /** Takes in one of this VM's own entries. */
-    void add(long nowMs, int shard, Proposal proposal, Deferred deferred) {
+    void add(long nowMs, int shard, PendingEntry proposal, DeferredActions deferred) {
         refreshOwners(nowMs);
-        Place place = mPlaces.get(shard);
+        LocalShard place = mShards.get(shard);
         place.mOutbox.add(proposal);
         forward(nowMs, shard, place, deferred);
     }
 
     /** Does what is due in every shard. */
-    void tick(long nowMs, Deferred deferred) {
+    void tick(long nowMs, DeferredActions deferred) {
         refreshOwners(nowMs);
-        mPlaces.forEach(
+        mShards.forEach(
                 (shard, place) -> {
                     forward(nowMs, shard, place, deferred);
-                    keep(nowMs, shard, place, deferred);
+                    maintainReplica(nowMs, shard, place, deferred);
                 });
-        mReceptions.removeIf(r -> r.answeredOrRefused(nowMs, HOLD_MS, deferred));
+        mSubmissions.removeIf(r -> r.rejectIfOverdue(nowMs, MAX_DECISION_MS, deferred));
     }
 
     private void refreshOwners(long nowMs) {
-        if (mOwnersAtMs != Long.MIN_VALUE && nowMs - mOwnersAtMs < OWNERS_REFRESH_MS) {
+        if (mOwnersRefreshedMs != Long.MIN_VALUE
+                && nowMs - mOwnersRefreshedMs < OWNERS_REFRESH_MS) {
             return;
         }
-        mOwnersAtMs = nowMs;
-        mPlaces.forEach(
+        mOwnersRefreshedMs = nowMs;
+        mShards.forEach(
                 (shard, place) -> {
                     place.mOwner = mOwners.owner(shard);
-                    place.mBackup = place.ownedBy(mSelf) ? mOwners.backup(shard) : Optional.empty();
+                    place.mBackup =
+                            place.isOwnedBy(mSelf) ? mOwners.backup(shard) : Optional.empty();
                 });
     }
 
-    private void forward(long nowMs, int shard, Place place, Deferred deferred) {
+    private void forward(long nowMs, int shard, LocalShard place, DeferredActions deferred) {
         ShardOutbox outbox = place.mOutbox;
-        if (!mOpen.getAsBoolean() || outbox.isEmpty()) {
+        if (!mSettingsMatch.getAsBoolean() || outbox.isEmpty()) {
             return;
         }
-        boolean owned = place.ownedBy(mSelf);
-        if (!owned && !outbox.direct(nowMs)) {
+        boolean owned = place.isOwnedBy(mSelf);
+        if (!owned && !outbox.appendsDirectly(nowMs)) {
             outbox.sendTo(nowMs, place.mOwner.orElseThrow(), deferred);
             return;
         }
         ShardReplica replica = replica(nowMs, shard, place);
-        if (owned && replica.failingForMs(nowMs) >= CUT_OFF_MS) {
+        if (owned && replica.failingForMs(nowMs) >= PLATFORM_UNREACHABLE_MS) {
             place.mBackup.ifPresent(b -> outbox.sendTo(nowMs, b, deferred));
-        } else if (owned || replica.healthy()) {
+        } else if (owned || replica.isHealthy()) {
             outbox.drainTo(nowMs, replica, deferred);
         }
         replica.step(nowMs, deferred);
     }
 
-    private ShardReplica replica(long nowMs, int shard, Place place) {
+    private ShardReplica replica(long nowMs, int shard, LocalShard place) {
         place.mUsedMs = nowMs;
         if (place.mReplica.isEmpty()) {
             place.mReplica =
                     Optional.of(
                             new ShardReplica(
                                     ShardReplica.Storage.of(
-                                            mLinks.platform(), mLinks.background(), shard),
+                                            mConnections.platform(),
+                                            mConnections.background(),
+                                            shard),
                                     mSelf,
                                     mSettings,
-                                    mGuard,
+                                    mLockRunner,
                                     () -> mWriterSequence++,
                                     mRandom.split()));
         }
@@ -159,76 +163,82 @@
     }
 
     /** Opens the copy of an owned shard, closes one that is not used, and lets others go on. */
-    private void keep(long nowMs, int shard, Place place, Deferred deferred) {
-        boolean owned = place.ownedBy(mSelf);
+    private void maintainReplica(
+            long nowMs, int shard, LocalShard place, DeferredActions deferred) {
+        boolean owned = place.isOwnedBy(mSelf);
         if (place.mReplica.isEmpty()) {
-            if (owned && mOpen.getAsBoolean() && loading() < MAX_LOADING) {
+            if (owned && mSettingsMatch.getAsBoolean() && loadingCount() < MAX_LOADING) {
                 replica(nowMs, shard, place).step(nowMs, deferred);
             }
             return;
         }
         ShardReplica replica = place.mReplica.get();
-        if (!owned && nowMs - place.mUsedMs > REPLICA_IDLE_MS && replica.idle()) {
+        if (!owned && nowMs - place.mUsedMs > REPLICA_IDLE_MS && replica.isIdle()) {
             place.mReplica = Optional.empty();
             return;
         }
-        if (replica.failingForMs(nowMs) >= CUT_OFF_MS) {
-            place.mOutbox.addFirst(replica.recall());
+        if (replica.failingForMs(nowMs) >= PLATFORM_UNREACHABLE_MS) {
+            place.mOutbox.addFirst(replica.removeLocalEntries());
         }
         replica.step(nowMs, deferred);
-        replica.checkpoint(nowMs, owned, deferred);
+        replica.maintainCheckpoint(nowMs, owned, deferred);
     }
 
-    private long loading() {
-        return mPlaces.values().stream()
+    private long loadingCount() {
+        return mShards.values().stream()
                 .flatMap(p -> p.mReplica.stream())
-                .filter(r -> !r.healthy())
+                .filter(r -> !r.isHealthy())
                 .count();
     }
 
     /** Takes in another VM's entries. */
-    void receive(
-            long nowMs, SubmitEntries message, Consumer<PeerMessage> reply, Deferred deferred) {
+    void onSubmission(
+            long nowMs,
+            SubmitEntries message,
+            Consumer<PeerMessage> reply,
+            DeferredActions deferred) {
         List<RequestEntry> entries = new ArrayList<>();
         message.entries().forEach(t -> EntryCodec.decode(t).forEach(entries::add));
-        Place place = mPlaces.get(message.shard());
-        if (!mOpen.getAsBoolean()
+        LocalShard place = mShards.get(message.shard());
+        if (!mSettingsMatch.getAsBoolean()
                 || place == null
                 || entries.isEmpty()
                 || entries.size() != message.entries().size()) {
-            refuse(reply, deferred);
+            reject(reply, deferred);
             return;
         }
         ShardReplica replica = replica(nowMs, message.shard(), place);
-        boolean full = replica.waiting() + entries.size() > mSettings.backlog().maxOwnerEntries();
-        if (full || replica.failingForMs(nowMs) >= HOLD_MS) {
-            refuse(reply, deferred);
+        boolean full =
+                replica.pendingCount() + entries.size() > mSettings.backlog().maxOwnerEntries();
+        if (full || replica.failingForMs(nowMs) >= MAX_DECISION_MS) {
+            reject(reply, deferred);
             return;
         }
-        EntryReception reception = new EntryReception(entries.size(), nowMs, reply);
-        mReceptions.add(reception);
+        PendingSubmission reception = new PendingSubmission(entries.size(), nowMs, reply);
+        mSubmissions.add(reception);
         for (int i = 0; i < entries.size(); i++) {
             int index = i;
-            Proposal proposal =
-                    new Proposal(
+            PendingEntry proposal =
+                    new PendingEntry(
                             entries.get(i),
                             message.entries().get(i),
                             false,
                             (atMs, decision) ->
-                                    mGuard.locked(d -> reception.decided(index, decision, d)));
+                                    mLockRunner.runLocked(
+                                            d -> reception.onDecision(index, decision, d)));
             replica.submit(nowMs, proposal, deferred);
         }
     }
 
     /** Refuses another VM's entries. */
-    static void refuse(Consumer<PeerMessage> reply, Deferred deferred) {
-        deferred.add(() -> reply.accept(new EntriesRefused(HOLD_MS)));
+    static void reject(Consumer<PeerMessage> reply, DeferredActions deferred) {
+        deferred.add(() -> reply.accept(new EntriesRefused(MAX_DECISION_MS)));
     }
 
     /** Returns whether no entry, this VM's own or another's, waits in a copy of a shard. */
-    boolean idle() {
-        return mPlaces.values().stream()
+    boolean isIdle() {
+        return mShards.values().stream()
                 .flatMap(p -> p.mReplica.stream())
-                .allMatch(ShardReplica::idle);
+                .allMatch(ShardReplica::isIdle);
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/ShardOwners.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/ShardOwners.java
@@ -14,7 +14,7 @@
  */
 public interface ShardOwners {
     /** What a shard's key for hashing starts with. */
-    String KEY = "requests/";
+    String KEY_PREFIX = "requests/";
 
     /** Returns the shard's owner as this VM sees it; empty where no member is known. */
     Optional<VmId> owner(int shard);
@@ -36,12 +36,12 @@
         return new ShardOwners() {
             @Override
             public Optional<VmId> owner(int shard) {
-                return RendezvousHash.choose(KEY + shard, liveMembers.get());
+                return RendezvousHash.choose(KEY_PREFIX + shard, liveMembers.get());
             }
 
             @Override
             public Optional<VmId> backup(int shard) {
-                return RendezvousHash.choose(KEY + shard, liveMembers.get(), 2).stream()
+                return RendezvousHash.choose(KEY_PREFIX + shard, liveMembers.get(), 2).stream()
                         .skip(1)
                         .findFirst();
             }
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/ShardReplica.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/ShardReplica.java
@@ -34,17 +34,17 @@
 final class ShardReplica {
     private static final RetryPolicy BACKOFF = new RetryPolicy(50, 2_000, Integer.MAX_VALUE);
     static final String LOG_PREFIX = "requests/";
-    private static final int PAGE = 8;
-    private static final int TRUNCATE_PAGE = 20;
+    private static final int PAGE_BATCHES = 8;
+    private static final int TRUNCATE_PAGE_BATCHES = 20;
 
     private final Storage mStorage;
     private final VmId mSelf;
     private final LedgerSettings mSettings;
-    private final Deferred.Guard mGuard;
+    private final DeferredActions.LockRunner mLockRunner;
     private final LongSupplier mWriterSequences;
     private final SplittableRandom mRandom;
-    private final Deque<Proposal> mPending = new ArrayDeque<>();
-    private final List<Proposal> mInFlight = new ArrayList<>();
+    private final Deque<PendingEntry> mPending = new ArrayDeque<>();
+    private final List<PendingEntry> mInFlight = new ArrayList<>();
 
     /**
      * Where a shard is kept.
@@ -70,37 +70,37 @@
     private LogBatch mOpenBatch;
     private long mOpenBatchMs;
     private boolean mLoaded;
-    private boolean mReady;
+    private boolean mCaughtUp;
     private boolean mCheckpointing;
     private long mTruncateBelow;
     private boolean mCallOpen;
     private long mPendingBytes;
-    private int mUrgent;
+    private int mUrgentCount;
     private int mFailures;
     private long mFailingSinceMs;
     private long mNextTryMs = Long.MIN_VALUE;
     private long mLastWriteMs = Long.MIN_VALUE;
-    private boolean mSkipInterval;
+    private boolean mWriteNow;
 
     ShardReplica(
             Storage storage,
             VmId self,
             LedgerSettings settings,
-            Deferred.Guard guard,
+            DeferredActions.LockRunner guard,
             LongSupplier writerSequences,
             SplittableRandom random) {
         mStorage = storage;
         mSelf = self;
         mSettings = settings;
-        mGuard = guard;
+        mLockRunner = guard;
         mWriterSequences = writerSequences;
         mRandom = random;
         mState = new ShardState(settings.retention());
     }
 
     /** Returns whether the copy has caught up and the platform answered the last call. */
-    boolean healthy() {
-        return mReady && mFailures == 0;
+    boolean isHealthy() {
+        return mCaughtUp && mFailures == 0;
     }
 
     /** Returns for how long the platform has not answered this copy's calls, in milliseconds. */
@@ -113,24 +113,24 @@
      * hold. A batch whose write is open is still tried again, and its entries may be decided twice,
      * alike.
      */
-    List<Proposal> recall() {
-        List<Proposal> own = new ArrayList<>(mInFlight);
+    List<PendingEntry> removeLocalEntries() {
+        List<PendingEntry> own = new ArrayList<>(mInFlight);
         own.addAll(mPending);
-        own.removeIf(p -> !p.own());
-        mInFlight.replaceAll(Proposal::notOwn);
+        own.removeIf(p -> !p.local());
+        mInFlight.replaceAll(PendingEntry::asRemote);
         mPending.clear();
         mPendingBytes = 0;
-        mUrgent = 0;
+        mUrgentCount = 0;
         return own;
     }
 
     /** Returns whether nothing waits here. */
-    boolean idle() {
+    boolean isIdle() {
         return mPending.isEmpty() && mInFlight.isEmpty() && !mCheckpointing;
     }
 
     /** Returns how many entries wait here. */
-    int waiting() {
+    int pendingCount() {
         return mPending.size() + mInFlight.size();
     }
 
@@ -140,18 +140,18 @@
     }
 
     /** Takes an entry in; it is answered at once where it is decided already. */
-    void submit(long nowMs, Proposal proposal, Deferred deferred) {
-        if (mReady && answerKnown(nowMs, proposal, deferred)) {
+    void submit(long nowMs, PendingEntry proposal, DeferredActions deferred) {
+        if (mCaughtUp && answerIfDecided(nowMs, proposal, deferred)) {
             return;
         }
         mPending.addLast(proposal);
-        mPendingBytes += proposal.bytes();
-        mUrgent += proposal.urgent() ? 1 : 0;
+        mPendingBytes += proposal.estimatedBytes();
+        mUrgentCount += proposal.urgent() ? 1 : 0;
         step(nowMs, deferred);
     }
 
-    private boolean answerKnown(long nowMs, Proposal proposal, Deferred deferred) {
-        return mState.known(proposal.entry())
+    private boolean answerIfDecided(long nowMs, PendingEntry proposal, DeferredActions deferred) {
+        return mState.finalDecision(proposal.entry())
                 .map(
                         decision -> {
                             deferred.add(() -> proposal.done().accept(nowMs, decision));
@@ -161,48 +161,48 @@
     }
 
     /** Starts the next call where one is due. */
-    void step(long nowMs, Deferred deferred) {
+    void step(long nowMs, DeferredActions deferred) {
         if (mCallOpen || nowMs < mNextTryMs) {
             return;
         }
         if (!mLoaded) {
-            load(nowMs, deferred);
-        } else if (!mReady) {
-            readOn(nowMs, deferred);
+            loadCheckpoint(nowMs, deferred);
+        } else if (!mCaughtUp) {
+            readNextPage(nowMs, deferred);
         } else if (mOpenBatch != null) {
             append(nowMs, deferred);
-        } else if (due(nowMs) && fillBatch(nowMs, deferred)) {
+        } else if (isWriteDue(nowMs) && fillBatch(nowMs, deferred)) {
             append(nowMs, deferred);
         }
     }
 
-    private boolean due(long nowMs) {
+    private boolean isWriteDue(long nowMs) {
         if (mPending.isEmpty()) {
             return false;
         }
         LedgerSettings.Commit commit = mSettings.commit();
-        long interval = mUrgent > 0 ? commit.claimIntervalMs() : commit.billIntervalMs();
-        return mSkipInterval
+        long interval = mUrgentCount > 0 ? commit.claimIntervalMs() : commit.billIntervalMs();
+        return mWriteNow
                 || mPendingBytes >= commit.maxBatchBytes()
                 || mLastWriteMs == Long.MIN_VALUE
                 || nowMs - mLastWriteMs >= interval;
     }
 
     /** Puts as many waiting entries as fit into a new batch; returns whether there is any. */
-    private boolean fillBatch(long nowMs, Deferred deferred) {
+    private boolean fillBatch(long nowMs, DeferredActions deferred) {
         int bytes = 0;
         while (!mPending.isEmpty()) {
-            Proposal next = mPending.peekFirst();
-            if (bytes > 0 && bytes + next.bytes() > mSettings.commit().maxBatchBytes()) {
+            PendingEntry next = mPending.peekFirst();
+            if (bytes > 0 && bytes + next.estimatedBytes() > mSettings.commit().maxBatchBytes()) {
                 break;
             }
             removePending();
-            if (!answerKnown(nowMs, next, deferred)) {
-                bytes += next.bytes();
+            if (!answerIfDecided(nowMs, next, deferred)) {
+                bytes += next.estimatedBytes();
                 mInFlight.add(next);
             }
         }
-        mSkipInterval = false;
+        mWriteNow = false;
         if (mInFlight.isEmpty()) {
             return false;
         }
@@ -216,12 +216,12 @@
     }
 
     private void removePending() {
-        Proposal first = mPending.removeFirst();
-        mPendingBytes -= first.bytes();
-        mUrgent -= first.urgent() ? 1 : 0;
+        PendingEntry first = mPending.removeFirst();
+        mPendingBytes -= first.estimatedBytes();
+        mUrgentCount -= first.urgent() ? 1 : 0;
     }
 
-    private void append(long nowMs, Deferred deferred) {
+    private void append(long nowMs, DeferredActions deferred) {
         mCallOpen = true;
         mLastWriteMs = nowMs;
         LogBatch batch = mOpenBatch;
@@ -233,13 +233,15 @@
                                         batch.sequence(),
                                         batch,
                                         (atMs, result) ->
-                                                mGuard.locked(d -> appended(atMs, result, d))));
+                                                mLockRunner.runLocked(
+                                                        d -> onAppended(atMs, result, d))));
     }
 
-    private void appended(long nowMs, Either<Failure, AppendResult> result, Deferred deferred) {
+    private void onAppended(
+            long nowMs, Either<Failure, AppendResult> result, DeferredActions deferred) {
         mCallOpen = false;
         if (result.isLeft()) {
-            failed(nowMs, result.getLeft());
+            onFailure(nowMs, result.getLeft());
             return;
         }
         mFailures = 0;
@@ -247,16 +249,16 @@
         if (result.get() instanceof AppendResult.Lost lost) {
             requeue();
             mState.apply(lost.winner());
-            mSkipInterval = true;
+            mWriteNow = true;
         } else {
             applyOwn(nowMs, deferred);
         }
         step(nowMs, deferred);
     }
 
-    private void applyOwn(long nowMs, Deferred deferred) {
+    private void applyOwn(long nowMs, DeferredActions deferred) {
         mState.beginBatch(mOpenBatchMs);
-        for (Proposal proposal : mInFlight) {
+        for (PendingEntry proposal : mInFlight) {
             EntryDecision decision = mState.apply(proposal.entry());
             deferred.add(() -> proposal.done().accept(nowMs, decision));
         }
@@ -264,14 +266,14 @@
         mState.endBatch();
     }
 
-    private void failed(long nowMs, Failure failure) {
+    private void onFailure(long nowMs, Failure failure) {
         mFailingSinceMs = mFailures == 0 ? nowMs : mFailingSinceMs;
         mFailures++;
         mNextTryMs = nowMs + BACKOFF.waitMs(mFailures, mRandom);
         if (failure.kind() == ErrorKind.REVISION_CONFLICT) {
             requeue();
             mOpenBatch = null;
-            mReady = false;
+            mCaughtUp = false;
             mLoaded = false;
             mState = new ShardState(mSettings.retention());
         }
@@ -280,28 +282,29 @@
     /** Puts the entries of a batch that does not stand back to the front. */
     private void requeue() {
         for (int i = mInFlight.size() - 1; i >= 0; i--) {
-            Proposal proposal = mInFlight.get(i);
+            PendingEntry proposal = mInFlight.get(i);
             mPending.addFirst(proposal);
-            mPendingBytes += proposal.bytes();
-            mUrgent += proposal.urgent() ? 1 : 0;
+            mPendingBytes += proposal.estimatedBytes();
+            mUrgentCount += proposal.urgent() ? 1 : 0;
         }
         mInFlight.clear();
     }
 
-    private void load(long nowMs, Deferred deferred) {
+    private void loadCheckpoint(long nowMs, DeferredActions deferred) {
         mCallOpen = true;
         BiConsumer<Long, Either<Failure, ShardState>> done =
-                (atMs, loaded) -> mGuard.locked(d -> loaded(atMs, loaded, d));
+                (atMs, loaded) -> mLockRunner.runLocked(d -> onLoaded(atMs, loaded, d));
         CheckpointLoader loader =
                 new CheckpointLoader(
                         mStorage.platform(), mStorage.keys(), mSettings.retention(), done);
         deferred.add(() -> loader.start(nowMs));
     }
 
-    private void loaded(long nowMs, Either<Failure, ShardState> loaded, Deferred deferred) {
+    private void onLoaded(
+            long nowMs, Either<Failure, ShardState> loaded, DeferredActions deferred) {
         mCallOpen = false;
         if (loaded.isLeft()) {
-            failed(nowMs, loaded.getLeft());
+            onFailure(nowMs, loaded.getLeft());
             return;
         }
         mFailures = 0;
@@ -316,8 +319,8 @@
      *
      * @param owned whether this VM owns the shard; another one leaves it to the owner
      */
-    void checkpoint(long nowMs, boolean owned, Deferred deferred) {
-        if (!mReady || mCheckpointing) {
+    void maintainCheckpoint(long nowMs, boolean owned, DeferredActions deferred) {
+        if (!mCaughtUp || mCheckpointing) {
             return;
         }
         Optional<Checkpoint> newest = mState.pollCheckpoint();
@@ -331,7 +334,8 @@
                             mStorage.background(),
                             mStorage.keys(),
                             newest.get(),
-                            (atMs, below) -> mGuard.locked(d -> checkpointed(below)));
+                            (atMs, below) ->
+                                    mLockRunner.runLocked(d -> onCheckpointWritten(below)));
             deferred.add(() -> writer.start(nowMs));
         } else if (mTruncateBelow > 0) {
             mCheckpointing = true;
@@ -342,24 +346,26 @@
                                     .truncate(
                                             nowMs,
                                             below,
-                                            TRUNCATE_PAGE,
-                                            (atMs, found) -> mGuard.locked(d -> truncated(found))));
+                                            TRUNCATE_PAGE_BATCHES,
+                                            (atMs, found) ->
+                                                    mLockRunner.runLocked(
+                                                            d -> onTruncated(found))));
         }
     }
 
-    private void checkpointed(long truncateBelow) {
+    private void onCheckpointWritten(long truncateBelow) {
         mCheckpointing = false;
         mTruncateBelow = Math.max(mTruncateBelow, truncateBelow);
     }
 
-    private void truncated(Either<Failure, Integer> found) {
+    private void onTruncated(Either<Failure, Integer> found) {
         mCheckpointing = false;
-        if (found.isLeft() || found.get() < TRUNCATE_PAGE) {
+        if (found.isLeft() || found.get() < TRUNCATE_PAGE_BATCHES) {
             mTruncateBelow = 0;
         }
     }
 
-    private void readOn(long nowMs, Deferred deferred) {
+    private void readNextPage(long nowMs, DeferredActions deferred) {
         mCallOpen = true;
         long from = mState.nextSequence();
         deferred.add(
@@ -368,20 +374,22 @@
                                 .read(
                                         nowMs,
                                         from,
-                                        PAGE,
+                                        PAGE_BATCHES,
                                         (atMs, batches) ->
-                                                mGuard.locked(d -> readPage(atMs, batches, d))));
+                                                mLockRunner.runLocked(
+                                                        d -> onPageRead(atMs, batches, d))));
     }
 
-    private void readPage(long nowMs, Either<Failure, List<LogBatch>> batches, Deferred deferred) {
+    private void onPageRead(
+            long nowMs, Either<Failure, List<LogBatch>> batches, DeferredActions deferred) {
         mCallOpen = false;
         if (batches.isLeft()) {
-            failed(nowMs, batches.getLeft());
+            onFailure(nowMs, batches.getLeft());
             return;
         }
         mFailures = 0;
         batches.get().forEach(mState::apply);
-        mReady = batches.get().isEmpty();
+        mCaughtUp = batches.get().isEmpty();
         step(nowMs, deferred);
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/ShardState.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/ShardState.java
@@ -33,13 +33,13 @@
     private static final long COUNT_MASK = 0xff;
     private static final int MAX_COUNT = 0xfe;
     private static final int LATE_COUNT = 0xff;
-    private static final long DUPLICATE_MARK = 1;
-    private static final long RAISED_MARK = 2;
+    private static final long DUPLICATE_TAG = 1;
+    private static final long RAISED_TAG = 2;
 
     private final Retention mRetention;
     private final ActiveClock mClock;
-    private final BillMemory mBills;
-    private final ClaimMemory mClaims;
+    private final RecentBills mBills;
+    private final ClaimTable mClaims;
     private final Map<BudgetKey, BudgetTotals> mTotals;
     private long mNextSequence;
     private Optional<Checkpoint> mCheckpoint = Optional.empty();
@@ -50,8 +50,8 @@
                 retention,
                 0,
                 new ActiveClock(),
-                new BillMemory(0),
-                new ClaimMemory(),
+                new RecentBills(0),
+                new ClaimTable(),
                 new HashMap<>());
     }
 
@@ -60,8 +60,8 @@
             Retention retention,
             long nextSequence,
             ActiveClock clock,
-            BillMemory bills,
-            ClaimMemory claims,
+            RecentBills bills,
+            ClaimTable claims,
             Map<BudgetKey, BudgetTotals> totals) {
         mRetention = retention;
         mNextSequence = nextSequence;
@@ -80,11 +80,11 @@
         return mClock;
     }
 
-    BillMemory bills() {
+    RecentBills bills() {
         return mBills;
     }
 
-    ClaimMemory claims() {
+    ClaimTable claims() {
         return mClaims;
     }
 
@@ -99,8 +99,8 @@
      */
     void beginBatch(long batchMs) {
         mClock.advance(batchMs);
-        if (mBills.advanceTo(mClock.activeMs() / mRetention.generationMs())) {
-            mClaims.sweep(mClock, mRetention);
+        if (mBills.openGeneration(mClock.activeMs() / mRetention.generationMs())) {
+            mClaims.removeExpired(mClock, mRetention);
             mCheckpoint = Optional.of(Checkpoint.of(this));
         }
     }
@@ -134,7 +134,7 @@
 
     /** Applies one entry and returns what is decided on it. */
     EntryDecision apply(RequestEntry entry) {
-        Optional<EntryDecision> decided = decided(entry);
+        Optional<EntryDecision> decided = existingDecision(entry);
         if (decided.isPresent()) {
             return decided.get();
         }
@@ -156,76 +156,77 @@
      * decides it for good. That another attempt holds a claim is none: a batch that this VM has not
      * seen may have withdrawn it, and only a place in the log tells.
      */
-    Optional<EntryDecision> known(RequestEntry entry) {
-        return decided(entry).filter(d -> d.kind() != Kind.HELD && d.kind() != Kind.KEY_REUSED);
+    Optional<EntryDecision> finalDecision(RequestEntry entry) {
+        return existingDecision(entry)
+                .filter(d -> d.kind() != Kind.HELD && d.kind() != Kind.KEY_REUSED);
     }
 
-    private Optional<EntryDecision> decided(RequestEntry entry) {
+    private Optional<EntryDecision> existingDecision(RequestEntry entry) {
         if (entry instanceof BillEntry bill) {
-            return knownBill(bill.bill());
+            return existingBillDecision(bill.bill());
         }
         if (entry instanceof ClaimEntry claim) {
-            return knownClaim(claim.claim());
+            return existingClaimDecision(claim.claim());
         }
         if (entry instanceof OutcomeEntry outcome) {
             return mClaims.find(outcome.key())
-                    .flatMap(ClaimMemory.Held::outcome)
+                    .flatMap(ClaimTable.HeldClaim::outcome)
                     .filter(o -> o.attempt().equals(outcome.attempt()))
                     .map(o -> EntryDecision.of(Kind.DONE));
         }
-        return mClaims.withdrawn(entry.attempt())
+        return mClaims.isWithdrawn(entry.attempt())
                 ? Optional.of(EntryDecision.of(Kind.DONE))
                 : Optional.empty();
     }
 
-    private Optional<EntryDecision> knownBill(Bill bill) {
-        Optional<BillMemory.Entry> first = mBills.find(RequestFingerprint.of(bill.key()));
-        long mark = RequestFingerprint.mark(bill.attempt());
-        if (first.isPresent() && mark(first.get()) == mark) {
+    private Optional<EntryDecision> existingBillDecision(Bill bill) {
+        Optional<RecentBills.Entry> first = mBills.find(RequestFingerprint.of(bill.key()));
+        long mark = RequestFingerprint.attemptTag(bill.attempt());
+        if (first.isPresent() && tag(first.get()) == mark) {
             int repeats = count(first.get());
             return Optional.of(EntryDecision.ofBill(Kind.BILLED, repeats, bill.tokens()));
         }
-        if (first.isEmpty() && !late(bill.admittedAtMs())) {
+        if (first.isEmpty() && !isLate(bill.admittedAtMs())) {
             return Optional.empty();
         }
         return mBills.find(RequestFingerprint.of(bill.key(), bill.attempt()))
-                .map(ShardState::onRepeat);
+                .map(ShardState::repeatDecision);
     }
 
-    private static EntryDecision onRepeat(BillMemory.Entry attempt) {
+    private static EntryDecision repeatDecision(RecentBills.Entry attempt) {
         int count = count(attempt);
         if (count == LATE_COUNT) {
             return EntryDecision.of(Kind.LATE);
         }
-        Kind kind = mark(attempt) == RAISED_MARK ? Kind.RAISED : Kind.DUPLICATE;
+        Kind kind = tag(attempt) == RAISED_TAG ? Kind.RAISED : Kind.DUPLICATE;
         return EntryDecision.ofBill(kind, count, attempt.amount());
     }
 
     private EntryDecision applyBill(Bill bill) {
         RequestFingerprint id = RequestFingerprint.of(bill.key());
-        Optional<BillMemory.Entry> first = mBills.find(id);
+        Optional<RecentBills.Entry> first = mBills.find(id);
         if (first.isPresent()) {
             return applyRepeat(bill, id, first.get());
         }
-        if (late(bill.admittedAtMs())) {
-            rememberAttempt(bill, DUPLICATE_MARK, LATE_COUNT, 0);
-            total(bill, BudgetTotals.ofLate(bill.tokens()));
+        if (isLate(bill.admittedAtMs())) {
+            rememberAttempt(bill, DUPLICATE_TAG, LATE_COUNT, 0);
+            addToTotals(bill, BudgetTotals.ofLate(bill.tokens()));
             return EntryDecision.of(Kind.LATE);
         }
-        mBills.put(id, value(RequestFingerprint.mark(bill.attempt()), 0), bill.tokens());
-        total(bill, BudgetTotals.ofBilled(bill.tokens()));
+        mBills.put(id, packValue(RequestFingerprint.attemptTag(bill.attempt()), 0), bill.tokens());
+        addToTotals(bill, BudgetTotals.ofBilled(bill.tokens()));
         return EntryDecision.ofBill(Kind.BILLED, 0, bill.tokens());
     }
 
     /** Decides a further attempt's bill: it raises the request's bill where it is larger. */
-    private EntryDecision applyRepeat(Bill bill, RequestFingerprint id, BillMemory.Entry first) {
+    private EntryDecision applyRepeat(Bill bill, RequestFingerprint id, RecentBills.Entry first) {
         int repeats = Math.min(MAX_COUNT, count(first) + 1);
         long raisedTo = Math.max(first.amount(), bill.tokens());
         long charged = raisedTo - first.amount();
         boolean raised = charged > 0;
-        mBills.put(id, value(mark(first), repeats), raisedTo);
-        rememberAttempt(bill, raised ? RAISED_MARK : DUPLICATE_MARK, repeats, charged);
-        total(
+        mBills.put(id, packValue(tag(first), repeats), raisedTo);
+        rememberAttempt(bill, raised ? RAISED_TAG : DUPLICATE_TAG, repeats, charged);
+        addToTotals(
                 bill,
                 raised
                         ? BudgetTotals.ofRaised(bill.tokens(), charged)
@@ -235,40 +236,40 @@
 
     private void rememberAttempt(Bill bill, long mark, int count, long charged) {
         RequestFingerprint attempt = RequestFingerprint.of(bill.key(), bill.attempt());
-        mBills.put(attempt, value(mark, count), charged);
+        mBills.put(attempt, packValue(mark, count), charged);
     }
 
-    private static long value(long mark, int count) {
+    private static long packValue(long mark, int count) {
         return (mark << COUNT_BITS) | count;
     }
 
-    private static long mark(BillMemory.Entry entry) {
+    private static long tag(RecentBills.Entry entry) {
         return entry.value() >>> COUNT_BITS;
     }
 
-    private static int count(BillMemory.Entry entry) {
+    private static int count(RecentBills.Entry entry) {
         return (int) (entry.value() & COUNT_MASK);
     }
 
-    private void total(Bill bill, BudgetTotals more) {
+    private void addToTotals(Bill bill, BudgetTotals more) {
         mTotals.merge(bill.budgetKey(), more, BudgetTotals::plus);
     }
 
-    private boolean late(long admittedAtMs) {
-        return mClock.activeSince(admittedAtMs) > mRetention.lateMs();
+    private boolean isLate(long admittedAtMs) {
+        return mClock.activeMsSince(admittedAtMs) > mRetention.lateMs();
     }
 
-    private Optional<EntryDecision> knownClaim(Claim claim) {
-        if (mClaims.withdrawn(claim.attempt())) {
+    private Optional<EntryDecision> existingClaimDecision(Claim claim) {
+        if (mClaims.isWithdrawn(claim.attempt())) {
             return Optional.of(EntryDecision.of(Kind.WITHDRAWN));
         }
-        if (ClaimMemory.expired(claim.key().request(), mClock.timeMs(), mRetention)) {
+        if (ClaimTable.isExpired(claim.key().request(), mClock.timeMs(), mRetention)) {
             return Optional.of(EntryDecision.of(Kind.EXPIRED));
         }
-        return mClaims.find(claim.key()).map(held -> onHeld(held, claim));
+        return mClaims.find(claim.key()).map(held -> heldClaimDecision(held, claim));
     }
 
-    private static EntryDecision onHeld(ClaimMemory.Held held, Claim claim) {
+    private static EntryDecision heldClaimDecision(ClaimTable.HeldClaim held, Claim claim) {
         if (held.attempt().equals(claim.attempt())) {
             return EntryDecision.of(Kind.GRANTED);
         }
@@ -281,10 +282,10 @@
     }
 
     private EntryDecision applyClaim(Claim claim) {
-        if (late(claim.admittedAtMs())) {
+        if (isLate(claim.admittedAtMs())) {
             return EntryDecision.of(Kind.EXPIRED);
         }
-        boolean undated = KeyTime.of(claim.key().request()).isEmpty();
+        boolean undated = KeyTimestamp.parse(claim.key().request()).isEmpty();
         if (undated && mClaims.undatedBytes() > mRetention.maxUndatedBytes()) {
             return EntryDecision.of(Kind.FULL);
         }
@@ -293,11 +294,11 @@
     }
 
     private EntryDecision applyOutcome(CallOutcome outcome) {
-        Optional<ClaimMemory.Held> held = mClaims.find(outcome.key());
+        Optional<ClaimTable.HeldClaim> held = mClaims.find(outcome.key());
         if (held.isEmpty() || !held.get().attempt().equals(outcome.attempt())) {
             return EntryDecision.of(Kind.NOT_HELD);
         }
-        mClaims.record(held.get(), outcome);
+        mClaims.recordOutcome(held.get(), outcome);
         return EntryDecision.of(Kind.DONE);
     }
 }
--- a/coordination/src/test/java/org/hornbeampass/coordination/requests/CheckpointTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/requests/CheckpointTest.java
@@ -31,7 +31,7 @@
 
         assertThat(stored("requests/0/").size()).isLessThan(40);
         assertThat(stored("request-checkpoints/0/").size()).isLessThan(20);
-        assertThat(mFleet.billed()).hasSize(360);
+        assertThat(mFleet.billedAttempts()).hasSize(360);
     }
 
     @Test
@@ -39,7 +39,7 @@
         bills(mA, "r", 20);
         AttemptId claim = mFleet.claim(mA, "release-1", "mould 7");
         mFleet.mTime.runFor(1_000);
-        mFleet.outcome(claim, "released");
+        mFleet.recordOutcome(claim, "released");
         bills(mA, "s", 4);
         mFleet.kill(mA);
         VmId b = mFleet.start("b", 1);
@@ -68,20 +68,20 @@
 
         AttemptId more = mFleet.bill(b, "r100", 7);
         AttemptId less = mFleet.bill(b, "r101", 3);
-        mFleet.submit(b, mFleet.mBills.get(raised));
+        mFleet.submitBill(b, mFleet.mBills.get(raised));
         mFleet.mTime.runFor(MINUTE_MS);
 
-        assertThat(mFleet.charged(more)).isEqualTo(6);
+        assertThat(mFleet.chargedTokens(more)).isEqualTo(6);
         assertThat(mFleet.billOutcome(less)).contains(BillOutcome.DUPLICATE);
-        assertThat(mFleet.charged(raised)).isEqualTo(3);
-        assertThat(mFleet.audit().sum().tokens()).isEqualTo(mFleet.settled());
+        assertThat(mFleet.chargedTokens(raised)).isEqualTo(3);
+        assertThat(mFleet.audit().sum().tokens()).isEqualTo(mFleet.settledTokens());
     }
 
     @Test
     void vm_that_was_paused_past_a_truncation_starts_from_the_checkpoint() {
         VmId b = mFleet.start("b", 1);
-        mFleet.sees(mA, mA);
-        mFleet.sees(b, b);
+        mFleet.setLiveMembers(mA, mA);
+        mFleet.setLiveMembers(b, b);
         mFleet.bill(b, "r0", 1);
         mFleet.mTime.runFor(1_000);
         mFleet.mVms.pause(b);
@@ -97,8 +97,8 @@
     void checkpoints_survive_lost_replies_and_two_owners() {
         mFleet.mPlatform.loses(0.05, 0.05);
         VmId b = mFleet.start("b", 1);
-        mFleet.sees(mA, mA);
-        mFleet.sees(b, b);
+        mFleet.setLiveMembers(mA, mA);
+        mFleet.setLiveMembers(b, b);
         for (int i = 0; i < 180; i++) {
             mFleet.bill(mA, "r" + i, 1);
             mFleet.bill(b, "r" + i, 1);
@@ -106,8 +106,8 @@
         }
         mFleet.mTime.runFor(MINUTE_MS);
 
-        assertThat(mFleet.mBilled).hasSize(360);
-        assertThat(mFleet.billed()).hasSize(180);
+        assertThat(mFleet.mBillReplies).hasSize(360);
+        assertThat(mFleet.billedAttempts()).hasSize(180);
         assertThat(stored("requests/0/").size()).isLessThan(60);
     }
 
--- a/coordination/src/test/java/org/hornbeampass/coordination/requests/IdTableTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/requests/IdTableTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import org.hornbeampass.coordination.requests.BillMemory.Entry;
+import org.hornbeampass.coordination.requests.RecentBills.Entry;
 import org.junit.jupiter.api.Test;
 
 import java.util.HashMap;
--- a/coordination/src/test/java/org/hornbeampass/coordination/requests/LedgerFleet.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/requests/LedgerFleet.java
@@ -49,13 +49,13 @@
     final FaultyPlatform mPlatform;
     final FakePeerNetwork mPeers;
     final Map<AttemptId, Bill> mBills = new LinkedHashMap<>();
-    final Map<AttemptId, Either<Failure, BillCharge>> mBilled = new LinkedHashMap<>();
+    final Map<AttemptId, Either<Failure, BillCharge>> mBillReplies = new LinkedHashMap<>();
     final Map<AttemptId, Claim> mClaims = new LinkedHashMap<>();
-    final Map<AttemptId, Either<Failure, ClaimOutcome>> mClaimed = new LinkedHashMap<>();
+    final Map<AttemptId, Either<Failure, ClaimOutcome>> mClaimReplies = new LinkedHashMap<>();
 
     private final LedgerSettings mSettings;
     private final long mSeed;
-    private final UnaryOperator<Platform> mPlatformRule;
+    private final UnaryOperator<Platform> mPlatformWrapper;
     private final Map<VmId, RequestLedger> mLedgers = new LinkedHashMap<>();
     private final Map<VmId, TreeSet<VmId>> mMembers = new HashMap<>();
     private long mAttempts;
@@ -67,7 +67,7 @@
     /** Creates a fleet whose VMs see the platform through a rule, such as a broken one. */
     LedgerFleet(long seed, LedgerSettings settings, UnaryOperator<Platform> platformRule) {
         mSeed = seed;
-        mPlatformRule = platformRule;
+        mPlatformWrapper = platformRule;
         mSettings = settings;
         mPlatform = new FaultyPlatform(mTime, mVms, seed);
         mPeers = new FakePeerNetwork(mTime, mVms, seed + 1);
@@ -103,8 +103,8 @@
         mMembers.put(vm, members);
         RequestLedger ledger =
                 new RequestLedger(
-                        mPlatformRule.apply(mPlatform.connect(vm)),
-                        mPlatformRule.apply(mPlatform.connect(vm)),
+                        mPlatformWrapper.apply(mPlatform.connect(vm)),
+                        mPlatformWrapper.apply(mPlatform.connect(vm)),
                         mPeers.connect(vm),
                         vm,
                         ShardOwners.rendezvous(() -> mMembers.get(vm)),
@@ -127,7 +127,7 @@
     }
 
     /** Makes a VM believe that only these VMs are live. */
-    void sees(VmId vm, VmId... live) {
+    void setLiveMembers(VmId vm, VmId... live) {
         mMembers.put(vm, new TreeSet<>(List.of(live)));
     }
 
@@ -137,7 +137,7 @@
         mMembers.values().forEach(m -> m.remove(vm));
     }
 
-    AttemptId attempt(VmId vm) {
+    AttemptId newAttempt(VmId vm) {
         return new AttemptId(vm, mAttempts++);
     }
 
@@ -147,30 +147,32 @@
 
     /** Bills an attempt of a request on a VM. */
     AttemptId bill(VmId vm, String id, long tokens) {
-        AttemptId attempt = attempt(vm);
+        AttemptId attempt = newAttempt(vm);
         Bill bill = new Bill(key(id, "body"), BUDGET, attempt, 0, tokens, mTime.nowMs());
-        submit(vm, bill);
+        submitBill(vm, bill);
         return attempt;
     }
 
     /** Bills once more what was billed before. */
-    void submit(VmId vm, Bill bill) {
+    void submitBill(VmId vm, Bill bill) {
         mBills.put(bill.attempt(), bill);
         mVms.deliver(
-                vm, atMs -> ledger(vm).bill(atMs, bill, (t, r) -> mBilled.put(bill.attempt(), r)));
+                vm,
+                atMs -> ledger(vm).bill(atMs, bill, (t, r) -> mBillReplies.put(bill.attempt(), r)));
     }
 
     /** Claims a call on a VM. */
     AttemptId claim(VmId vm, String id, String body) {
-        AttemptId attempt = attempt(vm);
+        AttemptId attempt = newAttempt(vm);
         Claim claim = new Claim(key(id, body), attempt, mTime.nowMs());
         mClaims.put(attempt, claim);
-        mVms.deliver(vm, atMs -> ledger(vm).claim(atMs, claim, (t, r) -> mClaimed.put(attempt, r)));
+        mVms.deliver(
+                vm, atMs -> ledger(vm).claim(atMs, claim, (t, r) -> mClaimReplies.put(attempt, r)));
         return attempt;
     }
 
     /** Records the outcome of a claimed call on its VM; returns where the result will be. */
-    AtomicReference<Boolean> outcome(AttemptId attempt, String body) {
+    AtomicReference<Boolean> recordOutcome(AttemptId attempt, String body) {
         AtomicReference<Boolean> recorded = new AtomicReference<>();
         CallOutcome outcome =
                 new CallOutcome(mClaims.get(attempt).key(), attempt, 200, "application/json", body);
@@ -184,20 +186,20 @@
 
     /** Returns what an attempt's claim was answered; empty where it waits or failed. */
     Optional<ClaimOutcome.Status> claimStatus(AttemptId attempt) {
-        return Optional.ofNullable(mClaimed.get(attempt))
+        return Optional.ofNullable(mClaimReplies.get(attempt))
                 .filter(Either::isRight)
                 .map(r -> r.get().status());
     }
 
     /** Returns what an attempt's bill was answered. */
     Optional<BillOutcome> billOutcome(AttemptId attempt) {
-        return Optional.ofNullable(mBilled.get(attempt)).map(r -> r.get().outcome());
+        return Optional.ofNullable(mBillReplies.get(attempt)).map(r -> r.get().outcome());
     }
 
     /** Returns each attempt that was billed with success. */
-    List<AttemptId> billed() {
+    List<AttemptId> billedAttempts() {
         List<AttemptId> billed = new ArrayList<>();
-        mBilled.forEach(
+        mBillReplies.forEach(
                 (attempt, r) -> {
                     if (r.isRight() && r.get().outcome() == BillOutcome.BILLED) {
                         billed.add(attempt);
@@ -207,13 +209,13 @@
     }
 
     /** Returns what an attempt was told to settle; 0 where its bill is not answered. */
-    long charged(AttemptId attempt) {
-        return mBilled.containsKey(attempt) ? mBilled.get(attempt).get().tokens() : 0;
+    long chargedTokens(AttemptId attempt) {
+        return mBillReplies.containsKey(attempt) ? mBillReplies.get(attempt).get().tokens() : 0;
     }
 
     /** Returns what all attempts were told to settle. */
-    long settled() {
-        return mBilled.keySet().stream().mapToLong(this::charged).sum();
+    long settledTokens() {
+        return mBillReplies.keySet().stream().mapToLong(this::chargedTokens).sum();
     }
 
     /** Reads the records past all faults. */
--- a/coordination/src/test/java/org/hornbeampass/coordination/requests/LedgerMutant.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/requests/LedgerMutant.java
@@ -53,9 +53,9 @@
                         }
                     };
             case OUTCOMES_ALTERED ->
-                    (nowMs, call, done) -> platform.submit(nowMs, altered(call), done);
+                    (nowMs, call, done) -> platform.submit(nowMs, withAlteredOutcomes(call), done);
             case AMOUNTS_ALTERED ->
-                    (nowMs, call, done) -> platform.submit(nowMs, withMore(call), done);
+                    (nowMs, call, done) -> platform.submit(nowMs, withLargerBills(call), done);
             case WITHDRAWALS_DROPPED ->
                     (nowMs, call, done) -> platform.submit(nowMs, withoutWithdrawals(call), done);
             default -> platform;
@@ -80,7 +80,7 @@
         }
     }
 
-    private static PlatformCall altered(PlatformCall call) {
+    private static PlatformCall withAlteredOutcomes(PlatformCall call) {
         return call instanceof PlatformCall.Create create
                 ? new PlatformCall.Create(
                         create.key(), create.value().replace("done by", "not done by"))
@@ -88,8 +88,8 @@
     }
 
     /** Turns every bill's single token of the prompt into nine. */
-    private static PlatformCall withMore(PlatformCall call) {
-        return entries(
+    private static PlatformCall withLargerBills(PlatformCall call) {
+        return changeEntries(
                 call,
                 all ->
                         all.stream()
@@ -98,10 +98,11 @@
     }
 
     private static PlatformCall withoutWithdrawals(PlatformCall call) {
-        return entries(call, all -> all.stream().filter(e -> !e.startsWith("W")).toList());
+        return changeEntries(call, all -> all.stream().filter(e -> !e.startsWith("W")).toList());
     }
 
-    private static PlatformCall entries(PlatformCall call, UnaryOperator<List<String>> change) {
+    private static PlatformCall changeEntries(
+            PlatformCall call, UnaryOperator<List<String>> change) {
         if (!(call instanceof PlatformCall.Create create)
                 || !create.key().startsWith("requests/")
                 || create.key().equals(SettingsAgreement.KEY)) {
--- a/coordination/src/test/java/org/hornbeampass/coordination/requests/LedgerSchedule.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/requests/LedgerSchedule.java
@@ -32,7 +32,7 @@
 final class LedgerSchedule {
     private static final long MINUTE_MS = 60_000;
     private static final long MAX_TOKENS = 11;
-    private static final long SETTLE_MS = 3 * MINUTE_MS;
+    private static final long RECOVERY_MS = 3 * MINUTE_MS;
 
     /** What must always hold. */
     enum Rule {
@@ -55,12 +55,13 @@
     private final LogHistory mHistory;
     private final Map<String, VmId> mNames = new TreeMap<>();
     private final Set<Rule> mBroken = new TreeSet<>();
-    private final Map<AttemptId, BillCharge> mBilled = new LinkedHashMap<>();
+    private final Map<AttemptId, BillCharge> mBillReplies = new LinkedHashMap<>();
     private final Map<AttemptId, Bill> mBills = new LinkedHashMap<>();
     private final Map<AttemptId, Claim> mClaims = new LinkedHashMap<>();
-    private final Map<AttemptId, Either<Failure, ClaimOutcome>> mAnswers = new LinkedHashMap<>();
+    private final Map<AttemptId, Either<Failure, ClaimOutcome>> mClaimReplies =
+            new LinkedHashMap<>();
     private final Map<String, List<AttemptId>> mRuns = new HashMap<>();
-    private final Map<AttemptId, String> mRecorded = new HashMap<>();
+    private final Map<AttemptId, String> mRecordedBodies = new HashMap<>();
     private final Set<AttemptId> mGaveUp = new HashSet<>();
     private long mIncarnation = 1;
 
@@ -86,18 +87,18 @@
     }
 
     /** Returns the rules that were broken. */
-    Set<Rule> play(List<LedgerStep> steps) {
+    Set<Rule> run(List<LedgerStep> steps) {
         for (LedgerStep step : steps) {
-            play(step);
+            run(step);
             mFleet.mTime.runFor(step.waitMs());
             check();
         }
-        settle();
+        endFaultsAndWait();
         check();
         return mBroken;
     }
 
-    private void play(LedgerStep step) {
+    private void run(LedgerStep step) {
         String name = "vm" + step.vm();
         String other = "vm" + step.id() % LedgerStep.VMS;
         VmId vm = mNames.get(name);
@@ -107,7 +108,7 @@
             case CLAIM -> claim(vm, "c" + step.id(), "body");
             case CLAIM_OTHER_BODY -> claim(vm, "c" + step.id(), "other");
             case RECORD -> record(vm);
-            case GIVE_UP -> giveUpNext(vm, "c" + step.id());
+            case GIVE_UP -> claimAndGiveUp(vm, "c" + step.id());
             case PAUSE -> mFleet.mVms.pause(vm);
             case RESUME -> mFleet.mVms.resume(vm);
             case RESTART -> restart(name);
@@ -117,24 +118,24 @@
             case HEAL_PEERS -> mFleet.mPeers.healAll();
             case OUTAGE -> mFleet.mPlatform.outage(true);
             case OUTAGE_ENDS -> mFleet.mPlatform.outage(false);
-            case LOSE -> lose(0.2);
-            case LOSE_NOTHING -> lose(0);
+            case LOSE -> setLossRate(0.2);
+            case LOSE_NOTHING -> setLossRate(0);
             case SLOW -> mFleet.mPlatform.takes(1, 900);
             case FAST -> mFleet.mPlatform.takes(1, 3);
-            case SPLIT_VIEW -> mFleet.sees(vm, vm);
-            case SAME_VIEW -> sameView();
+            case SPLIT_VIEW -> mFleet.setLiveMembers(vm, vm);
+            case SAME_VIEW -> restoreView();
             default -> mFleet.mTime.runFor(1);
         }
     }
 
-    private void lose(double share) {
+    private void setLossRate(double share) {
         mFleet.mPlatform.loses(share, share);
         mFleet.mPeers.drops(share);
     }
 
-    private void sameView() {
+    private void restoreView() {
         VmId[] all = mNames.values().toArray(VmId[]::new);
-        mNames.values().forEach(vm -> mFleet.sees(vm, all));
+        mNames.values().forEach(vm -> mFleet.setLiveMembers(vm, all));
     }
 
     private void restart(String name) {
@@ -143,7 +144,7 @@
     }
 
     private void bill(VmId vm, String id) {
-        AttemptId attempt = mFleet.attempt(vm);
+        AttemptId attempt = mFleet.newAttempt(vm);
         RequestKey key = LedgerFleet.key(id, "body");
         long tokens = attempt.number() * 7 % MAX_TOKENS;
         submit(new Bill(key, LedgerFleet.BUDGET, attempt, 1, tokens, mFleet.mTime.nowMs()));
@@ -152,7 +153,7 @@
     /** Sends a bill again that the VM sent before, as after an answer that it missed. */
     private void billAgain(VmId vm) {
         mBills.values().stream()
-                .filter(b -> b.attempt().vm().equals(vm) && !mBilled.containsKey(b.attempt()))
+                .filter(b -> b.attempt().vm().equals(vm) && !mBillReplies.containsKey(b.attempt()))
                 .findFirst()
                 .ifPresent(this::submit);
     }
@@ -161,15 +162,16 @@
         VmId vm = bill.attempt().vm();
         mBills.put(bill.attempt(), bill);
         mFleet.mVms.deliver(
-                vm, atMs -> mFleet.ledger(vm).bill(atMs, bill, (t, r) -> billed(bill, r.get())));
+                vm,
+                atMs -> mFleet.ledger(vm).bill(atMs, bill, (t, r) -> onBillReply(bill, r.get())));
     }
 
-    private void billed(Bill bill, BillCharge decided) {
+    private void onBillReply(Bill bill, BillCharge decided) {
         boolean whole =
                 mMutant == LedgerMutant.RAISE_SETTLES_WHOLE
                         && decided.outcome() == BillOutcome.RAISED;
         BillCharge charge = whole ? new BillCharge(decided.outcome(), bill.tokens()) : decided;
-        BillCharge before = mBilled.put(bill.attempt(), charge);
+        BillCharge before = mBillReplies.put(bill.attempt(), charge);
         if (before != null && !before.equals(charge)) {
             mBroken.add(Rule.ANSWERED_ONCE);
         }
@@ -180,16 +182,16 @@
     }
 
     private void claim(VmId vm, String id, String body) {
-        AttemptId attempt = mFleet.attempt(vm);
+        AttemptId attempt = mFleet.newAttempt(vm);
         Claim claim = new Claim(LedgerFleet.key(id, body), attempt, mFleet.mTime.nowMs());
         mClaims.put(attempt, claim);
         mFleet.mVms.deliver(
-                vm, atMs -> mFleet.ledger(vm).claim(atMs, claim, (t, r) -> claimed(claim, r)));
+                vm, atMs -> mFleet.ledger(vm).claim(atMs, claim, (t, r) -> onClaimReply(claim, r)));
     }
 
-    private void claimed(Claim claim, Either<Failure, ClaimOutcome> answer) {
+    private void onClaimReply(Claim claim, Either<Failure, ClaimOutcome> answer) {
         AttemptId attempt = claim.attempt();
-        if (mAnswers.put(attempt, answer) != null) {
+        if (mClaimReplies.put(attempt, answer) != null) {
             mBroken.add(Rule.ANSWERED_ONCE);
         }
         boolean granted = answer.isRight() && answer.get().status() == ClaimOutcome.Status.GRANTED;
@@ -217,13 +219,13 @@
     private void checkRecorded(Claim claim, CallOutcome outcome) {
         List<AttemptId> runs = mRuns.getOrDefault(claim.key().request().value(), List.of());
         boolean ran = runs.contains(outcome.attempt());
-        if (!ran || !outcome.body().equals(mRecorded.get(outcome.attempt()))) {
+        if (!ran || !outcome.body().equals(mRecordedBodies.get(outcome.attempt()))) {
             mBroken.add(Rule.RECORDED_IS_WHAT_RAN);
         }
     }
 
     /** Claims a call whose attempt will find no upstream, and so sends nothing. */
-    private void giveUpNext(VmId vm, String id) {
+    private void claimAndGiveUp(VmId vm, String id) {
         claim(vm, id, "body");
         AttemptId last = null;
         for (AttemptId attempt : mClaims.keySet()) {
@@ -235,7 +237,7 @@
     private void record(VmId vm) {
         for (List<AttemptId> runs : mRuns.values()) {
             for (AttemptId attempt : runs) {
-                if (attempt.vm().equals(vm) && !mRecorded.containsKey(attempt)) {
+                if (attempt.vm().equals(vm) && !mRecordedBodies.containsKey(attempt)) {
                     record(attempt);
                     return;
                 }
@@ -245,7 +247,7 @@
 
     private void record(AttemptId attempt) {
         String body = "done by " + attempt.number();
-        mRecorded.put(attempt, body);
+        mRecordedBodies.put(attempt, body);
         CallOutcome outcome =
                 new CallOutcome(mClaims.get(attempt).key(), attempt, 200, "text/plain", body);
         VmId vm = attempt.vm();
@@ -254,20 +256,20 @@
     }
 
     /** Ends all faults and gives what waits time to end. */
-    private void settle() {
+    private void endFaultsAndWait() {
         mFleet.mPlatform.outage(false);
         mFleet.mPlatform.takes(1, 3);
-        lose(0);
+        setLossRate(0);
         mFleet.mPeers.healAll();
         mFleet.vms().forEach(mFleet.mPlatform::heal);
         mFleet.vms().forEach(mFleet.mVms::resume);
-        sameView();
-        mFleet.mTime.runFor(SETTLE_MS);
+        restoreView();
+        mFleet.mTime.runFor(RECOVERY_MS);
         mBills.keySet().stream()
-                .filter(a -> !mFleet.mVms.dead(a.vm()) && !mBilled.containsKey(a))
+                .filter(a -> !mFleet.mVms.dead(a.vm()) && !mBillReplies.containsKey(a))
                 .forEach(a -> mBroken.add(Rule.BILLS_END));
         checkSums();
-        checkFreedCalls();
+        checkNotRunCallsCanRun();
     }
 
     /** Checks each request's settlements and the audit against the bills in the log. */
@@ -277,8 +279,8 @@
         Set<RequestKey> unanswered = new HashSet<>();
         mBills.forEach(
                 (attempt, bill) -> {
-                    if (mBilled.containsKey(attempt)) {
-                        settled.merge(bill.key(), mBilled.get(attempt).tokens(), Long::sum);
+                    if (mBillReplies.containsKey(attempt)) {
+                        settled.merge(bill.key(), mBillReplies.get(attempt).tokens(), Long::sum);
                     } else {
                         unanswered.add(bill.key());
                     }
@@ -297,7 +299,7 @@
     }
 
     /** A call of which every attempt was told "not run", by VMs that live, can be run at last. */
-    private void checkFreedCalls() {
+    private void checkNotRunCallsCanRun() {
         VmId vm = mNames.get("vm0");
         List<Claim> probes = new ArrayList<>();
         for (int i = 0; i < LedgerStep.IDS; i++) {
@@ -306,7 +308,7 @@
                     mClaims.values().stream()
                             .filter(c -> c.key().request().value().equals(id))
                             .toList();
-            boolean allNotRun = attempts.stream().allMatch(c -> toldNotRun(c.attempt()));
+            boolean allNotRun = attempts.stream().allMatch(c -> wasAnsweredNotRun(c.attempt()));
             if (!attempts.isEmpty() && allNotRun) {
                 claim(vm, id, "body");
                 probes.add(List.copyOf(mClaims.values()).get(mClaims.size() - 1));
@@ -314,7 +316,7 @@
         }
         mFleet.mTime.runFor(MINUTE_MS);
         for (Claim probe : probes) {
-            Either<Failure, ClaimOutcome> answer = mAnswers.get(probe.attempt());
+            Either<Failure, ClaimOutcome> answer = mClaimReplies.get(probe.attempt());
             if (answer == null
                     || answer.isLeft()
                     || answer.get().status() != ClaimOutcome.Status.GRANTED) {
@@ -323,8 +325,8 @@
         }
     }
 
-    private boolean toldNotRun(AttemptId attempt) {
-        Either<Failure, ClaimOutcome> answer = mAnswers.get(attempt);
+    private boolean wasAnsweredNotRun(AttemptId attempt) {
+        Either<Failure, ClaimOutcome> answer = mClaimReplies.get(attempt);
         return !mFleet.mVms.dead(attempt.vm())
                 && answer != null
                 && (answer.isLeft() || mGaveUp.contains(attempt));
@@ -333,17 +335,17 @@
     private void check() {
         mHistory.catchUp();
         Map<RequestKey, AttemptId> billed = new HashMap<>();
-        mBilled.forEach(
+        mBillReplies.forEach(
                 (attempt, charge) -> {
                     RequestKey key = mBills.get(attempt).key();
                     boolean stands = charge.outcome() == BillOutcome.BILLED;
                     if (stands && billed.put(key, attempt) != null) {
                         mBroken.add(Rule.ONE_BILL_PER_ID);
                     }
-                    if (stands != mHistory.billedFirst(key, attempt)) {
+                    if (stands != mHistory.isFirstBill(key, attempt)) {
                         mBroken.add(Rule.FIRST_BILL_STANDS);
                     }
-                    if (charge.tokens() != mHistory.charge(attempt)) {
+                    if (charge.tokens() != mHistory.chargedTokens(attempt)) {
                         mBroken.add(Rule.SETTLED_IS_CHARGED);
                     }
                 });
@@ -352,7 +354,7 @@
                 .forEach(runs -> mBroken.add(Rule.ONE_RUN_PER_CALL));
         mRuns.values().stream()
                 .flatMap(List::stream)
-                .filter(attempt -> mAnswers.get(attempt).isLeft())
+                .filter(attempt -> mClaimReplies.get(attempt).isLeft())
                 .forEach(attempt -> mBroken.add(Rule.NOT_RUN_IS_TRUE));
     }
 }
--- a/coordination/src/test/java/org/hornbeampass/coordination/requests/LedgerScheduleProperties.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/requests/LedgerScheduleProperties.java
@@ -32,7 +32,7 @@
     @Property(seed = "4711", tries = 150)
     void rules_hold_after_every_step(
             @ForAll("steps") List<LedgerStep> steps, @ForAll long faultSeed) {
-        assertThat(new LedgerSchedule(faultSeed, LedgerMutant.NONE).play(steps)).isEmpty();
+        assertThat(new LedgerSchedule(faultSeed, LedgerMutant.NONE).run(steps)).isEmpty();
     }
 
     @Provide
@@ -72,7 +72,7 @@
     void broken_rule_is_caught(LedgerMutant mutant, LedgerSchedule.Rule rule) {
         TreeSet<LedgerSchedule.Rule> broken = new TreeSet<>();
         for (int seed = 0; seed < 60 && !broken.contains(rule); seed++) {
-            broken.addAll(new LedgerSchedule(seed, mutant).play(steps(seed)));
+            broken.addAll(new LedgerSchedule(seed, mutant).run(steps(seed)));
         }
 
         assertThat(broken).contains(rule);
@@ -83,7 +83,7 @@
         int schedules = Integer.getInteger("hornbeampass.schedules", 20);
         for (long i = 0; i < schedules; i++) {
             long seed = LONG_RUN_SEED + i;
-            assertThat(new LedgerSchedule(seed, LedgerMutant.NONE).play(steps(seed)))
+            assertThat(new LedgerSchedule(seed, LedgerMutant.NONE).run(steps(seed)))
                     .as("schedule of seed %d", seed)
                     .isEmpty();
         }
--- a/coordination/src/test/java/org/hornbeampass/coordination/requests/LogHistory.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/requests/LogHistory.java
@@ -31,7 +31,7 @@
     private final Map<RequestKey, Long> mAmounts = new HashMap<>();
     private final Map<AttemptId, Long> mCharges = new HashMap<>();
     private final Set<AttemptId> mClaims = new HashSet<>();
-    private long mUpTo;
+    private long mReadUpToVersion;
 
     LogHistory(MemoryPlatform store) {
         mStore = store;
@@ -41,17 +41,17 @@
     void catchUp() {
         mStore.submit(
                 0,
-                new PlatformCall.Watch("requests/", mUpTo, Duration.ZERO),
+                new PlatformCall.Watch("requests/", mReadUpToVersion, Duration.ZERO),
                 (atMs, reply) -> {
                     if (reply instanceof PlatformReply.Changed changed) {
-                        changed.changes().forEach(this::take);
-                        mUpTo = Math.max(mUpTo, changed.upToVersion());
+                        changed.changes().forEach(this::add);
+                        mReadUpToVersion = Math.max(mReadUpToVersion, changed.upToVersion());
                     }
                 });
         mStore.expireWatches(Long.MAX_VALUE);
     }
 
-    private void take(Change change) {
+    private void add(Change change) {
         boolean batch =
                 change.value().isPresent()
                         && !change.key().endsWith("~floor")
@@ -60,11 +60,11 @@
             return;
         }
         for (String text : Json.decode(change.value().get(), LogBatch.class).get().entries()) {
-            EntryCodec.decode(text).forEach(this::take);
+            EntryCodec.decode(text).forEach(this::add);
         }
     }
 
-    private void take(RequestEntry entry) {
+    private void add(RequestEntry entry) {
         if (entry instanceof BillEntry bill) {
             mFirstBills.putIfAbsent(bill.key(), bill.attempt());
             if (!mCharges.containsKey(bill.attempt())) {
@@ -79,7 +79,7 @@
     }
 
     /** Returns whether an attempt's bill is the first of its request. */
-    boolean billedFirst(RequestKey key, AttemptId attempt) {
+    boolean isFirstBill(RequestKey key, AttemptId attempt) {
         return attempt.equals(mFirstBills.get(key));
     }
 
@@ -89,7 +89,7 @@
     }
 
     /** Returns what an attempt whose bill is in the log has to settle. */
-    long charge(AttemptId attempt) {
+    long chargedTokens(AttemptId attempt) {
         return mCharges.getOrDefault(attempt, 0L);
     }
 
--- a/coordination/src/test/java/org/hornbeampass/coordination/requests/RequestAuditTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/requests/RequestAuditTest.java
@@ -37,12 +37,12 @@
         mFleet.mTime.runFor(2_000);
         mFleet.bill(mB, "r1", 12);
         mFleet.bill(mB, "r2", 15);
-        mFleet.outcome(done, "released");
+        mFleet.recordOutcome(done, "released");
         mFleet.mTime.runFor(2_000);
 
         RequestAuditReport report = audit().get();
 
-        assertThat(report.sum().tokens()).isEqualTo(mFleet.settled());
+        assertThat(report.sum().tokens()).isEqualTo(mFleet.settledTokens());
         assertThat(report.totals()).containsOnly(entry(new BudgetTotals(2, 32, 2, 25, 0, 0)));
         assertThat(report.openClaims()).hasSize(1);
         assertThat(report.openClaims().get(0).attempt()).isEqualTo(open);
@@ -87,7 +87,7 @@
     /** Writes batches as a router would, or as none should. */
     private final class BatchWriter {
         private void append(String prefix, String id) {
-            AttemptId attempt = mFleet.attempt(mA);
+            AttemptId attempt = mFleet.newAttempt(mA);
             String text =
                     EntryCodec.encode(
                             new RequestEntry.WithdrawEntry(
--- a/coordination/src/test/java/org/hornbeampass/coordination/requests/RequestLedgerTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/requests/RequestLedgerTest.java
@@ -44,40 +44,42 @@
         AttemptId less = mFleet.bill(mC, "r1", 11);
         mFleet.mTime.runFor(2_000);
 
-        assertThat(mFleet.mBilled.get(brokenOff)).contains(new BillCharge(BillOutcome.BILLED, 10));
-        assertThat(mFleet.mBilled.get(whole)).contains(new BillCharge(BillOutcome.RAISED, 2));
-        assertThat(mFleet.mBilled.get(less)).contains(new BillCharge(BillOutcome.DUPLICATE, 0));
+        assertThat(mFleet.mBillReplies.get(brokenOff))
+                .contains(new BillCharge(BillOutcome.BILLED, 10));
+        assertThat(mFleet.mBillReplies.get(whole)).contains(new BillCharge(BillOutcome.RAISED, 2));
+        assertThat(mFleet.mBillReplies.get(less))
+                .contains(new BillCharge(BillOutcome.DUPLICATE, 0));
         assertThat(mFleet.audit().sum().tokens()).isEqualTo(12);
     }
 
     @Test
     void two_owners_of_one_shard_agree_on_the_raised_amount() {
-        mFleet.sees(mA, mA);
-        mFleet.sees(mB, mB);
-        mFleet.sees(mC, mC);
+        mFleet.setLiveMembers(mA, mA);
+        mFleet.setLiveMembers(mB, mB);
+        mFleet.setLiveMembers(mC, mC);
         mFleet.bill(mA, "r1", 10);
         mFleet.bill(mB, "r1", 30);
         mFleet.bill(mC, "r1", 20);
         mFleet.mTime.runFor(10_000);
 
-        assertThat(mFleet.mBilled).hasSize(3);
-        assertThat(mFleet.billed()).hasSize(1);
-        assertThat(mFleet.settled()).isEqualTo(30);
+        assertThat(mFleet.mBillReplies).hasSize(3);
+        assertThat(mFleet.billedAttempts()).hasSize(1);
+        assertThat(mFleet.settledTokens()).isEqualTo(30);
         assertThat(mFleet.audit().sum().tokens()).isEqualTo(30);
     }
 
     @Test
     void two_owners_of_one_shard_agree_on_one_bill() {
-        mFleet.sees(mA, mA);
-        mFleet.sees(mB, mB);
-        mFleet.sees(mC, mC);
+        mFleet.setLiveMembers(mA, mA);
+        mFleet.setLiveMembers(mB, mB);
+        mFleet.setLiveMembers(mC, mC);
         AttemptId one = mFleet.bill(mA, "r1", 10);
         AttemptId two = mFleet.bill(mB, "r1", 10);
         AttemptId three = mFleet.bill(mC, "r1", 10);
         mFleet.mTime.runFor(10_000);
 
-        assertThat(mFleet.mBilled).containsOnlyKeys(one, two, three);
-        assertThat(mFleet.billed()).hasSize(1);
+        assertThat(mFleet.mBillReplies).containsOnlyKeys(one, two, three);
+        assertThat(mFleet.billedAttempts()).hasSize(1);
     }
 
     @Test
@@ -86,12 +88,12 @@
         AttemptId one = mFleet.bill(mA, "r1", 10);
         AttemptId two = mFleet.bill(mB, "r2", 10);
         mFleet.mTime.runFor(600_000);
-        assertThat(mFleet.mBilled).isEmpty();
+        assertThat(mFleet.mBillReplies).isEmpty();
 
         mFleet.mPlatform.outage(false);
         mFleet.mTime.runFor(30_000);
 
-        assertThat(mFleet.billed()).containsExactlyInAnyOrder(one, two);
+        assertThat(mFleet.billedAttempts()).containsExactlyInAnyOrder(one, two);
     }
 
     @Test
@@ -104,7 +106,7 @@
         AttemptId three = mFleet.bill(mC, "r3", 10);
         mFleet.mTime.runFor(30_000);
 
-        assertThat(mFleet.billed()).containsExactlyInAnyOrder(one, two, three);
+        assertThat(mFleet.billedAttempts()).containsExactlyInAnyOrder(one, two, three);
     }
 
     @Test
@@ -118,7 +120,7 @@
         }
         mFleet.mTime.runFor(routersWaitMs);
 
-        assertThat(mFleet.billed()).containsExactlyInAnyOrderElementsOf(bills);
+        assertThat(mFleet.billedAttempts()).containsExactlyInAnyOrderElementsOf(bills);
     }
 
     @Test
@@ -128,12 +130,12 @@
         AttemptId one = mFleet.bill(mA, "r1", 10);
         AttemptId two = mFleet.bill(mA, "r2", 10);
         AttemptId three = mFleet.bill(mA, "r3", 10);
-        mFleet.sees(mA, mB, mC);
-        mFleet.sees(mB, mB, mC);
-        mFleet.sees(mC, mB, mC);
+        mFleet.setLiveMembers(mA, mB, mC);
+        mFleet.setLiveMembers(mB, mB, mC);
+        mFleet.setLiveMembers(mC, mB, mC);
         mFleet.mTime.runFor(30_000);
 
-        assertThat(mFleet.billed()).containsExactlyInAnyOrder(one, two, three);
+        assertThat(mFleet.billedAttempts()).containsExactlyInAnyOrder(one, two, three);
     }
 
     @Test
@@ -142,7 +144,7 @@
         mFleet.mTime.runFor(1_000);
         AttemptId early = mFleet.claim(mB, "release-1", "mould 7");
         mFleet.mTime.runFor(1_000);
-        AtomicReference<Boolean> recorded = mFleet.outcome(first, "released");
+        AtomicReference<Boolean> recorded = mFleet.recordOutcome(first, "released");
         mFleet.mTime.runFor(1_000);
         AttemptId late = mFleet.claim(mC, "release-1", "mould 7");
         AttemptId reused = mFleet.claim(mC, "release-1", "mould 8");
@@ -151,7 +153,7 @@
         assertThat(mFleet.claimStatus(first)).contains(ClaimOutcome.Status.GRANTED);
         assertThat(mFleet.claimStatus(early)).contains(ClaimOutcome.Status.RUNNING);
         assertThat(recorded).hasValue(true);
-        assertThat(mFleet.mClaimed.get(late).get().recorded().orElseThrow().body())
+        assertThat(mFleet.mClaimReplies.get(late).get().recorded().orElseThrow().body())
                 .isEqualTo("released");
         assertThat(mFleet.claimStatus(reused)).contains(ClaimOutcome.Status.KEY_REUSED);
     }
@@ -174,7 +176,7 @@
         mFleet.mPlatform.loses(0, 1.0);
         AttemptId first = mFleet.claim(mA, "release-1", "mould 7");
         mFleet.mTime.runFor(10_000);
-        assertThat(mFleet.mClaimed.get(first).getLeft().kind())
+        assertThat(mFleet.mClaimReplies.get(first).getLeft().kind())
                 .isEqualTo(ErrorKind.PLATFORM_UNAVAILABLE);
 
         mFleet.mPlatform.loses(0, 0);
@@ -183,7 +185,7 @@
         mFleet.mTime.runFor(5_000);
 
         assertThat(mFleet.claimStatus(retry)).contains(ClaimOutcome.Status.GRANTED);
-        assertThat(mFleet.mClaimed.get(first).isLeft()).isTrue();
+        assertThat(mFleet.mClaimReplies.get(first).isLeft()).isTrue();
     }
 
     @Test
@@ -199,16 +201,16 @@
         VmId vm = fleet.start("a", 1);
         fleet.mPlatform.outage(true);
         for (int i = 0; i < 10; i++) {
-            assertThat(fleet.ledger(vm).backlogFull()).isFalse();
+            assertThat(fleet.ledger(vm).isBacklogFull()).isFalse();
             fleet.bill(vm, "r" + i, 1);
         }
-        assertThat(fleet.ledger(vm).backlogFull()).isTrue();
+        assertThat(fleet.ledger(vm).isBacklogFull()).isTrue();
 
         fleet.mPlatform.outage(false);
         fleet.mTime.runFor(10_000);
 
-        assertThat(fleet.ledger(vm).backlogFull()).isFalse();
-        assertThat(fleet.billed()).hasSize(10);
+        assertThat(fleet.ledger(vm).isBacklogFull()).isFalse();
+        assertThat(fleet.billedAttempts()).hasSize(10);
     }
 
     @Test
@@ -217,14 +219,14 @@
         AttemptId two = mFleet.bill(mB, "r2", 10);
         AtomicLong doneMs = new AtomicLong();
         mFleet.mTime.runFor(1);
-        mFleet.ledger(mA).handOver(mFleet.mTime.nowMs(), doneMs::set);
-        mFleet.sees(mB, mB, mC);
-        mFleet.sees(mC, mB, mC);
+        mFleet.ledger(mA).drain(mFleet.mTime.nowMs(), doneMs::set);
+        mFleet.setLiveMembers(mB, mB, mC);
+        mFleet.setLiveMembers(mC, mB, mC);
         mFleet.mTime.runFor(30_000);
 
         assertThat(doneMs.get()).isPositive();
-        assertThat(mFleet.billed()).containsExactlyInAnyOrder(one, two);
-        assertThat(mFleet.ledger(mA).waiting()).isZero();
+        assertThat(mFleet.billedAttempts()).containsExactlyInAnyOrder(one, two);
+        assertThat(mFleet.ledger(mA).pendingCount()).isZero();
     }
 
     @Test
@@ -235,11 +237,13 @@
         }
         long nowMs = mFleet.mTime.nowMs();
 
-        assertThat(mFleet.ledger(mA).refusal(nowMs, LedgerFleet.key("r1", "body")))
+        assertThat(mFleet.ledger(mA).rejectionReason(nowMs, LedgerFleet.key("r1", "body")))
                 .hasValueSatisfying(
                         f -> assertThat(f.kind()).isEqualTo(ErrorKind.IDEMPOTENCY_KEY_EXPIRED));
-        assertThat(mFleet.ledger(mA).refusal(nowMs, LedgerFleet.key("r1", "other"))).isEmpty();
-        assertThat(mFleet.ledger(mB).refusal(nowMs, LedgerFleet.key("r1", "body"))).isEmpty();
+        assertThat(mFleet.ledger(mA).rejectionReason(nowMs, LedgerFleet.key("r1", "other")))
+                .isEmpty();
+        assertThat(mFleet.ledger(mB).rejectionReason(nowMs, LedgerFleet.key("r1", "body")))
+                .isEmpty();
     }
 
     @Test
@@ -247,9 +251,11 @@
         long nowMs = mFleet.mTime.nowMs();
         long tooOldMs = nowMs - Retention.standard().retryMs() - 1;
 
-        assertThat(mFleet.ledger(mA).refusal(nowMs, LedgerFleet.key("r@" + tooOldMs, "body")))
+        assertThat(
+                        mFleet.ledger(mA)
+                                .rejectionReason(nowMs, LedgerFleet.key("r@" + tooOldMs, "body")))
                 .isPresent();
-        assertThat(mFleet.ledger(mA).refusal(nowMs, LedgerFleet.key("r@" + nowMs, "body")))
+        assertThat(mFleet.ledger(mA).rejectionReason(nowMs, LedgerFleet.key("r@" + nowMs, "body")))
                 .isEmpty();
         AttemptId claim = mFleet.claim(mA, "r@" + tooOldMs, "body");
         mFleet.mTime.runFor(2_000);
--- a/coordination/src/test/java/org/hornbeampass/coordination/requests/RequestLoadTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/requests/RequestLoadTest.java
@@ -75,7 +75,7 @@
         }
         fleet.mTime.runFor(10_000);
 
-        assertThat(fleet.billed()).hasSize(8);
+        assertThat(fleet.billedAttempts()).hasSize(8);
         assertThat(fleet.mPlatform.calls(PlatformCall.Kind.READ)).isLessThan(200);
     }
 
@@ -96,7 +96,7 @@
         long before = fleet.mPlatform.calls(PlatformCall.Kind.WRITE);
         fleet.mPlatform.outage(false);
         long startMs = fleet.mTime.nowMs();
-        while (fleet.mBilled.size() < 10_000 && fleet.mTime.nowMs() < startMs + 120_000) {
+        while (fleet.mBillReplies.size() < 10_000 && fleet.mTime.nowMs() < startMs + 120_000) {
             fleet.mTime.runFor(100);
         }
         long writes = fleet.mPlatform.calls(PlatformCall.Kind.WRITE) - before;
@@ -106,7 +106,7 @@
                 fleet.mTime.nowMs() - startMs,
                 writes);
 
-        assertThat(fleet.billed()).hasSize(10_000);
+        assertThat(fleet.billedAttempts()).hasSize(10_000);
         assertThat(writes).isLessThan(1_000);
     }
 
@@ -154,7 +154,7 @@
 
     private static void bill(
             LedgerFleet fleet, VmId vm, int index, long atMs, long[] latencies, int[] answered) {
-        AttemptId attempt = fleet.attempt(vm);
+        AttemptId attempt = fleet.newAttempt(vm);
         String id = "0193-8f2a-request-" + index;
         String digest = "b1946ac92492d2347c6235b4d2611184";
         Bill bill =
--- a/coordination/src/test/java/org/hornbeampass/coordination/requests/RequestSteps.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/requests/RequestSteps.java
@@ -29,7 +29,7 @@
 
     private final LedgerFleet mFleet = new LedgerFleet(7, LedgerFleet.settings(2));
     private final Map<String, VmId> mRouters = new HashMap<>();
-    private final Map<String, AttemptId> mAsked = new HashMap<>();
+    private final Map<String, AttemptId> mLastAttempts = new HashMap<>();
 
     /** Starts the routers. */
     @Given("routers {string}, {string} and {string}")
@@ -87,7 +87,7 @@
     /** Splits the views of the members. */
     @Given("every router sees itself alone")
     public void every_router_sees_itself_alone() {
-        mRouters.values().forEach(vm -> mFleet.sees(vm, vm));
+        mRouters.values().forEach(vm -> mFleet.setLiveMembers(vm, vm));
         mFleet.mTime.runFor(2 * SECOND_MS);
     }
 
@@ -112,7 +112,7 @@
                         .map(Map.Entry::getValue)
                         .toArray(VmId[]::new);
         for (VmId other : others) {
-            mFleet.sees(other, others);
+            mFleet.setLiveMembers(other, others);
         }
     }
 
@@ -136,20 +136,20 @@
 
     /** Asks a router for a call that may not be repeated. */
     @When("router {string} is asked for manifest entry {string} for {string}")
-    public void asked_for_manifest_entry(String router, String id, String body) {
-        mAsked.put(router, mFleet.claim(mRouters.get(router), id, body));
+    public void claim_manifest_entry(String router, String id, String body) {
+        mLastAttempts.put(router, mFleet.claim(mRouters.get(router), id, body));
     }
 
     /** Asks a router for a call that may not be repeated. */
     @When("router {string} is asked for mould release {string} for {string}")
-    public void asked_for_mould_release(String router, String id, String body) {
-        asked_for_manifest_entry(router, id, body);
+    public void claim_mould_release(String router, String id, String body) {
+        claim_manifest_entry(router, id, body);
     }
 
     /** Lets a router run a call. */
     @Given("router {string} runs manifest entry {string} for {string}")
     public void runs_manifest_entry(String router, String id, String body) {
-        asked_for_manifest_entry(router, id, body);
+        claim_manifest_entry(router, id, body);
         mFleet.mTime.runFor(2 * SECOND_MS);
         answers(router, "GRANTED");
     }
@@ -163,13 +163,13 @@
     /** Records the outcome of the call that a router ran. */
     @When("router {string} records {string}")
     public void records(String router, String body) {
-        mFleet.outcome(mAsked.get(router), body);
+        mFleet.recordOutcome(mLastAttempts.get(router), body);
     }
 
     /** Checks what a router answered. */
     @Then("router {string} answers {string}")
     public void answers(String router, String answer) {
-        Either<Failure, ClaimOutcome> told = mFleet.mClaimed.get(mAsked.get(router));
+        Either<Failure, ClaimOutcome> told = mFleet.mClaimReplies.get(mLastAttempts.get(router));
         assertThat(told).as("answer of %s", router).isNotNull();
         if (answer.equals("not run")) {
             assertThat(told.getLeft().kind()).isEqualTo(ErrorKind.PLATFORM_UNAVAILABLE);
@@ -181,7 +181,7 @@
     /** Checks the recorded outcome that a router passes on. */
     @Then("router {string} passes on {string}")
     public void passes_on(String router, String body) {
-        ClaimOutcome told = mFleet.mClaimed.get(mAsked.get(router)).get();
+        ClaimOutcome told = mFleet.mClaimReplies.get(mLastAttempts.get(router)).get();
         assertThat(told.recorded().orElseThrow().body()).isEqualTo(body);
     }
 
@@ -218,7 +218,7 @@
     }
 
     private long runs(String id) {
-        return mFleet.mClaimed.entrySet().stream()
+        return mFleet.mClaimReplies.entrySet().stream()
                 .filter(e -> requestOf(e.getKey()).equals(id))
                 .filter(e -> e.getValue().isRight())
                 .filter(e -> e.getValue().get().status() == ClaimOutcome.Status.GRANTED)
@@ -257,15 +257,15 @@
     @Then("one bill stands for review {string}")
     public void one_bill_stands(String id) {
         assertThat(mFleet.audit().sum().bills()).as(id).isEqualTo(1);
-        assertThat(mFleet.billed()).hasSize(1);
+        assertThat(mFleet.billedAttempts()).hasSize(1);
     }
 
     /** Checks the answers. */
     @Then("{int} tokens are refunded")
     public void are_refunded(int tokens) {
         long refunded =
-                mFleet.mBilled.keySet().stream()
-                        .mapToLong(a -> mFleet.mBills.get(a).tokens() - mFleet.charged(a))
+                mFleet.mBillReplies.keySet().stream()
+                        .mapToLong(a -> mFleet.mBills.get(a).tokens() - mFleet.chargedTokens(a))
                         .sum();
         assertThat(refunded).isEqualTo(tokens);
     }
@@ -273,7 +273,7 @@
     /** Checks the answers. */
     @Then("the routers settle {int} tokens")
     public void are_settled(int tokens) {
-        assertThat(mFleet.settled()).isEqualTo(tokens);
+        assertThat(mFleet.settledTokens()).isEqualTo(tokens);
     }
 
     /** Checks the answers and the records. */
@@ -287,6 +287,6 @@
     /** Checks that no bill was answered. */
     @Then("nothing is billed")
     public void nothing_is_billed() {
-        assertThat(mFleet.mBilled).isEmpty();
+        assertThat(mFleet.mBillReplies).isEmpty();
     }
 }
--- a/coordination/src/test/java/org/hornbeampass/coordination/requests/SettingsAgreementTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/requests/SettingsAgreementTest.java
@@ -26,8 +26,8 @@
         VmId b = mFleet.start("b", 1);
         mFleet.mTime.runFor(1_000);
 
-        assertThat(mFleet.ledger(a).notReady()).isEmpty();
-        assertThat(mFleet.ledger(b).notReady()).isEmpty();
+        assertThat(mFleet.ledger(a).readinessFailure()).isEmpty();
+        assertThat(mFleet.ledger(b).readinessFailure()).isEmpty();
         assertThat(stored().orElseThrow()).contains("\"shards\":2");
     }
 
@@ -44,9 +44,9 @@
 
         assertThat(reason(other).message())
                 .contains("\"shards\":3", "\"shards\":2", "requests/settings", "start this VM");
-        assertThat(mFleet.mBilled).doesNotContainKeys(bills.toArray(AttemptId[]::new));
+        assertThat(mFleet.mBillReplies).doesNotContainKeys(bills.toArray(AttemptId[]::new));
         assertThat(mFleet.audit().sum().bills()).isZero();
-        assertThat(mFleet.ledger(a).notReady()).isEmpty();
+        assertThat(mFleet.ledger(a).readinessFailure()).isEmpty();
     }
 
     @Test
@@ -69,7 +69,7 @@
         mFleet.mTime.runFor(60_000);
 
         assertThat(reason(other).message()).contains("\"retryMs\":60000");
-        assertThat(mFleet.billed()).hasSize(20);
+        assertThat(mFleet.billedAttempts()).hasSize(20);
     }
 
     @Test
@@ -78,7 +78,10 @@
         VmId b = mFleet.start("b", 1, LedgerFleet.settings(3));
         mFleet.mTime.runFor(10_000);
 
-        assertThat(List.of(mFleet.ledger(a).notReady(), mFleet.ledger(b).notReady()))
+        assertThat(
+                        List.of(
+                                mFleet.ledger(a).readinessFailure(),
+                                mFleet.ledger(b).readinessFailure()))
                 .containsOnlyOnce(Optional.empty());
     }
 
@@ -88,7 +91,7 @@
         VmId a = mFleet.start("a", 1);
         mFleet.mTime.runFor(300_000);
 
-        assertThat(mFleet.ledger(a).notReady()).isEmpty();
+        assertThat(mFleet.ledger(a).readinessFailure()).isEmpty();
     }
 
     @Test
@@ -101,11 +104,11 @@
         mFleet.mPlatform.outage(false);
         mFleet.mTime.runFor(10_000);
 
-        assertThat(mFleet.ledger(a).notReady()).isEmpty();
+        assertThat(mFleet.ledger(a).readinessFailure()).isEmpty();
     }
 
     private Failure reason(VmId vm) {
-        return mFleet.ledger(vm).notReady().orElseThrow();
+        return mFleet.ledger(vm).readinessFailure().orElseThrow();
     }
 
     private Optional<String> stored() {
--- a/coordination/src/test/java/org/hornbeampass/coordination/requests/ShardStateTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/requests/ShardStateTest.java
@@ -53,7 +53,7 @@
 
         assertThat(raised).isEqualTo(EntryDecision.ofBill(Kind.RAISED, 1, 5));
         assertThat(again).isEqualTo(raised);
-        assertThat(mState.known(billEntry("r", TWO, 7))).contains(raised);
+        assertThat(mState.finalDecision(billEntry("r", TWO, 7))).contains(raised);
         assertThat(first).isEqualTo(EntryDecision.ofBill(Kind.BILLED, 1, 3));
         assertThat(less).isEqualTo(EntryDecision.ofBill(Kind.DUPLICATE, 2, 0));
         assertThat(mState.totals().values()).containsExactly(new BudgetTotals(1, 8, 2, 10, 0, 0));
@@ -122,7 +122,7 @@
         claim("c", "body", ONE);
         ClaimEntry retry = claimEntry("c", "body", TWO);
 
-        assertThat(mState.known(retry)).isEmpty();
+        assertThat(mState.finalDecision(retry)).isEmpty();
         assertThat(mState.apply(retry).kind()).isEqualTo(Kind.HELD);
         mState.apply(new WithdrawEntry(LedgerFleet.key("c", "body"), ONE, START_MS));
         assertThat(mState.apply(retry).kind()).isEqualTo(Kind.GRANTED);
--- a/router/src/main/java/org/hornbeampass/router/daemon/ControlMetrics.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/ControlMetrics.java
@@ -42,7 +42,7 @@
         gauge(registry, "control.upstream_news_bytes", news::bytes);
         gauge(registry, "requests.running", runner::running);
         gauge(registry, "requests.waiting", () -> parts.queues().waiting());
-        gauge(registry, "bills.not_durable", () -> parts.requests().waiting());
+        gauge(registry, "bills.not_durable", () -> parts.requests().pendingCount());
         gauge(registry, "config.revision", () -> parts.config().snapshot().revision());
         gauge(registry, "members.live", () -> parts.membership().view().live().size());
     }
--- a/router/src/main/java/org/hornbeampass/router/daemon/Shutdown.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/Shutdown.java
@@ -72,7 +72,7 @@
             return;
         }
         mNetwork.callers().stopAccepting();
-        mParts.requests().handOver(nowMs, this::handOverGrants);
+        mParts.requests().drain(nowMs, this::handOverGrants);
     }
 
     private void handOverGrants(long nowMs) {
--- a/router/src/main/java/org/hornbeampass/router/serve/LedgerBill.java
+++ b/router/src/main/java/org/hornbeampass/router/serve/LedgerBill.java
@@ -62,14 +62,14 @@
 
     @Override
     public Optional<Failure> refusal(long nowMs) {
-        if (mLedger.backlogFull()) {
+        if (mLedger.isBacklogFull()) {
             return Optional.of(
                     Failure.retryAfter(
                             ErrorKind.BILLING_BACKLOG,
                             "too many bills wait for the platform; retry later or elsewhere",
                             BACKLOG_RETRY_MS));
         }
-        return mLedger.refusal(nowMs, mKey);
+        return mLedger.rejectionReason(nowMs, mKey);
     }
 
     @Override
