--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/ActiveClock.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/ActiveClock.java
@@ -7,22 +7,24 @@
 import java.util.List;
 
 /**
- * The time of a shard of the log, as its batches give it, and its active time, which stands still
- * while nothing is appended.
+ * Tracks the time of a shard's log, as given by its batches, and its active time, which does not
+ * advance while nothing is appended.
  *
- * <p>Active time lets ids be forgotten by the log's own progress: after an outage of hours, the
- * bills that waited are as old in active time as they were when it began. Two batches are never
- * more than {@value #MAX_STEP_MS} ms apart in active time. A pure function of the batches' times,
- * so every VM computes the same.
+ * <p>Ids expire by active time, so they expire only as the log makes progress: after an outage of
+ * hours, the bills that waited are no older in active time than when the outage began. Active time
+ * advances by at most {@value #MAX_STEP_MS} ms between two batches. The state is a pure function of
+ * the batches' times, so every VM computes the same one.
  *
- * <p>Invariants: both times only grow; active time grows no faster than the batches' times. Not
- * thread-safe; the ledger's lock guards it.
+ * <p>Invariants: neither time ever decreases; active time grows no faster than the batches' times.
+ * Not thread-safe; guarded by the ledger's lock.
  */
 final class ActiveClock {
-    /** The longest that active time moves between two batches. */
+    /** The most by which active time advances between two batches, in milliseconds. */
     static final long MAX_STEP_MS = 60_000;
 
-    /** How many stretches without batches are kept; each takes at least one step to come about. */
+    /**
+     * How many idle periods are kept; each one takes at least {@link #MAX_STEP_MS} to come about.
+     */
     private static final int MAX_IDLE_PERIODS = 128;
 
     private final Deque<IdlePeriod> mIdle = new ArrayDeque<>();
@@ -30,20 +32,20 @@
     private long mActiveMs;
 
     /**
-     * A stretch of time in which active time stood still.
+     * A period during which active time did not advance.
      *
-     * @param fromMs its start
-     * @param toMs its end
+     * @param fromMs start of the period, in milliseconds
+     * @param toMs end of the period, in milliseconds
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record IdlePeriod(long fromMs, long toMs) {}
 
     /**
-     * What a checkpoint keeps of the clock.
+     * The clock's state as it is stored in a checkpoint.
      *
-     * @param timeMs the greatest batch time so far
-     * @param activeMs the active time
-     * @param idle the kept stretches, in their order
+     * @param timeMs the latest batch time so far, in milliseconds
+     * @param activeMs the active time, in milliseconds
+     * @param idle the idle periods that are kept, oldest first
      */
     record Snapshot(long timeMs, long activeMs, List<IdlePeriod> idle) {}
 
@@ -55,7 +57,9 @@
         mIdle.addAll(saved.idle());
     }
 
-    /** Takes in the time of the next batch; a time before the last one counts as the last one. */
+    /**
+     * Advances to the time of the next batch; a time before the last one counts as the last one.
+     */
     void advance(long batchMs) {
         if (mTimeMs == 0) {
             mTimeMs = batchMs;
@@ -75,7 +79,7 @@
         mTimeMs = batchMs;
     }
 
-    /** Returns the greatest batch time so far, in milliseconds. */
+    /** Returns the latest batch time so far, in milliseconds. */
     long timeMs() {
         return mTimeMs;
     }
@@ -86,15 +90,16 @@
     }
 
     /**
-     * Returns how much active time has passed since a moment, in milliseconds; 0 for the future.
+     * Returns how much active time has passed since {@code momentMs}, in milliseconds; 0 for a time
+     * that is not before the latest batch.
      */
     long activeMsSince(long momentMs) {
         if (momentMs >= mTimeMs) {
             return 0;
         }
         long idle = 0;
-        for (IdlePeriod stretch : mIdle) {
-            idle += Math.max(0, stretch.toMs() - Math.max(stretch.fromMs(), momentMs));
+        for (IdlePeriod period : mIdle) {
+            idle += Math.max(0, period.toMs() - Math.max(period.fromMs(), momentMs));
         }
         return mTimeMs - momentMs - idle;
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/BillPage.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/BillPage.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 
 /**
- * One page of an organisation's bills that stand.
+ * One page of an organisation's bills, without duplicates.
  *
  * <p>Immutable; safe for use by any thread.
  *
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/BillReader.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/BillReader.java
@@ -20,13 +20,15 @@
 import java.util.function.BiConsumer;
 
 /**
- * Reads an organisation's newest bills that stand from the platform's records alone: those since
- * the last checkpoint of each shard; older ones are only in the totals of {@link RequestAudit}.
+ * Reads an organisation's most recent bills, without duplicates, from the platform's records alone:
+ * those since the last checkpoint of each shard. Older bills are only contained in the totals of
+ * {@link RequestAudit}.
  *
- * <p>A raised bill is one line with the raised amount, at the place of the first attempt's
- * admission where that is since the checkpoint. What the reader holds at one time is one shard's
- * memory, the organisation's bills in one shard's log, one page of that log and one page of bills.
- * One run per instance; each step follows the reply of the last one, so it needs no lock.
+ * <p>A raised bill is one line with the raised amount. It is listed by the admission time of the
+ * request's first attempt, if that bill is since the checkpoint. The reader holds at one time the
+ * state of one shard, the organisation's bills in that shard's log, one page of that log and one
+ * page of bills. Each instance serves one run; each step starts when the previous one's reply has
+ * arrived, so no lock is needed.
  */
 public final class BillReader {
     private static final int PAGE_BATCHES = 8;
@@ -42,12 +44,12 @@
     private int mRestarts;
 
     /**
-     * Makes the reader of one page.
+     * Creates a reader for one page.
      *
-     * @param platform the platform that keeps the records
-     * @param settings the settings with which they were written
-     * @param organisation whose bills
-     * @param after where the page starts, from the page before
+     * @param platform the platform that stores the records
+     * @param settings the settings with which the records were written
+     * @param organisation the organisation whose bills are read
+     * @param after where the page starts, taken from the previous page; empty for the first page
      * @param limit the largest number of bills on the page
      */
     public BillReader(
@@ -63,7 +65,10 @@
         mLimit = limit;
     }
 
-    /** Reads every shard; {@code done} is run once. */
+    /**
+     * Reads every shard and calls {@code done} once, with the time in milliseconds and the page or
+     * the failure.
+     */
     public void run(long nowMs, BiConsumer<Long, Either<Failure, BillPage>> done) {
         readShard(nowMs, 0, done);
     }
@@ -123,27 +128,27 @@
     }
 
     private void collect(RequestEntry entry, EntryDecision decision) {
-        boolean stands =
+        boolean charged =
                 decision.kind() == EntryDecision.Kind.BILLED
                         || decision.kind() == EntryDecision.Kind.RAISED;
-        if (!stands
-                || !(entry instanceof RequestEntry.BillEntry known)
-                || !known.key().organisation().equals(mOrganisation)) {
+        if (!charged
+                || !(entry instanceof RequestEntry.BillEntry billEntry)
+                || !billEntry.key().organisation().equals(mOrganisation)) {
             return;
         }
-        Bill first = mFirstBills.computeIfAbsent(known.key(), k -> known.bill());
-        Bill bill = withRaisedAmount(first, known.bill());
-        String place = sortKey(bill);
-        if (place.compareTo(mAfter) <= 0) {
+        Bill first = mFirstBills.computeIfAbsent(billEntry.key(), k -> billEntry.bill());
+        Bill bill = withRaisedAmount(first, billEntry.bill());
+        String key = sortKey(bill);
+        if (key.compareTo(mAfter) <= 0) {
             return;
         }
-        mPage.merge(place, bill, (before, now) -> now.tokens() > before.tokens() ? now : before);
+        mPage.merge(key, bill, (before, now) -> now.tokens() > before.tokens() ? now : before);
         if (mPage.size() > mLimit + 1) {
             mPage.pollLastEntry();
         }
     }
 
-    /** Returns a raised bill as it stands, at the place of the first. */
+    /** Returns the raised bill with the budget and the admission time of the first one. */
     private static Bill withRaisedAmount(Bill first, Bill raised) {
         return new Bill(
                 first.key(),
@@ -154,7 +159,7 @@
                 first.admittedAtMs());
     }
 
-    /** Returns a bill's place in the order of admission. */
+    /** Returns a key by which bills sort in the order of their admission. */
     private static String sortKey(Bill bill) {
         return String.format(
                 java.util.Locale.ROOT,
@@ -174,7 +179,10 @@
                 last ? Optional.empty() : Optional.of(mPage.lastKey()));
     }
 
-    /** Starts a shard anew where its log was truncated while it was read. */
+    /**
+     * Reads the shard again from its checkpoint, since its log may have been truncated while it was
+     * read.
+     */
     private void restartShard(
             long nowMs,
             int shard,
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/Checkpoint.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/Checkpoint.java
@@ -4,17 +4,17 @@
 import java.util.List;
 
 /**
- * What a shard remembers at one place in the log, ready to be written.
+ * The state of a shard at one position in the log, ready to be written.
  *
  * <p>Taken when a generation of bills is closed, while the new one is still empty. Immutable:
  * closed generations don't change, and the rest is text.
  *
- * @param nextSequence the first batch that is not in the checkpoint
+ * @param nextSequence sequence of the first batch that the checkpoint does not contain
  * @param openNumber the number of the new generation
  * @param clock the log's time
- * @param generations the closed generations, the oldest first
- * @param claims the parts of the claims
- * @param totals the parts of the totals
+ * @param generations the closed generations, oldest first
+ * @param claims the encoded parts of the claims
+ * @param totals the encoded parts of the totals
  */
 record Checkpoint(
         long nextSequence,
@@ -36,7 +36,7 @@
                 CheckpointParts.encodeTotals(state.totals()));
     }
 
-    /** Returns the manifest that names this checkpoint's parts. */
+    /** Returns the manifest that lists the parts of this checkpoint. */
     CheckpointManifest manifest() {
         List<CheckpointManifest.GenerationParts> parts =
                 generations.stream()
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/CheckpointKeys.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/CheckpointKeys.java
@@ -4,12 +4,14 @@
 import java.util.List;
 
 /**
- * The platform keys of one shard's checkpoint.
+ * Builds the platform keys of one shard's checkpoint.
  *
- * <p>Parts are named by the generation that opened when the checkpoint was taken, so that two VMs
- * that take it write the same content under the same keys. Immutable; safe for use by any thread.
+ * <p>The parts of claims and totals are named after the generation that was opened when the
+ * checkpoint was taken, and the parts of a generation after its number, so two VMs that take the
+ * same checkpoint write the same content under the same keys. Immutable; safe for use by any
+ * thread.
  *
- * @param shard the shard
+ * @param shard the shard, from 0
  */
 record CheckpointKeys(int shard) {
     private static final String PREFIX = "request-checkpoints/";
@@ -34,7 +36,10 @@
         return key("totals-" + openNumber + "-" + part);
     }
 
-    /** Returns the keys of the parts that one manifest names and its successor does not. */
+    /**
+     * Returns the keys of the parts that the manifest {@code before} lists and {@code after} does
+     * not.
+     */
     List<String> obsoleteKeys(CheckpointManifest before, CheckpointManifest after) {
         List<String> keys = new ArrayList<>();
         before.generations().stream()
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/CheckpointLoader.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/CheckpointLoader.java
@@ -19,10 +19,11 @@
 import java.util.function.Function;
 
 /**
- * One run of reading a shard's checkpoint, part by part.
+ * Reads a shard's checkpoint, part by part.
  *
- * <p>A part that is missing was deleted after the manifest was read; the run fails and the caller
- * starts anew. Used by one run, each step following the reply of the last one.
+ * <p>A missing part was deleted after the manifest had been read; the run then fails and the caller
+ * starts over. Each instance serves one run; each step starts when the previous one's reply has
+ * arrived, so no lock is needed.
  */
 final class CheckpointLoader {
     private final Platform mPlatform;
@@ -33,7 +34,7 @@
     private final ClaimTable mClaims = new ClaimTable();
     private final Map<BudgetKey, BudgetTotals> mTotals = new HashMap<>();
 
-    /** A part to be read, and how. */
+    /** A part still to be read, and the function that decodes it. */
     private record Part(String key, Function<String, Either<Failure, Boolean>> reader) {}
 
     CheckpointLoader(
@@ -47,7 +48,7 @@
         mDone = done;
     }
 
-    /** Starts; the result is the state of an empty log where there is no checkpoint. */
+    /** Starts reading; the result is the state of an empty log if there is no checkpoint. */
     void start(long nowMs) {
         mPlatform.submit(
                 nowMs,
@@ -123,6 +124,6 @@
     }
 
     private static Failure unavailable(String key) {
-        return Failure.of(ErrorKind.PLATFORM_UNAVAILABLE, "could not read " + key);
+        return Failure.of(ErrorKind.PLATFORM_UNAVAILABLE, "the platform did not return " + key);
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/CheckpointManifest.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/CheckpointManifest.java
@@ -7,18 +7,19 @@
 import java.util.Optional;
 
 /**
- * Names the parts of a shard's checkpoint and the place in the log that it stands for.
+ * Lists the parts of a shard's checkpoint and the position in the log at which it was taken.
  *
  * <p>Invariant: on the platform, {@code nextSequence} only grows; every part that the stored
- * manifest names exists, since parts are written before it and deleted after its successor.
- * Immutable; safe for use by any thread.
+ * manifest lists exists, since parts are written before the manifest and deleted only after its
+ * successor is written. Immutable; safe for use by any thread.
  *
- * @param nextSequence the first batch that is not in the checkpoint
- * @param openNumber the number of the generation of bills that is open there, and empty
- * @param clock the log's time there
- * @param generations the closed generations, the oldest first
- * @param claimParts how many parts the claims take
- * @param totalParts how many parts the totals take
+ * @param nextSequence sequence of the first batch that the checkpoint does not contain
+ * @param openNumber the number of the generation of bills that was open, and empty, at that
+ *     position
+ * @param clock the log's time at that position
+ * @param generations the closed generations, oldest first
+ * @param claimParts the number of parts that hold the claims
+ * @param totalParts the number of parts that hold the totals
  */
 record CheckpointManifest(
         long nextSequence,
@@ -28,10 +29,10 @@
         int claimParts,
         int totalParts) {
     /**
-     * How many parts one generation takes.
+     * The number of parts that hold one generation.
      *
      * @param number the generation's number
-     * @param parts how many parts it takes
+     * @param parts the number of its parts
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record GenerationParts(long number, int parts) {}
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/CheckpointParts.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/CheckpointParts.java
@@ -20,13 +20,13 @@
 import java.util.Map;
 
 /**
- * Turns what a shard remembers into texts that the platform holds, and back.
+ * Encodes the state of a shard into texts for the platform, and decodes them.
  *
- * <p>Equal memories give equal texts, in whatever order they were filled. Thread-safe: holds no
- * state.
+ * <p>Equal states are encoded to equal texts, in whatever order they were filled. Thread-safe:
+ * holds no state.
  */
 final class CheckpointParts {
-    /** How many ids go into one part: 704,000 bytes, 940,000 in Base64. */
+    /** The most ids in one part: 704,000 bytes, 940,000 in Base64. */
     static final int IDS_PER_PART = 22_000;
 
     private static final int ID_BYTES = 4 * Long.BYTES;
@@ -37,15 +37,15 @@
     /**
      * Ids of bills, four longs each: high, low, value and amount.
      *
-     * @param rows the bytes
+     * @param rows the longs as bytes, in big-endian order
      */
     private record IdPart(byte[] rows) {}
 
     /**
-     * When an attempt gave up.
+     * The withdrawal of an attempt's claim.
      *
      * @param attempt the attempt
-     * @param atMs when
+     * @param atMs when the claim was withdrawn, in milliseconds
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     private record Withdrawal(AttemptId attempt, long atMs) {}
@@ -53,8 +53,8 @@
     /**
      * Claims and withdrawals.
      *
-     * @param held claims that stand
-     * @param withdrawn attempts that gave up
+     * @param held claims that were granted and not withdrawn
+     * @param withdrawn attempts whose claims were withdrawn
      */
     private record ClaimPart(List<ClaimTable.HeldClaim> held, List<Withdrawal> withdrawn) {}
 
@@ -75,7 +75,7 @@
      */
     private record TotalPart(List<TotalLine> lines) {}
 
-    /** Returns a closed generation's ids, in their order. */
+    /** Encodes the ids of a closed generation, in ascending order. */
     static List<String> encodeGeneration(RecentBills.Generation generation) {
         List<long[]> ids = new ArrayList<>(generation.size());
         generation.forEach(
@@ -92,7 +92,7 @@
         return parts;
     }
 
-    /** Reads one part into a generation. */
+    /** Decodes one part and adds its ids to a generation. */
     static Either<Failure, Boolean> decodeGeneration(String text, RecentBills.Generation into) {
         return Json.decode(text, IdPart.class)
                 .map(
@@ -109,7 +109,7 @@
                         });
     }
 
-    /** Returns the claims and withdrawals, in the order of their ids. */
+    /** Encodes the claims by organisation and request, then the withdrawals by VM and number. */
     static List<String> encodeClaims(ClaimTable claims) {
         List<ClaimTable.HeldClaim> held = new ArrayList<>(claims.heldClaims());
         held.sort(
@@ -127,7 +127,7 @@
         return parts;
     }
 
-    /** Reads one part of claims. */
+    /** Decodes one part of claims and withdrawals into {@code into}. */
     static Either<Failure, Boolean> decodeClaims(String text, ClaimTable into) {
         return Json.decode(text, ClaimPart.class)
                 .map(
@@ -138,7 +138,7 @@
                         });
     }
 
-    /** Returns the totals, in the order of the budgets. */
+    /** Encodes the totals, in the order of the budgets. */
     static List<String> encodeTotals(Map<BudgetKey, BudgetTotals> totals) {
         List<TotalLine> lines = new ArrayList<>();
         totals.forEach((k, t) -> lines.add(new TotalLine(k.organisation(), k.budget(), t)));
@@ -146,7 +146,7 @@
         return chunks(lines).stream().map(c -> Json.encode(new TotalPart(c))).toList();
     }
 
-    /** Reads one part of totals. */
+    /** Decodes one part of totals into {@code into}. */
     static Either<Failure, Boolean> decodeTotals(String text, Map<BudgetKey, BudgetTotals> into) {
         return Json.decode(text, TotalPart.class)
                 .map(
@@ -162,7 +162,9 @@
                         });
     }
 
-    /** Splits a list so that each chunk's text stays well below what the platform holds. */
+    /**
+     * Splits a list so that the text of each chunk stays well below the size limit of the platform.
+     */
     private static <T> List<List<T>> chunks(List<T> all) {
         List<List<T>> chunks = new ArrayList<>();
         int chars = MAX_PART_CHARS;
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/CheckpointWriter.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/CheckpointWriter.java
@@ -15,15 +15,17 @@
 import java.util.function.BiConsumer;
 
 /**
- * One run of writing a checkpoint: parts, then the manifest; then the parts that only the last
- * manifest names are deleted.
+ * Writes a checkpoint: its parts, then the manifest; then deletes the parts that only the previous
+ * manifest lists.
  *
- * <p>Invariants: a manifest is written conditionally on the one that was read before its parts were
- * written, so it never names a part that another run deleted; nothing is deleted before it is known
- * to be written. A run that fails anywhere stops; the next one starts anew. Two runs of one
- * checkpoint write equal parts, so a part that exists already is as good as written.
+ * <p>Invariants: the manifest is written conditionally on the version that was read before the
+ * parts were written, so it never lists a part that another run has deleted; nothing is deleted
+ * before the manifest is known to be written. A run stops at the first failed write; the next run
+ * starts over. Two runs of the same checkpoint write equal parts, so a part that already exists
+ * counts as written.
  *
- * <p>Used by one run, each step following the reply of the last one.
+ * <p>Each instance serves one run; each step starts when the previous one's reply has arrived, so
+ * no lock is needed.
  */
 final class CheckpointWriter {
     private static final long NOT_WRITTEN = 0;
@@ -37,7 +39,7 @@
     private Optional<CheckpointManifest> mStoredManifest = Optional.empty();
     private long mStoredVersion;
 
-    /** A part to be written. */
+    /** A part still to be written. */
     private record Part(String key, String text) {}
 
     CheckpointWriter(
@@ -53,8 +55,8 @@
     }
 
     /**
-     * Starts; at its end {@code done} is run with the time in milliseconds and the sequence below
-     * which the log may be truncated, 0 where the checkpoint was not written.
+     * Starts writing. At the end, {@code done} is called with the time in milliseconds and the
+     * sequence below which the log may be truncated, or 0 if the checkpoint was not written.
      */
     void start(long nowMs) {
         mPlatform.submit(
@@ -102,7 +104,7 @@
         return mStoredManifest.flatMap(b -> b.generation(number)).isPresent();
     }
 
-    /** Writes the next part; a generation is only turned into text when its turn comes. */
+    /** Writes the next part; a generation is encoded only when it is about to be written. */
     private void writeNext(
             long nowMs, Iterator<Part> parts, Iterator<RecentBills.Generation> generations) {
         if (!parts.hasNext() && !generations.hasNext()) {
@@ -118,10 +120,10 @@
                 nowMs,
                 new PlatformCall.Create(part.key(), part.text()),
                 (atMs, reply) -> {
-                    boolean stands =
+                    boolean partExists =
                             reply instanceof PlatformReply.Written
                                     || reply instanceof PlatformReply.Conflict;
-                    if (stands) {
+                    if (partExists) {
                         writeNext(atMs, parts, generations);
                     } else {
                         mDone.accept(atMs, NOT_WRITTEN);
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/ClaimOutcomeMapper.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/ClaimOutcomeMapper.java
@@ -10,7 +10,7 @@
 import java.util.function.Predicate;
 
 /**
- * Turns the log's decision on a claim into what the claiming VM is told.
+ * Maps the log's decision on a claim to the outcome that is returned to the claiming VM.
  *
  * <p>Thread-safe: holds no state.
  */
@@ -18,18 +18,18 @@
     private ClaimOutcomeMapper() {}
 
     /**
-     * Returns the answer.
+     * Returns the outcome of a claim, or a failure if the call did not run and will not run by this
+     * attempt.
      *
      * @param decision the log's decision
-     * @param provedGone whether a VM's life is proved to be over
+     * @param isGone whether a VM's incarnation is known to have ended
      */
-    static Either<Failure, ClaimOutcome> toOutcome(
-            EntryDecision decision, Predicate<VmId> provedGone) {
+    static Either<Failure, ClaimOutcome> toOutcome(EntryDecision decision, Predicate<VmId> isGone) {
         return switch (decision.kind()) {
             case GRANTED -> success(ClaimOutcome.Status.GRANTED);
             case HELD ->
                     success(
-                            decision.holder().filter(provedGone).isPresent()
+                            decision.holder().filter(isGone).isPresent()
                                     ? ClaimOutcome.Status.OUTCOME_UNKNOWN
                                     : ClaimOutcome.Status.RUNNING);
             case RECORDED -> Either.right(ClaimOutcome.recorded(decision.outcome().orElseThrow()));
@@ -39,13 +39,13 @@
                     Either.left(
                             Failure.of(
                                     ErrorKind.OVERLOADED,
-                                    "too many keys without a time are kept; use a key that carries"
-                                            + " its time"));
+                                    "too many keys without a timestamp are stored; use a key with"
+                                            + " a timestamp"));
             default ->
                     Either.left(
                             Failure.of(
                                     ErrorKind.PLATFORM_UNAVAILABLE,
-                                    "the claim was given up; the call did not run"));
+                                    "the claim was withdrawn; the call did not run"));
         };
     }
 
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/ClaimTable.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/ClaimTable.java
@@ -16,12 +16,12 @@
 import java.util.OptionalLong;
 
 /**
- * The claims that a shard remembers, and the attempts that gave up theirs.
+ * Holds the claims of a shard, and the attempts whose claims were withdrawn.
  *
- * <p>Invariants: an id has at most one claim, and only its holder's withdrawal removes it while the
- * id may still be used; an id that carries a time is forgotten only when every later claim of it is
- * refused as expired; an id that carries none is never forgotten. Not thread-safe; the ledger's
- * lock guards it.
+ * <p>Invariants: an id has at most one claim, and while the id may still be used, only a withdrawal
+ * by the attempt that holds it removes it; the claim on an id that contains a timestamp is removed
+ * only once every later claim on that id is rejected as expired; the claim on an id without a
+ * timestamp is never removed by age. Not thread-safe; guarded by the ledger's lock.
  */
 final class ClaimTable {
     private static final long CLAIM_OVERHEAD_BYTES = 200;
@@ -30,7 +30,7 @@
     private final Map<AttemptId, Long> mWithdrawn = new HashMap<>();
     private long mUndatedBytes;
 
-    /** A call that may not be repeated, whatever its body. */
+    /** Identifies a call that may not be repeated, regardless of its body. */
     private record ClaimId(OrganisationId organisation, RequestId request) {
         private static ClaimId of(RequestKey key) {
             return new ClaimId(key.organisation(), key.request());
@@ -38,18 +38,18 @@
     }
 
     /**
-     * One claim that stands.
+     * A claim that was granted and not withdrawn.
      *
-     * @param key the call
-     * @param attempt the attempt that holds it
-     * @param claimedAtMs when it was claimed, by the log's time
-     * @param outcome the call's outcome, where it is known
+     * @param key the claimed call
+     * @param attempt the attempt that holds the claim
+     * @param claimedAtMs when it was claimed, by the log's time, in milliseconds
+     * @param outcome the outcome of the call, if known
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record HeldClaim(
             RequestKey key, AttemptId attempt, long claimedAtMs, Optional<CallOutcome> outcome) {
-        private HeldClaim withOutcome(CallOutcome known) {
-            return new HeldClaim(key, attempt, claimedAtMs, Optional.of(known));
+        private HeldClaim withOutcome(CallOutcome result) {
+            return new HeldClaim(key, attempt, claimedAtMs, Optional.of(result));
         }
 
         private long estimatedBytes() {
@@ -65,24 +65,24 @@
         }
     }
 
-    /** Returns the claim on an id. */
+    /** Returns the claim on the id of a call, if there is one. */
     Optional<HeldClaim> find(RequestKey key) {
         return Optional.ofNullable(mClaims.get(ClaimId.of(key)));
     }
 
-    /** Remembers that an attempt holds an id that is not held yet. */
+    /** Adds the claim of an attempt on an id that is not held yet. */
     void grant(Claim claim, long atMs) {
         add(new HeldClaim(claim.key(), claim.attempt(), atMs, Optional.empty()));
     }
 
-    /** Takes in a claim from a checkpoint, or a new one. */
+    /** Adds a new claim, or one from a checkpoint. */
     void add(HeldClaim held) {
         mClaims.put(ClaimId.of(held.key()), held);
         addUndatedBytes(held, 1);
     }
 
-    /** Remembers the outcome of a held id. */
-    void recordOutcome(HeldClaim held, CallOutcome outcome) {
+    /** Records the outcome of a claimed call. */
+    void record(HeldClaim held, CallOutcome outcome) {
         addUndatedBytes(held, -1);
         add(held.withOutcome(outcome));
     }
@@ -93,7 +93,9 @@
         }
     }
 
-    /** Ends an attempt's claim, now or when its entry comes later. */
+    /**
+     * Removes the claim of an attempt, and rejects that claim if its entry comes later in the log.
+     */
     void withdraw(RequestKey key, AttemptId attempt, long withdrawnAtMs) {
         mWithdrawn.put(attempt, withdrawnAtMs);
         HeldClaim held = mClaims.get(ClaimId.of(key));
@@ -103,28 +105,31 @@
         }
     }
 
-    /** Takes in a withdrawal from a checkpoint. */
+    /** Adds a withdrawal from a checkpoint. */
     void addWithdrawn(AttemptId attempt, long withdrawnAtMs) {
         mWithdrawn.put(attempt, withdrawnAtMs);
     }
 
-    /** Returns whether an attempt gave up. */
+    /** Returns whether the claim of an attempt was withdrawn. */
     boolean isWithdrawn(AttemptId attempt) {
         return mWithdrawn.containsKey(attempt);
     }
 
-    /** Returns how many bytes the claims whose ids carry no time take, about. */
+    /** Returns roughly how many bytes the claims take whose ids have no timestamp. */
     long undatedBytes() {
         return mUndatedBytes;
     }
 
-    /** Forgets what can't be asked for any more. */
+    /** Removes the claims and withdrawals that no later entry can refer to. */
     void removeExpired(ActiveClock clock, Retention retention) {
         mClaims.values().removeIf(h -> isExpired(h.key().request(), clock.timeMs(), retention));
         mWithdrawn.values().removeIf(atMs -> clock.activeMsSince(atMs) > retention.lateMs());
     }
 
-    /** Returns whether an id that carries a time is too old, or too far ahead, to be claimed. */
+    /**
+     * Returns whether the timestamp in an id is too old, or too far in the future, for the id to be
+     * claimed; false for an id without a timestamp.
+     */
     static boolean isExpired(RequestId id, long logTimeMs, Retention retention) {
         OptionalLong time = KeyTimestamp.parse(id);
         if (time.isEmpty()) {
@@ -134,12 +139,12 @@
         return age > retention.retryMs() || age < -retention.retryMs();
     }
 
-    /** Returns all claims that stand. */
+    /** Returns all claims that were granted and not withdrawn. */
     Collection<HeldClaim> heldClaims() {
         return mClaims.values();
     }
 
-    /** Returns when each attempt that is still remembered gave up. */
+    /** Returns when each claim was withdrawn, in milliseconds, by attempt. */
     Map<AttemptId, Long> withdrawals() {
         return mWithdrawn;
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/DeferredActions.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/DeferredActions.java
@@ -4,19 +4,19 @@
 import java.util.List;
 
 /**
- * What is to be run once the ledger's lock is released: calls, messages and callbacks.
+ * Collects the calls, messages and callbacks to run once the ledger's lock is released.
  *
  * <p>Not thread-safe; used by the one thread that holds, then has released, the lock.
  */
 final class DeferredActions {
-    private final List<Runnable> mActions = new ArrayList<>();
+    private final List<Runnable> mSteps = new ArrayList<>();
 
     void add(Runnable step) {
-        mActions.add(step);
+        mSteps.add(step);
     }
 
     void run() {
-        mActions.forEach(Runnable::run);
+        mSteps.forEach(Runnable::run);
     }
 
     /** Runs a step with the ledger's lock held, then what the step deferred without it. */
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/EntriesDecided.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/EntriesDecided.java
@@ -7,11 +7,11 @@
 import java.util.List;
 
 /**
- * Answers {@link SubmitEntries} with the decision on each entry, in their order.
+ * Reply to {@link SubmitEntries} with the decision on each entry.
  *
  * <p>Immutable; safe for use by any thread.
  *
- * @param decisions the decisions
+ * @param decisions the decisions, in the order of the submitted entries
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record EntriesDecided(List<EntryDecision> decisions) implements PeerMessage {
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/EntriesRefused.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/EntriesRefused.java
@@ -5,11 +5,12 @@
 import org.hornbeampass.coordination.peer.PeerMessage;
 
 /**
- * Answers {@link SubmitEntries} where the owner can't decide now; the entries may still be decided.
+ * Reply to {@link SubmitEntries} if the owner can't decide on the entries now; they may still be
+ * decided later.
  *
  * <p>Immutable; safe for use by any thread.
  *
- * @param retryAfterMs when to ask again, in milliseconds
+ * @param retryAfterMs how long to wait before sending the entries again, in milliseconds
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record EntriesRefused(long retryAfterMs) implements PeerMessage {}
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/EntryCodec.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/EntryCodec.java
@@ -16,10 +16,10 @@
 import java.util.OptionalLong;
 
 /**
- * Turns entries into the texts of a log batch and back: one letter for the kind, then the record as
- * a JSON array.
+ * Encodes entries as the texts of a log batch, and decodes them: one letter for the kind, then the
+ * record as a JSON array.
  *
- * <p>The first text of a batch is its time. Thread-safe: holds no state.
+ * <p>The first text of a batch contains its time. Thread-safe: holds no state.
  */
 final class EntryCodec {
     private static final char BILL = 'B';
@@ -30,7 +30,7 @@
 
     private EntryCodec() {}
 
-    /** Returns an entry's text. */
+    /** Returns the text of an entry. */
     static String encode(RequestEntry entry) {
         if (entry instanceof BillEntry bill) {
             return BILL + Json.encode(bill.bill());
@@ -44,7 +44,10 @@
         return OUTCOME + Json.encode(((OutcomeEntry) entry).outcome());
     }
 
-    /** Returns the entry of a text, or {@code INTERNAL} where it is none that this VM knows. */
+    /**
+     * Returns the entry of a text, or {@code INTERNAL} if this VM does not know its kind or can't
+     * read it.
+     */
     static Either<Failure, RequestEntry> decode(String text) {
         char kind = text.isEmpty() ? ' ' : text.charAt(0);
         String record = text.isEmpty() ? "" : text.substring(1);
@@ -59,12 +62,15 @@
         };
     }
 
-    /** Returns the text that gives a batch its time. */
+    /** Returns the text that contains the time of a batch. */
     static String encodeTime(long atMs) {
         return TIME + Long.toString(atMs);
     }
 
-    /** Returns the time that a batch's first text gives, in milliseconds. */
+    /**
+     * Returns the time in the first text of a batch, in milliseconds; empty for the text of an
+     * entry.
+     */
     static OptionalLong decodeTime(String text) {
         return text.length() > 1 && text.charAt(0) == TIME
                 ? OptionalLong.of(Long.parseLong(text.substring(1)))
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/EntryDecision.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/EntryDecision.java
@@ -9,15 +9,15 @@
 import java.util.Optional;
 
 /**
- * What the log decided on one entry.
+ * The decision of the log on one entry.
  *
  * <p>Immutable; safe for use by any thread.
  *
  * @param kind the decision
- * @param repeats how many further bills of the same request were decided so far
- * @param charged how many tokens the bill's attempt has to settle; 0 for other entries
- * @param holder the VM whose attempt holds the claim, where another one does
- * @param outcome the recorded outcome, where there is one
+ * @param repeats how many further bills of the same request have been decided so far
+ * @param charged how many tokens the attempt of the bill has to settle; 0 for other entries
+ * @param holder the VM whose attempt holds the claim, if it is another attempt
+ * @param outcome the recorded outcome, if there is one
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record EntryDecision(
@@ -26,37 +26,37 @@
         long charged,
         Optional<VmId> holder,
         Optional<CallOutcome> outcome) {
-    /** The decisions. */
+    /** The kinds of decisions. */
     public enum Kind {
-        /** The bill stands. */
+        /** The first bill of its request; it is charged. */
         BILLED,
-        /** The request's bill is raised to this one's amount. */
+        /** The bill of the request is raised to the amount of this one. */
         RAISED,
-        /** Another attempt's bill of the same or a larger amount stands. */
+        /** The request was already billed by another attempt with the same or a larger amount. */
         DUPLICATE,
-        /** The bill came so late that it can't be told from a repeated one; it is not charged. */
+        /** The bill arrived too late to be distinguished from a repeated one; it is not charged. */
         LATE,
-        /** The claim stands, and no other ever will. */
+        /** The claim is granted, and no other attempt is ever granted it. */
         GRANTED,
         /** Another attempt holds the claim. */
         HELD,
         /** The call's outcome is recorded. */
         RECORDED,
-        /** The id was claimed for another body. */
+        /** The id was claimed before for a request with another body. */
         KEY_REUSED,
         /** The id or the claim is too old. */
         EXPIRED,
-        /** The claim was withdrawn before; it never stands. */
+        /** The claim was withdrawn before; it is never granted. */
         WITHDRAWN,
-        /** The shard remembers as many ids without a time as it may. */
+        /** The shard stores as many ids without a timestamp as it may. */
         FULL,
-        /** A withdrawal or an outcome was taken in. */
+        /** The withdrawal or outcome is recorded. */
         DONE,
-        /** An outcome of an attempt that does not hold the claim; nothing was changed. */
+        /** The outcome comes from an attempt that does not hold the claim; nothing was changed. */
         NOT_HELD
     }
 
-    /** Checks that no part is missing. */
+    /** Checks that no component is null. */
     public EntryDecision {
         Objects.requireNonNull(kind, "kind");
         Objects.requireNonNull(holder, "holder");
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/IdTable.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/IdTable.java
@@ -5,13 +5,13 @@
 import java.util.Optional;
 
 /**
- * A hash table from 128-bit fingerprints to entries, four longs a row in one array.
+ * A hash table from 128-bit fingerprints to entries, stored as rows of four longs in one array.
  *
- * <p>Open addressing with linear probing; the place of a row follows from the fingerprint's upper
- * bits, which are as good as random. Invariants: a row whose value is 0 is free; at most four
- * fifths of the rows are taken; rows are never removed. Takes 40 bytes an id once trimmed, 40 to 80
- * before. Not thread-safe; the ledger's lock guards it until it is trimmed, after which it does not
- * change.
+ * <p>Open addressing with linear probing; the row is derived from the upper bits of the
+ * fingerprint, which are uniformly distributed. Invariants: a row whose value is 0 is free; at most
+ * four fifths of the rows are in use; rows are never removed. Takes 40 bytes per id once trimmed,
+ * 40 to 80 before. Not thread-safe; guarded by the ledger's lock until it is trimmed, after which
+ * it does not change.
  */
 final class IdTable {
     private static final int ROW_LONGS = 4;
@@ -29,7 +29,7 @@
         return mSize;
     }
 
-    /** Returns an id's entry, if there is one. */
+    /** Returns the entry of an id, if there is one. */
     Optional<Entry> get(RequestFingerprint id) {
         int row = rowOf(id.high(), id.low());
         return mRows[row + VALUE_OFFSET] == 0
@@ -37,10 +37,10 @@
                 : Optional.of(new Entry(mRows[row + VALUE_OFFSET], mRows[row + AMOUNT_OFFSET]));
     }
 
-    /** Sets an id's entry. */
+    /** Sets the entry of an id; a value of 0 is rejected, since it marks a free row. */
     void put(RequestFingerprint id, Entry entry) {
         if (entry.value() == 0) {
-            throw new IllegalArgumentException("a value of 0 marks a free row");
+            throw new IllegalArgumentException("value must not be 0, which marks a free row");
         }
         if ((long) (mSize + 1) * FIFTHS > (long) capacity() * MAX_LOAD_FIFTHS) {
             resize(Math.multiplyExact(capacity(), 2));
@@ -48,15 +48,15 @@
         set(id.high(), id.low(), entry.value(), entry.amount());
     }
 
-    /** Gives back the room that no row needs; called once nothing is added any more. */
+    /** Shrinks the array to the rows in use; called once no more ids are added. */
     void trim() {
-        int least = (int) ((long) mSize * FIFTHS / MAX_LOAD_FIFTHS) + 1;
-        if (least < capacity()) {
-            resize(least);
+        int minCapacity = (int) ((long) mSize * FIFTHS / MAX_LOAD_FIFTHS) + 1;
+        if (minCapacity < capacity()) {
+            resize(minCapacity);
         }
     }
 
-    /** Hands every id and entry to a visitor, in no order. */
+    /** Calls the visitor with every id and its entry, in no particular order. */
     void forEach(RecentBills.Visitor visitor) {
         for (int row = 0; row < mRows.length; row += ROW_LONGS) {
             if (mRows[row + VALUE_OFFSET] != 0) {
@@ -97,7 +97,10 @@
         mRows[row + AMOUNT_OFFSET] = amount;
     }
 
-    /** Returns where an id's row starts, or the free row where it would be put. */
+    /**
+     * Returns the index at which the row of an id starts, or the free row where the id would be
+     * added.
+     */
     private int rowOf(long high, long low) {
         int row = (int) (((high >>> Integer.SIZE) * capacity()) >>> Integer.SIZE) * ROW_LONGS;
         while (mRows[row + VALUE_OFFSET] != 0
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/KeyTimestamp.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/KeyTimestamp.java
@@ -7,7 +7,7 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads the time that a caller's key carries: that of a version 7 UUID, or 13 digits of Unix
+ * Reads the timestamp in a caller's idempotency key: that of a version 7 UUID, or 13 digits of Unix
  * milliseconds after a last {@code @}.
  *
  * <p>Thread-safe: holds no state.
@@ -22,7 +22,7 @@
 
     private KeyTimestamp() {}
 
-    /** Returns the time in a key, in Unix milliseconds; empty where it carries none. */
+    /** Returns the timestamp in a key, in Unix milliseconds; empty if it contains none. */
     public static OptionalLong parse(RequestId id) {
         Matcher uuid = UUID_7.matcher(id.value());
         if (uuid.matches()) {
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/LedgerSettings.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/LedgerSettings.java
@@ -1,8 +1,8 @@
 package org.hornbeampass.coordination.requests;
 
 /**
- * How the request log is sharded and written; shards and retention must be the same on all VMs,
- * which {@link RequestLedger#readinessFailure} checks.
+ * Settings of the request log. Shards and retention must be the same on all VMs, which {@link
+ * RequestLedger#readinessFailure} checks.
  *
  * <p>Immutable; safe for use by any thread.
  *
@@ -10,7 +10,8 @@
  * @param retention how long ids are remembered
  * @param commit how entries are batched
  * @param backlog how many entries may wait
- * @param claimWaitMs how long a claim may take before it is refused, in milliseconds
+ * @param claimWaitMs how long a claim may wait for its decision before it is rejected, in
+ *     milliseconds
  */
 public record LedgerSettings(
         int shards, Retention retention, Commit commit, Backlog backlog, long claimWaitMs) {
@@ -18,14 +19,14 @@
     private static final long STANDARD_CLAIM_WAIT_MS = 3_000;
 
     /**
-     * How an owner batches entries.
+     * How the owner of a shard batches entries.
      *
-     * @param billIntervalMs the least time between two writes of a shard, in milliseconds
-     * @param claimIntervalMs the same, where a claim waits
-     * @param maxBatchBytes the largest batch, in bytes; also written at once when it is reached
+     * @param billIntervalMs the minimum time between two writes of a shard, in milliseconds
+     * @param claimIntervalMs the same if a claim is waiting, in milliseconds
+     * @param maxBatchBytes the largest batch, in bytes; a batch that reaches it is written at once
      */
     public record Commit(long billIntervalMs, long claimIntervalMs, int maxBatchBytes) {
-        /** Checks that each part is positive. */
+        /** Checks that each component is positive. */
         public Commit {
             if (billIntervalMs <= 0 || claimIntervalMs <= 0 || maxBatchBytes <= 0) {
                 throw new IllegalArgumentException("commit settings must be positive");
@@ -34,14 +35,15 @@
     }
 
     /**
-     * How much may wait on one VM.
+     * Limits on what may wait on one VM.
      *
-     * @param maxEntries above this many entries, new work is refused
-     * @param maxBytes above this many bytes, new work is refused
-     * @param maxOwnerEntries above this many entries of one shard, its owner refuses peers
+     * @param maxEntries from this number of waiting entries on, new work is rejected
+     * @param maxBytes from this number of waiting bytes on, new work is rejected
+     * @param maxOwnerEntries above this number of waiting entries of one shard, its owner rejects
+     *     those of peers
      */
     public record Backlog(int maxEntries, long maxBytes, int maxOwnerEntries) {
-        /** Checks that each part is positive. */
+        /** Checks that each component is positive. */
         public Backlog {
             if (maxEntries <= 0 || maxBytes <= 0 || maxOwnerEntries <= 0) {
                 throw new IllegalArgumentException("backlog bounds must be positive");
@@ -49,14 +51,14 @@
         }
     }
 
-    /** Checks that each part is positive. */
+    /** Checks that each component is positive. */
     public LedgerSettings {
         if (shards <= 0 || claimWaitMs <= 0) {
             throw new IllegalArgumentException("shards and waits must be positive");
         }
     }
 
-    /** Returns the settings for today's fleets of 8 VMs. */
+    /** Returns the default settings, meant for a fleet of 8 VMs. */
     public static LedgerSettings standard() {
         return new LedgerSettings(
                 STANDARD_SHARDS,
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/PendingClaims.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/PendingClaims.java
@@ -16,16 +16,17 @@
 import java.util.function.Predicate;
 
 /**
- * The claims of this VM that wait for their decision.
+ * Holds the claims of this VM that wait for the log's decision.
  *
- * <p>Invariants: each claim is answered once; one that was answered as not run is never answered as
- * granted afterwards, whatever the log decides. Not thread-safe; the ledger's lock guards it.
+ * <p>Invariants: each claim is answered once; a claim that was answered as not run is never
+ * answered as granted afterwards, whatever the log decides. Not thread-safe; guarded by the
+ * ledger's lock.
  */
 final class PendingClaims {
     private final Predicate<VmId> mIsGone;
     private final Deque<PendingClaim> mPending = new ArrayDeque<>();
 
-    /** A claim that may time out. */
+    /** A claim with its deadline and its callback. */
     static final class PendingClaim {
         private final Claim mClaim;
         private final long mDeadlineMs;
@@ -42,31 +43,38 @@
         }
     }
 
-    /** Creates a table in which nothing waits. */
-    PendingClaims(Predicate<VmId> provedGone) {
-        mIsGone = provedGone;
+    /**
+     * Creates an empty table.
+     *
+     * @param isGone whether a VM's incarnation is known to have ended
+     */
+    PendingClaims(Predicate<VmId> isGone) {
+        mIsGone = isGone;
     }
 
-    /** Adds a claim; deadlines must be added in their order. */
+    /** Adds a claim; claims must be added in the order of their deadlines. */
     PendingClaim add(
             Claim claim, long deadlineMs, BiConsumer<Long, Either<Failure, ClaimOutcome>> done) {
-        PendingClaim waiting = new PendingClaim(claim, deadlineMs, done);
-        mPending.addLast(waiting);
-        return waiting;
+        PendingClaim pending = new PendingClaim(claim, deadlineMs, done);
+        mPending.addLast(pending);
+        return pending;
     }
 
-    /** Answers a claim with the log's decision, unless it was answered before. */
+    /** Answers a claim according to the decision of the log, unless it was answered before. */
     void onDecision(
-            long nowMs, PendingClaim waiting, EntryDecision decision, DeferredActions deferred) {
-        if (waiting.mAnswered) {
+            long nowMs, PendingClaim pending, EntryDecision decision, DeferredActions deferred) {
+        if (pending.mAnswered) {
             return;
         }
-        waiting.mAnswered = true;
+        pending.mAnswered = true;
         Either<Failure, ClaimOutcome> answer = ClaimOutcomeMapper.toOutcome(decision, mIsGone);
-        deferred.add(() -> waiting.mDone.accept(nowMs, answer));
+        deferred.add(() -> pending.mDone.accept(nowMs, answer));
     }
 
-    /** Answers claims past their deadline as not run; returns them, to be withdrawn. */
+    /**
+     * Answers the claims past their deadline as not run and returns them, so that they are
+     * withdrawn.
+     */
     List<Claim> expire(long nowMs, DeferredActions deferred) {
         List<Claim> expired = new ArrayList<>();
         while (!mPending.isEmpty()) {
@@ -80,11 +88,11 @@
             }
             first.mAnswered = true;
             expired.add(first.mClaim);
-            Failure late =
+            Failure timeout =
                     Failure.of(
                             ErrorKind.PLATFORM_UNAVAILABLE,
                             "the call could not be claimed in time; it did not run");
-            deferred.add(() -> first.mDone.accept(nowMs, Either.left(late)));
+            deferred.add(() -> first.mDone.accept(nowMs, Either.left(timeout)));
         }
         return expired;
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/PendingSubmission.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/PendingSubmission.java
@@ -7,10 +7,10 @@
 import java.util.function.Consumer;
 
 /**
- * One peer's message on its way to being answered by a shard's owner.
+ * Collects the decisions on the entries that a peer submitted to this VM as the owner of a shard.
  *
- * <p>Invariant: answered once, with all decisions or with a refusal; the entries are decided either
- * way. Not thread-safe; the ledger's lock guards it.
+ * <p>Invariant: the peer is answered once, with all decisions or with a rejection; the entries are
+ * decided either way. Not thread-safe; guarded by the ledger's lock.
  */
 final class PendingSubmission {
     private final EntryDecision[] mDecisions;
@@ -26,7 +26,7 @@
         mReply = reply;
     }
 
-    /** Takes in one decision; answers once it was the last one missing. */
+    /** Records one decision; sends the reply once all entries are decided. */
     void onDecision(int index, EntryDecision decision, DeferredActions deferred) {
         if (mDecisions[index] != null) {
             return;
@@ -40,11 +40,14 @@
         }
     }
 
-    /** Refuses where the decisions take too long; returns whether the message is answered. */
-    boolean rejectIfOverdue(long nowMs, long holdMs, DeferredActions deferred) {
-        if (!mAnswered && nowMs - mReceivedMs >= holdMs) {
+    /**
+     * Rejects the submission if it was received {@code maxWaitMs} ago or earlier and is not decided
+     * yet; returns whether it has been answered.
+     */
+    boolean rejectIfOverdue(long nowMs, long maxWaitMs, DeferredActions deferred) {
+        if (!mAnswered && nowMs - mReceivedMs >= maxWaitMs) {
             mAnswered = true;
-            deferred.add(() -> mReply.accept(new EntriesRefused(holdMs)));
+            deferred.add(() -> mReply.accept(new EntriesRefused(maxWaitMs)));
         }
         return mAnswered;
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/RecentBills.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/RecentBills.java
@@ -6,26 +6,27 @@
 import java.util.Optional;
 
 /**
- * The ids of bills that a shard remembers, in generations that are forgotten whole.
+ * Remembers the ids of recently billed requests and attempts, grouped into generations that expire
+ * as a whole.
  *
- * <p>Invariants: only the open generation changes; a closed one is forgotten once {@code
- * rememberMs} of active time have passed since it was closed; an id in more than one generation has
- * its newest value and amount. A value is an attempt's mark in the upper 56 bits and a count in the
- * lowest 8; it is never 0. Not thread-safe; the ledger's lock guards it.
+ * <p>Invariants: only the open generation changes; a closed one expires once {@code retentionMs} of
+ * active time have passed since it was closed; where an id is in more than one generation, its
+ * newest value and amount apply. A value holds a 56-bit tag in the upper bits and a count in the
+ * lowest 8; it is never 0. Not thread-safe; guarded by the ledger's lock.
  */
 final class RecentBills {
     private final Deque<Generation> mClosed = new ArrayDeque<>();
     private Generation mOpen;
 
     /**
-     * What is remembered of one id.
+     * The value and amount stored for one id.
      *
-     * @param value a mark in the upper 56 bits and a count in the lowest 8; never 0
-     * @param amount tokens
+     * @param value a tag in the upper 56 bits and a count in the lowest 8; never 0
+     * @param amount the amount in tokens
      */
     record Entry(long value, long amount) {}
 
-    /** The ids billed within one stretch of active time. */
+    /** The ids billed within one interval of active time. */
     static final class Generation {
         private final long mNumber;
         private final IdTable mIds = new IdTable();
@@ -46,16 +47,16 @@
             mIds.put(id, entry);
         }
 
-        /** Hands every id and entry to a visitor, in no order. */
+        /** Calls the visitor with every id and its entry, in no particular order. */
         void forEach(Visitor visitor) {
             mIds.forEach(visitor);
         }
     }
 
-    /** Takes one remembered id. */
+    /** Receives the remembered ids one by one. */
     @FunctionalInterface
     interface Visitor {
-        /** Takes an id and its entry. */
+        /** Receives an id and its entry. */
         void visit(RequestFingerprint id, Entry entry);
     }
 
@@ -63,7 +64,7 @@
         mOpen = new Generation(openNumber);
     }
 
-    /** Returns the entry of an id, if it is remembered. */
+    /** Returns the newest entry of an id, if the id is remembered. */
     Optional<Entry> find(RequestFingerprint id) {
         Optional<Entry> entry = mOpen.mIds.get(id);
         Iterator<Generation> newestFirst = mClosed.descendingIterator();
@@ -73,12 +74,15 @@
         return entry;
     }
 
-    /** Remembers an id's value and amount, from now on. */
+    /** Stores the value and amount of an id in the open generation. */
     void put(RequestFingerprint id, long value, long amount) {
         mOpen.put(id, new Entry(value, amount));
     }
 
-    /** Closes the open generation where a later one has begun; forgets the old ones. */
+    /**
+     * Opens the generation of the given number if it is later than the open one: closes that one
+     * and drops the expired ones. Returns whether a generation was opened.
+     */
     boolean openGeneration(long number) {
         if (number <= mOpen.number()) {
             return false;
@@ -93,17 +97,17 @@
         return true;
     }
 
-    /** Takes in a closed generation from a checkpoint; called in the order of their numbers. */
+    /** Adds a closed generation from a checkpoint; called in ascending order of the numbers. */
     void addClosed(Generation generation) {
         mClosed.addLast(generation);
     }
 
-    /** Gives back the room that the closed generations don't need, once all are read. */
+    /** Trims the tables of the closed generations, once all of them have been read. */
     void trimClosed() {
         mClosed.forEach(generation -> generation.mIds.trim());
     }
 
-    /** Returns the closed generations, the oldest first. */
+    /** Returns the closed generations, oldest first. */
     Iterable<Generation> closedGenerations() {
         return mClosed;
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/RepeatLimiter.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/RepeatLimiter.java
@@ -7,12 +7,13 @@
 import java.util.Map;
 
 /**
- * The requests that this VM knows to have been repeated too often without being billed.
+ * Remembers the requests that, as far as this VM knows, were repeated too often without being
+ * billed.
  *
- * <p>Bounds what a caller can get for one bill: after the limit, each VM that has learned of it
- * refuses, and each other VM learns of it with the first attempt that it bills. Invariant: at most
- * {@value #MAX_REQUESTS} requests, the oldest forgotten first. Not thread-safe; the ledger's lock
- * guards it.
+ * <p>Limits what a caller can get for one bill: once the limit is reached, each VM that knows of it
+ * rejects the request, and each other VM learns of it with the first attempt that it bills.
+ * Invariant: holds at most {@value #MAX_REQUESTS} requests; the oldest are dropped first. Not
+ * thread-safe; guarded by the ledger's lock.
  */
 final class RepeatLimiter {
     private static final int MAX_REQUESTS = 10_000;
@@ -24,7 +25,7 @@
         mRetention = retention;
     }
 
-    /** Takes in how often a request was repeated, as a decision tells. */
+    /** Records how often a request was repeated, as reported by a decision. */
     void recordRepeats(long nowMs, RequestKey key, int repeats) {
         if (repeats < mRetention.maxRepeats()) {
             return;
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/RequestAudit.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/RequestAudit.java
@@ -21,10 +21,11 @@
 /**
  * Reads all bills and claims from the platform's records alone, shard by shard and page by page.
  *
- * <p>It needs no router. What it holds at one time is one shard's memory, one page of its log, the
- * totals, and a bounded list of open claims. Records that are written meanwhile are seen or not,
- * per shard; each shard's part is exact for one place in its log. One run at a time per instance;
- * not thread-safe beyond that each step follows the reply of the last one.
+ * <p>Needs no router. The audit holds at one time the state of one shard, one page of its log, the
+ * totals, and a bounded list of open claims. Records that are written during the run may or may not
+ * be included; the result for each shard is exact for one position in its log. Each instance serves
+ * one run at a time. Not thread-safe, except that each step starts when the previous one's reply
+ * has arrived.
  */
 public final class RequestAudit {
     private static final int PAGE_BATCHES = 8;
@@ -44,9 +45,9 @@
     /**
      * Creates an audit.
      *
-     * @param platform the platform that keeps the records
-     * @param settings the settings with which they were written
-     * @param maxOpenClaims how many open claims are listed
+     * @param platform the platform that stores the records
+     * @param settings the settings with which the records were written
+     * @param maxOpenClaims the most open claims that are listed
      */
     public RequestAudit(Platform platform, LedgerSettings settings, int maxOpenClaims) {
         mPlatform = platform;
@@ -58,8 +59,8 @@
      * Reads every shard.
      *
      * @param nowMs the present time in milliseconds
-     * @param done takes the time in milliseconds and the report, or why the records could not be
-     *     read
+     * @param done called with the time in milliseconds and the report, or with the reason why the
+     *     records could not be read
      */
     public void run(long nowMs, BiConsumer<Long, Either<Failure, RequestAuditReport>> done) {
         readShard(nowMs, 0, done);
@@ -115,7 +116,10 @@
         readShard(nowMs, shard + 1, done);
     }
 
-    /** Starts a shard anew where its log was truncated while it was read. */
+    /**
+     * Reads the shard again from its checkpoint, since its log may have been truncated while it was
+     * read.
+     */
     private void restartShard(
             long nowMs,
             int shard,
@@ -140,20 +144,26 @@
                 addFinding(shard, batch, entry.getLeft().message());
                 continue;
             }
-            RequestEntry known = entry.get();
-            int place =
+            RequestEntry decoded = entry.get();
+            int expected =
                     RequestFingerprint.shard(
-                            known.key().organisation(), known.key().request(), mSettings.shards());
-            if (place != shard) {
+                            decoded.key().organisation(),
+                            decoded.key().request(),
+                            mSettings.shards());
+            if (expected != shard) {
                 addFinding(
-                        shard, batch, "an entry of shard " + place + "; were the shards changed?");
+                        shard,
+                        batch,
+                        "found an entry of shard "
+                                + expected
+                                + "; was the number of shards changed?");
             }
         }
     }
 
-    private void addFinding(int shard, LogBatch batch, String what) {
+    private void addFinding(int shard, LogBatch batch, String problem) {
         if (mFindings.size() < MAX_FINDINGS) {
-            mFindings.add("shard " + shard + ", batch " + batch.sequence() + ": " + what);
+            mFindings.add("shard " + shard + ", batch " + batch.sequence() + ": " + problem);
         }
     }
 
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/RequestEntry.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/RequestEntry.java
@@ -9,13 +9,13 @@
 import org.hornbeampass.state.requests.RequestKey;
 
 /**
- * One entry of a shard of the request log.
+ * An entry in a shard of the request log.
  *
- * <p>Entries are idempotent: applied again, an entry is decided as the first time. Immutable; safe
- * for use by any thread.
+ * <p>Entries are idempotent: an entry that is applied again gets the same decision as the first
+ * time. Immutable; safe for use by any thread.
  */
 sealed interface RequestEntry {
-    /** Returns the request that the entry is about. */
+    /** Returns the request that the entry concerns. */
     RequestKey key();
 
     /** Returns the attempt that the entry comes from. */
@@ -39,7 +39,7 @@
     }
 
     /**
-     * An attempt's claim of a call that may not be repeated.
+     * An attempt's claim on a call that may not be repeated.
      *
      * @param claim the claim
      */
@@ -56,11 +56,11 @@
     }
 
     /**
-     * The end of a claim whose attempt surely never ran, nor ever will.
+     * The withdrawal of a claim whose attempt certainly did not run the call, and never will.
      *
-     * @param key the call
-     * @param attempt the attempt that gives up
-     * @param withdrawnAtMs when it gave up, in milliseconds
+     * @param key the claimed call
+     * @param attempt the attempt whose claim is withdrawn
+     * @param withdrawnAtMs when it was withdrawn, in milliseconds
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record WithdrawEntry(RequestKey key, AttemptId attempt, long withdrawnAtMs)
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/RequestFingerprint.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/RequestFingerprint.java
@@ -11,11 +11,12 @@
 import java.security.NoSuchAlgorithmException;
 
 /**
- * A 128-bit fingerprint (the first half of SHA-256), which stands for a request where the whole key
- * would take too much memory.
+ * A 128-bit fingerprint of a request, the first half of its SHA-256, used where the whole key would
+ * take too much memory.
  *
- * <p>Callers choose their keys, so 64 bits would not do: two keys of one 64-bit value are found in
- * seconds, and the second request would go unbilled. Immutable; safe for use by any thread.
+ * <p>Callers choose their keys, so 64 bits would not be enough: two keys with the same 64-bit value
+ * can be found in seconds, and the second request would not be billed. Immutable; safe for use by
+ * any thread.
  *
  * @param high the first 64 bits
  * @param low the next 64 bits
@@ -23,7 +24,7 @@
 record RequestFingerprint(long high, long low) {
     private static final char SEPARATOR = '\u0000';
 
-    /** Returns the fingerprint of a repeatable request: organisation, id and body. */
+    /** Returns the fingerprint of a repeatable request, computed from organisation, id and body. */
     static RequestFingerprint of(RequestKey key) {
         return hash(
                 key.organisation().value()
@@ -47,13 +48,16 @@
                         + attempt.number());
     }
 
-    /** Returns the shard of a request, from 0; every body of one id has the same one. */
+    /**
+     * Returns the shard of a request, from 0; requests with the same id are in the same shard,
+     * whatever their body.
+     */
     static int shard(OrganisationId organisation, RequestId request, int shards) {
         long high = hash(organisation.value() + SEPARATOR + request.value()).high();
         return (int) Long.remainderUnsigned(high, shards);
     }
 
-    /** Returns a 56-bit mark of an attempt, never 0. */
+    /** Returns a 56-bit hash that identifies an attempt, never 0. */
     static long attemptTag(AttemptId attempt) {
         long high = hash(attempt.vm().toString() + SEPARATOR + attempt.number()).high();
         return (high >>> Byte.SIZE) | 1L;
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/RequestLedger.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/RequestLedger.java
@@ -31,17 +31,16 @@
 import java.util.function.Predicate;
 
 /**
- * One VM's access to the request log: bills, claims and outcomes of requests.
+ * One VM's access to the request log, which records bills, claims and outcomes of requests.
  *
  * <p>Invariants: a bill is answered only once it is durable; a remembered request has exactly one
- * bill, of the largest amount that an attempt of it used, and what its attempts are told to settle
- * sums to it; a claim is granted to one attempt ever, and only once that is durable; an attempt
- * whose claim was answered with a failure is never granted later, and its claim is withdrawn
- * durably before the id may run elsewhere. What waits is kept in memory until it is decided; {@link
- * #isBacklogFull} tells when no new work may be admitted.
+ * bill, of the largest amount that any of its attempts used, and the amounts that its attempts
+ * settle add up to that bill; a claim is granted to at most one attempt, and only once that is
+ * durable; an attempt whose claim was answered with a failure is never granted it later, and its
+ * claim is withdrawn durably before the id may run elsewhere. Entries that wait are kept in memory
+ * until they are decided; {@link #isBacklogFull} returns whether new work must not be admitted.
  *
- * <p>Thread-safe: one lock guards all state, and it is the only lock; calls, messages and callbacks
- * run without it.
+ * <p>Thread-safe: a single lock guards all state; calls, messages and callbacks run without it.
  */
 public final class RequestLedger {
 
@@ -58,16 +57,17 @@
     private boolean mDraining;
 
     /**
-     * Creates a ledger in which nothing waits.
+     * Creates a ledger without waiting entries.
      *
-     * @param platform the platform that keeps the log
-     * @param background the same platform, for checkpoints and truncation, which can wait
+     * @param platform the platform that stores the log
+     * @param background the same platform, used for checkpoints and truncation, which are less
+     *     urgent
      * @param peers the other routers
      * @param self this VM
-     * @param owners who usually writes each shard
-     * @param provedGone whether a VM's life is proved to be over
+     * @param owners determines which VM usually writes each shard
+     * @param isGone whether a VM's incarnation is known to have ended
      * @param settings shards, retention and batching
-     * @param seed seeds the jitter of retries
+     * @param seed seed of the jitter of retries
      */
     public RequestLedger(
             Platform platform,
@@ -75,11 +75,11 @@
             PeerNetwork peers,
             VmId self,
             ShardOwners owners,
-            Predicate<VmId> provedGone,
+            Predicate<VmId> isGone,
             LedgerSettings settings,
             long seed) {
         mSettings = settings;
-        mClaims = new PendingClaims(provedGone);
+        mClaims = new PendingClaims(isGone);
         mRepeatLimiter = new RepeatLimiter(settings.retention());
         SplittableRandom random = new SplittableRandom(seed);
         mAgreement = new SettingsAgreement(platform, settings, this::runLocked, random.split());
@@ -95,8 +95,9 @@
     }
 
     /**
-     * Says why this VM must not take requests yet, or at all: the fleet's settings of the log are
-     * not read yet, or are not this VM's. Until then nothing is read from the log or written to it.
+     * Returns why this VM must not accept requests: the fleet's settings of the log have not been
+     * read yet, or differ from those of this VM. Until it returns empty, the log is neither read
+     * nor written.
      */
     public Optional<Failure> readinessFailure() {
         synchronized (mLock) {
@@ -105,20 +106,20 @@
     }
 
     /**
-     * Says why a request must not be run, as far as this VM knows without asking.
+     * Returns why a request must not run, as far as this VM knows without asking others.
      *
      * @param nowMs the present time in milliseconds
      * @param key the request
-     * @return {@code IDEMPOTENCY_KEY_EXPIRED} where the key's own time is too old, or where too
-     *     many attempts of the request were answered without being billed
+     * @return {@code IDEMPOTENCY_KEY_EXPIRED} if the timestamp in the key is too far from now, or
+     *     if too many attempts of the request were answered without being billed
      */
     public Optional<Failure> rejectionReason(long nowMs, RequestKey key) {
         if (ClaimTable.isExpired(key.request(), nowMs, mSettings.retention())) {
             return Optional.of(
                     Failure.of(
                             ErrorKind.IDEMPOTENCY_KEY_EXPIRED,
-                            "the time in the key is too far from now; use a new key if the request"
-                                    + " is new"));
+                            "the timestamp in the key is too far from now; use a new key if the"
+                                    + " request is new"));
         }
         synchronized (mLock) {
             if (!mRepeatLimiter.isExhausted(nowMs, key)) {
@@ -128,16 +129,16 @@
         return Optional.of(
                 Failure.of(
                         ErrorKind.IDEMPOTENCY_KEY_EXPIRED,
-                        "the request was answered too many times; use a new key"));
+                        "the request was repeated too many times; use a new key"));
     }
 
     /**
-     * Records what an attempt used, durably.
+     * Bills the tokens that an attempt used, durably.
      *
      * @param nowMs the present time in milliseconds
      * @param bill the bill
-     * @param done takes the time in milliseconds, the outcome and what to settle, once it is
-     *     durable
+     * @param done called once the bill is durable, with the time in milliseconds, the outcome and
+     *     the tokens to settle
      */
     public void bill(long nowMs, Bill bill, BiConsumer<Long, Either<Failure, BillCharge>> done) {
         runLocked(
@@ -167,30 +168,33 @@
     }
 
     /**
-     * Asks for the right to run a call that may not be repeated. Answered with a failure, the call
-     * did not run and never will by this attempt: the caller may be told so.
+     * Claims the right to run a call that may not be repeated. A failure means that this attempt
+     * did not run the call and never will, and the caller may be told so.
      *
      * @param nowMs the present time in milliseconds
      * @param claim the claim
-     * @param done takes the time in milliseconds and the outcome
+     * @param done called with the time in milliseconds and the outcome
      */
     public void claim(
             long nowMs, Claim claim, BiConsumer<Long, Either<Failure, ClaimOutcome>> done) {
         long deadlineMs = nowMs + mSettings.claimWaitMs();
         runLocked(
                 deferred -> {
-                    PendingClaims.PendingClaim waiting = mClaims.add(claim, deadlineMs, done);
+                    PendingClaims.PendingClaim pendingClaim = mClaims.add(claim, deadlineMs, done);
                     enqueue(
                             nowMs,
                             new ClaimEntry(claim),
                             (atMs, decision) ->
-                                    runLocked(d -> mClaims.onDecision(atMs, waiting, decision, d)),
+                                    runLocked(
+                                            d ->
+                                                    mClaims.onDecision(
+                                                            atMs, pendingClaim, decision, d)),
                             deferred);
                 });
     }
 
     /**
-     * Gives up a claim whose attempt has sent nothing to an upstream and never will.
+     * Withdraws a claim whose attempt has sent nothing to an upstream and never will.
      *
      * @param nowMs the present time in milliseconds
      * @param claim the claim
@@ -210,12 +214,12 @@
     }
 
     /**
-     * Records the outcome of a call that was claimed, durably.
+     * Records the outcome of a claimed call, durably.
      *
      * @param nowMs the present time in milliseconds
      * @param outcome the outcome
-     * @param done takes the time in milliseconds and whether it is recorded; it is not where the
-     *     attempt does not hold the claim
+     * @param done called with the time in milliseconds and whether the outcome was recorded; it is
+     *     not recorded if the attempt does not hold the claim
      */
     public void recordOutcome(
             long nowMs, CallOutcome outcome, BiConsumer<Long, Either<Failure, Boolean>> done) {
@@ -240,7 +244,7 @@
             DeferredActions deferred) {
         String text = EntryCodec.encode(entry);
         boolean[] decided = new boolean[1];
-        PendingEntry proposal =
+        PendingEntry pending =
                 new PendingEntry(
                         entry,
                         text,
@@ -252,10 +256,10 @@
                         });
         mPendingCount++;
         mPendingChars += text.length();
-        mDispatcher.add(nowMs, shardOf(entry.key()), proposal, deferred);
+        mDispatcher.add(nowMs, shardOf(entry.key()), pending, deferred);
     }
 
-    /** Counts an entry as no longer waiting; returns false where it was decided before. */
+    /** Counts an entry as no longer waiting; returns false if it was decided before. */
     private boolean countDecided(boolean[] decided, String text) {
         synchronized (mLock) {
             if (decided[0]) {
@@ -272,7 +276,7 @@
         return RequestFingerprint.shard(key.organisation(), key.request(), mSettings.shards());
     }
 
-    /** Returns whether so much waits to become durable that new work must be refused. */
+    /** Returns whether so many entries wait to become durable that new work must be rejected. */
     public boolean isBacklogFull() {
         synchronized (mLock) {
             return mPendingCount >= mSettings.backlog().maxEntries()
@@ -280,7 +284,7 @@
         }
     }
 
-    /** Returns how many of this VM's own entries are not durable yet. */
+    /** Returns the number of entries of this VM that are not durable yet. */
     public int pendingCount() {
         synchronized (mLock) {
             return mPendingCount;
@@ -288,7 +292,7 @@
     }
 
     /**
-     * Sends, appends and times out what is due.
+     * Sends and appends entries that are due and times out claims; to be called regularly.
      *
      * @param nowMs the present time in milliseconds
      */
@@ -303,7 +307,7 @@
                 });
     }
 
-    /** Returns the handler of other VMs' entries for shards that this VM owns. */
+    /** Returns the handler of entries that other VMs submit for shards that this VM owns. */
     public PeerHandler<SubmitEntries> submitHandler() {
         return (nowMs, from, message, reply) ->
                 runLocked(
@@ -317,11 +321,11 @@
     }
 
     /**
-     * Stops taking entries of other VMs, and tells when nothing of this VM's own or of theirs waits
-     * any more; {@link #tick} must go on until then.
+     * Rejects further entries of other VMs, and reports when no entry of this VM or of others waits
+     * any more; {@link #tick} must still be called until then.
      *
      * @param nowMs the present time in milliseconds
-     * @param done takes the time in milliseconds at which all is durable
+     * @param done called with the time in milliseconds at which all entries are durable
      */
     public void drain(long nowMs, LongConsumer done) {
         runLocked(
@@ -336,9 +340,9 @@
         if (mDrainCallbacks.isEmpty() || mPendingCount > 0 || !mDispatcher.isIdle()) {
             return;
         }
-        List<LongConsumer> waiting = List.copyOf(mDrainCallbacks);
+        List<LongConsumer> callbacks = List.copyOf(mDrainCallbacks);
         mDrainCallbacks.clear();
-        waiting.forEach(w -> deferred.add(() -> w.accept(nowMs)));
+        callbacks.forEach(w -> deferred.add(() -> w.accept(nowMs)));
     }
 
     private void runLocked(Consumer<DeferredActions> step) {
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/Retention.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/Retention.java
@@ -8,14 +8,16 @@
  * @param retryMs for how long after its first attempt a caller may retry an id, in milliseconds
  * @param lateMs how long after its admission a bill or claim may reach the log, in milliseconds of
  *     active time
- * @param skewMs how far apart two VMs' clocks may be, in milliseconds; beyond it, a retry whose
- *     bill comes late may be billed again
- * @param maxUndatedBytes how many bytes of claims whose key carries no time a shard keeps for good
- * @param maxRepeats after how many duplicates of one request no VM that knows runs it again
+ * @param skewMs the largest difference between the clocks of two VMs, in milliseconds; if it is
+ *     exceeded, a retry whose bill comes late may be billed again
+ * @param maxUndatedBytes how many bytes of claims a shard stores permanently for keys without a
+ *     timestamp
+ * @param maxRepeats after how many duplicates of a request the VMs that know of them no longer run
+ *     it
  */
 public record Retention(
         long retryMs, long lateMs, long skewMs, long maxUndatedBytes, int maxRepeats) {
-    /** How many generations of remembered bills there are besides the open one. */
+    /** The number of generations of remembered bills besides the open one. */
     static final int GENERATIONS = 8;
 
     private static final long MINUTE_MS = 60_000;
@@ -23,7 +25,7 @@
     private static final long STANDARD_UNDATED_BYTES = 16L << 20;
     private static final int STANDARD_REPEATS = 3;
 
-    /** Checks that each part is positive. */
+    /** Checks that each component is positive; the clock skew may be 0. */
     public Retention {
         boolean positive =
                 retryMs > 0 && lateMs > 0 && skewMs >= 0 && maxUndatedBytes > 0 && maxRepeats > 0;
@@ -32,12 +34,12 @@
         }
     }
 
-    /** Returns one hour for retries and one more for late bills. */
+    /** Returns the default: one hour for retries and one more for late bills. */
     public static Retention standard() {
         return new Retention(HOUR_MS, HOUR_MS, MINUTE_MS, STANDARD_UNDATED_BYTES, STANDARD_REPEATS);
     }
 
-    /** Returns for how long a bill's id is remembered, in milliseconds of active time. */
+    /** Returns for how long the id of a bill is remembered, in milliseconds of active time. */
     long retentionMs() {
         return retryMs + lateMs + skewMs;
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/SettingsAgreement.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/SettingsAgreement.java
@@ -12,17 +12,21 @@
 import java.util.SplittableRandom;
 
 /**
- * Finds out whether this VM decides the request log by the settings that the whole fleet uses.
+ * Checks that this VM decides the request log with the settings that the whole fleet uses.
  *
- * <p>The first VM ever writes its settings to the platform by a conditional create; all later ones
- * compare theirs. Invariants: two VMs whose settings differ never both agree; once told, an answer
- * stays. A lost reply is asked for again. Not thread-safe; the ledger's lock guards it.
+ * <p>The first VM of the fleet writes its settings to the platform by a conditional create; all
+ * later ones compare stored with them. Invariants: two VMs whose settings differ never both match;
+ * the result, once known, does not change. If a reply is lost, the call is repeated. Not
+ * thread-safe; guarded by the ledger's lock.
  */
 final class SettingsAgreement {
-    /** Where the settings are kept. */
+    /** The platform key of the settings. */
     static final String KEY = "requests/settings";
 
-    /** The number of the rules by which the log is decided; raised with every change of them. */
+    /**
+     * The version of the rules by which entries are decided; increased with every change of the
+     * rules.
+     */
     static final int RULES_VERSION = 2;
 
     private static final RetryPolicy BACKOFF = new RetryPolicy(50, 2_000, Integer.MAX_VALUE);
@@ -38,7 +42,7 @@
     private int mFailures;
     private long mNextTryMs = Long.MIN_VALUE;
 
-    /** What is known. */
+    /** The result of comparing the settings of this VM with those of the fleet. */
     private enum Comparison {
         UNKNOWN,
         SAME,
@@ -46,9 +50,9 @@
     }
 
     /**
-     * What all VMs must have in common.
+     * The settings that must be equal on all VMs.
      *
-     * @param rules the number of the rules
+     * @param rules the version of the rules by which entries are decided
      * @param shards the number of shards
      * @param retention how long ids are remembered
      */
@@ -57,20 +61,22 @@
     SettingsAgreement(
             Platform platform,
             LedgerSettings settings,
-            DeferredActions.LockRunner guard,
+            DeferredActions.LockRunner lockRunner,
             SplittableRandom random) {
         mPlatform = platform;
         mOwnSettings = new SharedSettings(RULES_VERSION, settings.shards(), settings.retention());
-        mLockRunner = guard;
+        mLockRunner = lockRunner;
         mRandom = random;
     }
 
-    /** Returns whether this VM may read and write the log. */
+    /**
+     * Returns whether the settings are known to match, so that this VM may read and write the log.
+     */
     boolean isMatching() {
         return mComparison == Comparison.SAME;
     }
 
-    /** Returns why this VM may not, if so. */
+    /** Returns why this VM must not read and write the log; empty if the settings match. */
     Optional<Failure> readinessFailure() {
         return switch (mComparison) {
             case SAME -> Optional.empty();
@@ -78,23 +84,24 @@
                     Optional.of(
                             Failure.of(
                                     ErrorKind.NOT_READY,
-                                    "the request log's settings are not read yet from " + KEY));
+                                    "the settings of the request log are not read yet from "
+                                            + KEY));
             case DIFFERENT ->
                     Optional.of(
                             Failure.of(
                                     ErrorKind.NOT_READY,
-                                    "this VM's settings of the request log, "
+                                    "the request log settings of this VM, "
                                             + Json.encode(mOwnSettings)
-                                            + ", are not the fleet's, "
+                                            + ", differ from those of the fleet, "
                                             + mStoredSettings
-                                            + ", kept at "
+                                            + ", stored at "
                                             + KEY
                                             + "; start this VM with the fleet's settings and"
                                             + " version"));
         };
     }
 
-    /** Asks the platform where that is due. */
+    /** Reads the settings from the platform, if that is due. */
     void step(long nowMs, DeferredActions deferred) {
         if (mComparison != Comparison.UNKNOWN || mCallOpen || nowMs < mNextTryMs) {
             return;
@@ -127,10 +134,10 @@
         }
     }
 
-    private void compare(String theirs) {
+    private void compare(String stored) {
         boolean same =
-                Json.decode(theirs, SharedSettings.class).filter(mOwnSettings::equals).isDefined();
-        mStoredSettings = theirs;
+                Json.decode(stored, SharedSettings.class).filter(mOwnSettings::equals).isDefined();
+        mStoredSettings = stored;
         mComparison = same ? Comparison.SAME : Comparison.DIFFERENT;
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/ShardDispatcher.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/ShardDispatcher.java
@@ -15,14 +15,14 @@
 import java.util.function.Consumer;
 
 /**
- * Moves entries between this VM's outboxes, its own copies of shards and other VMs.
+ * Dispatches entries to outboxes, replicas of shards and other VMs.
  *
- * <p>Which way an entry goes: to the shard's owner; into this VM's own copy where it is the owner
- * or the owner can't be reached; to the next VM in line where this VM is the owner but the platform
- * does not answer it. Copies of owned shards are opened a few at a time, so that a VM that starts,
- * or all at once, read within a bound. While it is not known that this VM has the fleet's settings,
- * its own entries wait, others' are refused and no shard is opened. Not thread-safe; the ledger's
- * lock guards it.
+ * <p>An entry goes to the owner of the shard; to the replica on this VM, if this VM is the owner or
+ * the owner is unreachable; or to the backup VM, if this VM is the owner but the platform does not
+ * answer it. Replicas of owned shards are opened a few at a time, so that the reads of one starting
+ * VM, or of all at once, are bounded. Until the settings of this VM are known to match those of the
+ * fleet, its own entries wait, those of other VMs are rejected and no shard is opened. Not
+ * thread-safe; guarded by the ledger's lock.
  */
 final class ShardDispatcher {
     private static final long MAX_DECISION_MS = 1_500;
@@ -45,15 +45,16 @@
     private long mWriterSequence;
 
     /**
-     * What a VM reaches.
+     * The connections of this VM.
      *
-     * @param platform the platform that keeps the log
-     * @param background the same platform, for checkpoints and truncation, which can wait
+     * @param platform the platform that stores the log
+     * @param background the same platform, used for checkpoints and truncation, which are less
+     *     urgent
      * @param peers the other routers
      */
     record Connections(Platform platform, Platform background, PeerNetwork peers) {}
 
-    /** What this VM holds of one shard. */
+    /** The outbox, owners and replica that this VM has for one shard. */
     private static final class LocalShard {
         private final ShardOutbox mOutbox;
         private Optional<VmId> mOwner = Optional.empty();
@@ -71,41 +72,42 @@
     }
 
     ShardDispatcher(
-            Connections links,
+            Connections connections,
             VmId self,
             ShardOwners owners,
             LedgerSettings settings,
-            DeferredActions.LockRunner guard,
-            BooleanSupplier open,
+            DeferredActions.LockRunner lockRunner,
+            BooleanSupplier settingsMatch,
             SplittableRandom random) {
-        mConnections = links;
+        mConnections = connections;
         mSelf = self;
         mOwners = owners;
         mSettings = settings;
-        mLockRunner = guard;
-        mSettingsMatch = open;
+        mLockRunner = lockRunner;
+        mSettingsMatch = settingsMatch;
         mRandom = random;
         for (int shard = 0; shard < settings.shards(); shard++) {
-            ShardOutbox outbox = new ShardOutbox(shard, links.peers(), guard, random.split());
+            ShardOutbox outbox =
+                    new ShardOutbox(shard, connections.peers(), lockRunner, random.split());
             mShards.put(shard, new LocalShard(outbox));
         }
     }
 
-    /** Takes in one of this VM's own entries. */
-    void add(long nowMs, int shard, PendingEntry proposal, DeferredActions deferred) {
+    /** Adds an entry of this VM. */
+    void add(long nowMs, int shard, PendingEntry pending, DeferredActions deferred) {
         refreshOwners(nowMs);
-        LocalShard place = mShards.get(shard);
-        place.mOutbox.add(proposal);
-        forward(nowMs, shard, place, deferred);
+        LocalShard local = mShards.get(shard);
+        local.mOutbox.add(pending);
+        forward(nowMs, shard, local, deferred);
     }
 
-    /** Does what is due in every shard. */
+    /** Starts what is due in every shard, and rejects submissions that have waited too long. */
     void tick(long nowMs, DeferredActions deferred) {
         refreshOwners(nowMs);
         mShards.forEach(
-                (shard, place) -> {
-                    forward(nowMs, shard, place, deferred);
-                    maintainReplica(nowMs, shard, place, deferred);
+                (shard, local) -> {
+                    forward(nowMs, shard, local, deferred);
+                    maintainReplica(nowMs, shard, local, deferred);
                 });
         mSubmissions.removeIf(r -> r.rejectIfOverdue(nowMs, MAX_DECISION_MS, deferred));
     }
@@ -117,36 +119,36 @@
         }
         mOwnersRefreshedMs = nowMs;
         mShards.forEach(
-                (shard, place) -> {
-                    place.mOwner = mOwners.owner(shard);
-                    place.mBackup =
-                            place.isOwnedBy(mSelf) ? mOwners.backup(shard) : Optional.empty();
+                (shard, local) -> {
+                    local.mOwner = mOwners.owner(shard);
+                    local.mBackup =
+                            local.isOwnedBy(mSelf) ? mOwners.backup(shard) : Optional.empty();
                 });
     }
 
-    private void forward(long nowMs, int shard, LocalShard place, DeferredActions deferred) {
-        ShardOutbox outbox = place.mOutbox;
+    private void forward(long nowMs, int shard, LocalShard local, DeferredActions deferred) {
+        ShardOutbox outbox = local.mOutbox;
         if (!mSettingsMatch.getAsBoolean() || outbox.isEmpty()) {
             return;
         }
-        boolean owned = place.isOwnedBy(mSelf);
+        boolean owned = local.isOwnedBy(mSelf);
         if (!owned && !outbox.appendsDirectly(nowMs)) {
-            outbox.sendTo(nowMs, place.mOwner.orElseThrow(), deferred);
+            outbox.sendTo(nowMs, local.mOwner.orElseThrow(), deferred);
             return;
         }
-        ShardReplica replica = replica(nowMs, shard, place);
+        ShardReplica replica = replica(nowMs, shard, local);
         if (owned && replica.failingForMs(nowMs) >= PLATFORM_UNREACHABLE_MS) {
-            place.mBackup.ifPresent(b -> outbox.sendTo(nowMs, b, deferred));
+            local.mBackup.ifPresent(b -> outbox.sendTo(nowMs, b, deferred));
         } else if (owned || replica.isHealthy()) {
             outbox.drainTo(nowMs, replica, deferred);
         }
         replica.step(nowMs, deferred);
     }
 
-    private ShardReplica replica(long nowMs, int shard, LocalShard place) {
-        place.mUsedMs = nowMs;
-        if (place.mReplica.isEmpty()) {
-            place.mReplica =
+    private ShardReplica replica(long nowMs, int shard, LocalShard local) {
+        local.mUsedMs = nowMs;
+        if (local.mReplica.isEmpty()) {
+            local.mReplica =
                     Optional.of(
                             new ShardReplica(
                                     ShardReplica.Storage.of(
@@ -159,26 +161,29 @@
                                     () -> mWriterSequence++,
                                     mRandom.split()));
         }
-        return place.mReplica.get();
+        return local.mReplica.get();
     }
 
-    /** Opens the copy of an owned shard, closes one that is not used, and lets others go on. */
+    /**
+     * Opens the replica of an owned shard, closes an unused one, and starts what is due in the
+     * others.
+     */
     private void maintainReplica(
-            long nowMs, int shard, LocalShard place, DeferredActions deferred) {
-        boolean owned = place.isOwnedBy(mSelf);
-        if (place.mReplica.isEmpty()) {
+            long nowMs, int shard, LocalShard local, DeferredActions deferred) {
+        boolean owned = local.isOwnedBy(mSelf);
+        if (local.mReplica.isEmpty()) {
             if (owned && mSettingsMatch.getAsBoolean() && loadingCount() < MAX_LOADING) {
-                replica(nowMs, shard, place).step(nowMs, deferred);
+                replica(nowMs, shard, local).step(nowMs, deferred);
             }
             return;
         }
-        ShardReplica replica = place.mReplica.get();
-        if (!owned && nowMs - place.mUsedMs > REPLICA_IDLE_MS && replica.isIdle()) {
-            place.mReplica = Optional.empty();
+        ShardReplica replica = local.mReplica.get();
+        if (!owned && nowMs - local.mUsedMs > REPLICA_IDLE_MS && replica.isIdle()) {
+            local.mReplica = Optional.empty();
             return;
         }
         if (replica.failingForMs(nowMs) >= PLATFORM_UNREACHABLE_MS) {
-            place.mOutbox.addFirst(replica.removeLocalEntries());
+            local.mOutbox.addFirst(replica.removeLocalEntries());
         }
         replica.step(nowMs, deferred);
         replica.maintainCheckpoint(nowMs, owned, deferred);
@@ -191,7 +196,7 @@
                 .count();
     }
 
-    /** Takes in another VM's entries. */
+    /** Receives entries that another VM submits to this one as the owner of their shard. */
     void onSubmission(
             long nowMs,
             SubmitEntries message,
@@ -199,43 +204,43 @@
             DeferredActions deferred) {
         List<RequestEntry> entries = new ArrayList<>();
         message.entries().forEach(t -> EntryCodec.decode(t).forEach(entries::add));
-        LocalShard place = mShards.get(message.shard());
+        LocalShard local = mShards.get(message.shard());
         if (!mSettingsMatch.getAsBoolean()
-                || place == null
+                || local == null
                 || entries.isEmpty()
                 || entries.size() != message.entries().size()) {
             reject(reply, deferred);
             return;
         }
-        ShardReplica replica = replica(nowMs, message.shard(), place);
+        ShardReplica replica = replica(nowMs, message.shard(), local);
         boolean full =
                 replica.pendingCount() + entries.size() > mSettings.backlog().maxOwnerEntries();
         if (full || replica.failingForMs(nowMs) >= MAX_DECISION_MS) {
             reject(reply, deferred);
             return;
         }
-        PendingSubmission reception = new PendingSubmission(entries.size(), nowMs, reply);
-        mSubmissions.add(reception);
+        PendingSubmission submission = new PendingSubmission(entries.size(), nowMs, reply);
+        mSubmissions.add(submission);
         for (int i = 0; i < entries.size(); i++) {
             int index = i;
-            PendingEntry proposal =
+            PendingEntry pending =
                     new PendingEntry(
                             entries.get(i),
                             message.entries().get(i),
                             false,
                             (atMs, decision) ->
                                     mLockRunner.runLocked(
-                                            d -> reception.onDecision(index, decision, d)));
-            replica.submit(nowMs, proposal, deferred);
+                                            d -> submission.onDecision(index, decision, d)));
+            replica.submit(nowMs, pending, deferred);
         }
     }
 
-    /** Refuses another VM's entries. */
+    /** Rejects entries of another VM. */
     static void reject(Consumer<PeerMessage> reply, DeferredActions deferred) {
         deferred.add(() -> reply.accept(new EntriesRefused(MAX_DECISION_MS)));
     }
 
-    /** Returns whether no entry, this VM's own or another's, waits in a copy of a shard. */
+    /** Returns whether no entry, of this VM or of another one, waits in a replica. */
     boolean isIdle() {
         return mShards.values().stream()
                 .flatMap(p -> p.mReplica.stream())
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/ShardOutbox.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/ShardOutbox.java
@@ -15,14 +15,15 @@
 import java.util.SplittableRandom;
 
 /**
- * One VM's entries of one shard on their way to the shard's owner.
+ * Sends the entries that this VM has for one shard to the owner of the shard.
  *
- * <p>Invariants: an entry stays here until its decision is known, so what a lost message or a dying
- * owner takes away is sent again; at most {@value #MAX_OPEN_MESSAGES} messages are open; where the
- * owner can't be reached, or refuses for long, the VM appends to the log itself, and asks the owner
- * again later. Sending again is safe, since an entry is decided as the first time.
+ * <p>Invariants: an entry stays here until its decision is known, so that entries that are lost
+ * with a message or a crashed owner are sent again; at most {@value #MAX_OPEN_MESSAGES} messages
+ * are unanswered; if the owner is unreachable, or rejects entries for a long time, this VM appends
+ * to the log itself, and tries the owner again later. Sending an entry again is safe, since it gets
+ * the same decision as the first time.
  *
- * <p>Not thread-safe; the ledger's lock guards it.
+ * <p>Not thread-safe; guarded by the ledger's lock.
  */
 final class ShardOutbox {
     private static final RetryPolicy BACKOFF = new RetryPolicy(50, 1_000, Integer.MAX_VALUE);
@@ -50,42 +51,47 @@
     ShardOutbox(
             int shard,
             PeerNetwork peers,
-            DeferredActions.LockRunner guard,
+            DeferredActions.LockRunner lockRunner,
             SplittableRandom random) {
         mShard = shard;
         mPeers = peers;
-        mLockRunner = guard;
+        mLockRunner = lockRunner;
         mRandom = random;
     }
 
-    void add(PendingEntry proposal) {
-        mQueue.addLast(proposal);
+    void add(PendingEntry pending) {
+        mQueue.addLast(pending);
     }
 
     boolean isEmpty() {
         return mQueue.isEmpty();
     }
 
-    /** Returns whether this VM appends to the log itself for now, though another VM owns it. */
+    /**
+     * Returns whether this VM appends to the log itself for now, though another VM owns the shard.
+     */
     boolean appendsDirectly(long nowMs) {
         return nowMs < mDirectUntilMs;
     }
 
-    /** Puts entries back to the front, in their order. */
-    void addFirst(List<PendingEntry> proposals) {
-        for (int i = proposals.size() - 1; i >= 0; i--) {
-            mQueue.addFirst(proposals.get(i));
+    /** Returns entries to the front of the queue, in their order. */
+    void addFirst(List<PendingEntry> entries) {
+        for (int i = entries.size() - 1; i >= 0; i--) {
+            mQueue.addFirst(entries.get(i));
         }
     }
 
-    /** Hands all waiting entries to this VM's own copy of the shard. */
+    /** Submits all waiting entries to the replica of the shard on this VM. */
     void drainTo(long nowMs, ShardReplica replica, DeferredActions deferred) {
         while (!mQueue.isEmpty()) {
             replica.submit(nowMs, mQueue.removeFirst(), deferred);
         }
     }
 
-    /** Sends waiting entries to the owner where no message is open. */
+    /**
+     * Sends waiting entries to the owner, unless too many messages are unanswered or a retry is not
+     * due yet.
+     */
     void sendTo(long nowMs, VmId owner, DeferredActions deferred) {
         if (mOpenMessages >= MAX_OPEN_MESSAGES || mQueue.isEmpty() || nowMs < mNextTryMs) {
             return;
@@ -124,17 +130,17 @@
                 && decided.decisions().size() == sent.size()) {
             resetFailures();
             for (int i = 0; i < sent.size(); i++) {
-                PendingEntry proposal = sent.get(i);
+                PendingEntry pending = sent.get(i);
                 EntryDecision decision = decided.decisions().get(i);
-                deferred.add(() -> proposal.done().accept(nowMs, decision));
+                deferred.add(() -> pending.done().accept(nowMs, decision));
             }
             return;
         }
         addFirst(sent);
         mFailures++;
         mNextTryMs = nowMs + BACKOFF.waitMs(mFailures, mRandom);
-        boolean refused = reply.isRight() && reply.get() instanceof EntriesRefused;
-        recordFailure(nowMs, refused);
+        boolean rejected = reply.isRight() && reply.get() instanceof EntriesRefused;
+        recordFailure(nowMs, rejected);
     }
 
     private void resetFailures() {
@@ -143,8 +149,8 @@
         mRejectingSinceMs = Long.MAX_VALUE;
     }
 
-    private void recordFailure(long nowMs, boolean refused) {
-        if (refused) {
+    private void recordFailure(long nowMs, boolean rejected) {
+        if (rejected) {
             mUnreachableSinceMs = Long.MAX_VALUE;
             mRejectingSinceMs = Math.min(mRejectingSinceMs, nowMs);
         } else {
@@ -152,9 +158,9 @@
         }
         boolean unreachable =
                 mUnreachableSinceMs <= nowMs && nowMs - mUnreachableSinceMs >= UNREACHABLE_AFTER_MS;
-        boolean refuses =
+        boolean rejects =
                 mRejectingSinceMs <= nowMs && nowMs - mRejectingSinceMs >= MAX_REJECTING_MS;
-        if (unreachable || refuses) {
+        if (unreachable || rejects) {
             mDirectUntilMs = nowMs + DIRECT_APPEND_MS + mRandom.nextLong(DIRECT_APPEND_MS);
             mUnreachableSinceMs = Long.MAX_VALUE;
             mRejectingSinceMs = Long.MAX_VALUE;
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/ShardOwners.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/ShardOwners.java
@@ -8,29 +8,30 @@
 import java.util.function.Supplier;
 
 /**
- * Says which VM usually writes a shard; a wrong answer costs a lost race and nothing else.
+ * Determines which VM usually writes a shard; a wrong answer costs no more than a lost race for a
+ * sequence.
  *
  * <p>Implementations are thread-safe and never block.
  */
 public interface ShardOwners {
-    /** What a shard's key for hashing starts with. */
+    /** Prefix of the key by which a shard is hashed. */
     String KEY_PREFIX = "requests/";
 
-    /** Returns the shard's owner as this VM sees it; empty where no member is known. */
+    /** Returns the owner of a shard according to this VM; empty if no member is known. */
     Optional<VmId> owner(int shard);
 
     /**
-     * Returns the VM that would own a shard if the owner were gone, for an owner that can't reach
-     * the platform; empty where there is none.
+     * Returns the VM that would own a shard if the owner were gone, used by an owner that can't
+     * reach the platform; empty if there is none.
      */
     default Optional<VmId> backup(int shard) {
         return Optional.empty();
     }
 
     /**
-     * Returns owners by rendezvous hashing.
+     * Returns an implementation that assigns owners by rendezvous hashing.
      *
-     * @param liveMembers gives the VMs that are live now, this one included
+     * @param liveMembers provides the VMs that are live now, including this one
      */
     static ShardOwners rendezvous(Supplier<? extends Collection<VmId>> liveMembers) {
         return new ShardOwners() {
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/ShardReplica.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/ShardReplica.java
@@ -21,15 +21,15 @@
 import java.util.function.LongSupplier;
 
 /**
- * One VM's copy of one shard: catches up with the log, then appends entries in groups.
+ * The replica of one shard on this VM: it catches up with the log, then appends entries in batches.
  *
- * <p>Invariants: entries are decided by applying them at their place in the log, and are answered
- * only after that; at most one write is open, and its sequence is tried again with the same batch
- * until it is decided, so a lost reply can't put an entry into the log unnoticed. A VM whose view
- * is old, because it was paused or another VM also writes, loses the race for the sequence, applies
- * the winning batch and goes on behind it.
+ * <p>Invariants: entries are decided by applying them at their position in the log, and are
+ * answered only after that; at most one write is open, and it is retried with the same sequence and
+ * batch until it is decided, so a lost reply can't put an entry into the log unnoticed. A VM whose
+ * state is outdated, because it was paused or another VM writes too, loses the race for the
+ * sequence, applies the winning batch and continues after it.
  *
- * <p>Not thread-safe; the ledger's lock guards it.
+ * <p>Not thread-safe; guarded by the ledger's lock.
  */
 final class ShardReplica {
     private static final RetryPolicy BACKOFF = new RetryPolicy(50, 2_000, Integer.MAX_VALUE);
@@ -47,15 +47,15 @@
     private final List<PendingEntry> mInFlight = new ArrayList<>();
 
     /**
-     * Where a shard is kept.
+     * The storage of a shard.
      *
-     * @param platform for reads that entries wait for
-     * @param background for checkpoints
-     * @param log the shard's log
+     * @param platform used for reads that entries wait for
+     * @param background used for checkpoints
+     * @param log the log of the shard
      * @param keys the keys of the shard's checkpoint
      */
     record Storage(Platform platform, Platform background, ShardLog log, CheckpointKeys keys) {
-        /** Returns where one shard is kept. */
+        /** Returns the storage of one shard. */
         static Storage of(Platform platform, Platform background, int shard) {
             ShardLog log = new ShardLog(platform, LOG_PREFIX + shard);
             return new Storage(platform, background, log, new CheckpointKeys(shard));
@@ -86,32 +86,34 @@
             Storage storage,
             VmId self,
             LedgerSettings settings,
-            DeferredActions.LockRunner guard,
+            DeferredActions.LockRunner lockRunner,
             LongSupplier writerSequences,
             SplittableRandom random) {
         mStorage = storage;
         mSelf = self;
         mSettings = settings;
-        mLockRunner = guard;
+        mLockRunner = lockRunner;
         mWriterSequences = writerSequences;
         mRandom = random;
         mState = new ShardState(settings.retention());
     }
 
-    /** Returns whether the copy has caught up and the platform answered the last call. */
+    /** Returns whether the replica has caught up and the last call to the platform succeeded. */
     boolean isHealthy() {
         return mCaughtUp && mFailures == 0;
     }
 
-    /** Returns for how long the platform has not answered this copy's calls, in milliseconds. */
+    /**
+     * Returns for how long the calls of this replica to the platform have failed, in milliseconds.
+     */
     long failingForMs(long nowMs) {
         return mFailures == 0 ? 0 : nowMs - mFailingSinceMs;
     }
 
     /**
-     * Gives back this VM's own entries, each once, and drops those of others, which they still
-     * hold. A batch whose write is open is still tried again, and its entries may be decided twice,
-     * alike.
+     * Removes all waiting entries and returns those of this VM, each once; those of other VMs are
+     * dropped, since these VMs still hold them. The write of an open batch is still retried, so its
+     * entries may be decided twice, with the same result.
      */
     List<PendingEntry> removeLocalEntries() {
         List<PendingEntry> own = new ArrayList<>(mInFlight);
@@ -124,43 +126,43 @@
         return own;
     }
 
-    /** Returns whether nothing waits here. */
+    /** Returns whether no entry waits here and no checkpoint is being written. */
     boolean isIdle() {
         return mPending.isEmpty() && mInFlight.isEmpty() && !mCheckpointing;
     }
 
-    /** Returns how many entries wait here. */
+    /** Returns the number of entries that wait here. */
     int pendingCount() {
         return mPending.size() + mInFlight.size();
     }
 
-    /** Returns the state as far as it is caught up. */
+    /** Returns the state after the last batch that was applied. */
     ShardState state() {
         return mState;
     }
 
-    /** Takes an entry in; it is answered at once where it is decided already. */
-    void submit(long nowMs, PendingEntry proposal, DeferredActions deferred) {
-        if (mCaughtUp && answerIfDecided(nowMs, proposal, deferred)) {
+    /** Adds an entry; answers it at once if it is already decided. */
+    void submit(long nowMs, PendingEntry pending, DeferredActions deferred) {
+        if (mCaughtUp && answerIfDecided(nowMs, pending, deferred)) {
             return;
         }
-        mPending.addLast(proposal);
-        mPendingBytes += proposal.estimatedBytes();
-        mUrgentCount += proposal.urgent() ? 1 : 0;
+        mPending.addLast(pending);
+        mPendingBytes += pending.estimatedBytes();
+        mUrgentCount += pending.urgent() ? 1 : 0;
         step(nowMs, deferred);
     }
 
-    private boolean answerIfDecided(long nowMs, PendingEntry proposal, DeferredActions deferred) {
-        return mState.finalDecision(proposal.entry())
+    private boolean answerIfDecided(long nowMs, PendingEntry pending, DeferredActions deferred) {
+        return mState.finalDecision(pending.entry())
                 .map(
                         decision -> {
-                            deferred.add(() -> proposal.done().accept(nowMs, decision));
+                            deferred.add(() -> pending.done().accept(nowMs, decision));
                             return true;
                         })
                 .orElse(false);
     }
 
-    /** Starts the next call where one is due. */
+    /** Starts the next call to the platform, if one is due. */
     void step(long nowMs, DeferredActions deferred) {
         if (mCallOpen || nowMs < mNextTryMs) {
             return;
@@ -188,7 +190,7 @@
                 || nowMs - mLastWriteMs >= interval;
     }
 
-    /** Puts as many waiting entries as fit into a new batch; returns whether there is any. */
+    /** Moves as many waiting entries as fit into a new batch; returns whether there are any. */
     private boolean fillBatch(long nowMs, DeferredActions deferred) {
         int bytes = 0;
         while (!mPending.isEmpty()) {
@@ -258,9 +260,9 @@
 
     private void applyOwn(long nowMs, DeferredActions deferred) {
         mState.beginBatch(mOpenBatchMs);
-        for (PendingEntry proposal : mInFlight) {
-            EntryDecision decision = mState.apply(proposal.entry());
-            deferred.add(() -> proposal.done().accept(nowMs, decision));
+        for (PendingEntry pending : mInFlight) {
+            EntryDecision decision = mState.apply(pending.entry());
+            deferred.add(() -> pending.done().accept(nowMs, decision));
         }
         mInFlight.clear();
         mState.endBatch();
@@ -279,13 +281,13 @@
         }
     }
 
-    /** Puts the entries of a batch that does not stand back to the front. */
+    /** Returns the entries of a batch that was not appended to the front of the queue. */
     private void requeue() {
         for (int i = mInFlight.size() - 1; i >= 0; i--) {
-            PendingEntry proposal = mInFlight.get(i);
-            mPending.addFirst(proposal);
-            mPendingBytes += proposal.estimatedBytes();
-            mUrgentCount += proposal.urgent() ? 1 : 0;
+            PendingEntry pending = mInFlight.get(i);
+            mPending.addFirst(pending);
+            mPendingBytes += pending.estimatedBytes();
+            mUrgentCount += pending.urgent() ? 1 : 0;
         }
         mInFlight.clear();
     }
@@ -314,10 +316,10 @@
     }
 
     /**
-     * Writes the newest checkpoint where there is one that is not written yet, then truncates the
-     * log below it, a page at a time.
+     * Writes the newest checkpoint, if it is not written yet, or else truncates the log below the
+     * last written one, a page at a time.
      *
-     * @param owned whether this VM owns the shard; another one leaves it to the owner
+     * @param owned whether this VM owns the shard; other VMs leave checkpoints to the owner
      */
     void maintainCheckpoint(long nowMs, boolean owned, DeferredActions deferred) {
         if (!mCaughtUp || mCheckpointing) {
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/ShardState.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/ShardState.java
@@ -22,11 +22,11 @@
 /**
  * Decides the entries of one shard of the request log.
  *
- * <p>A pure function of the log: every VM that applies the same batches in their order comes to the
- * same decisions, whoever wrote them, so it does not matter that two VMs think they own the shard.
- * Invariants: a remembered id has one bill, of the largest amount that was billed for it; one
- * attempt holds a claim; an entry that is applied again is decided as before. Not thread-safe; the
- * ledger's lock guards it.
+ * <p>A pure function of the log: every VM that applies the same batches in order comes to the same
+ * decisions, whoever wrote the batches, so it does no harm if two VMs both act as the owner of the
+ * shard. Invariants: a remembered id has one bill, of the largest amount that was billed for it;
+ * one attempt holds a claim; an entry that is applied again gets the same decision. Not
+ * thread-safe; guarded by the ledger's lock.
  */
 final class ShardState {
     private static final int COUNT_BITS = 8;
@@ -55,7 +55,7 @@
                 new HashMap<>());
     }
 
-    /** Creates the state that a checkpoint gives. */
+    /** Creates the state from a checkpoint. */
     ShardState(
             Retention retention,
             long nextSequence,
@@ -88,14 +88,14 @@
         return mClaims;
     }
 
-    /** Returns what was billed to each budget. */
+    /** Returns the totals billed to each budget. */
     Map<BudgetKey, BudgetTotals> totals() {
         return mTotals;
     }
 
     /**
-     * Moves on to a batch's time, before its entries are applied. Takes a checkpoint where a
-     * generation of bills is closed by it.
+     * Advances to the time of a batch, before its entries are applied. Takes a checkpoint if that
+     * closes a generation of bills.
      */
     void beginBatch(long batchMs) {
         mClock.advance(batchMs);
@@ -105,19 +105,22 @@
         }
     }
 
-    /** Takes away the newest checkpoint that was not taken away yet. */
+    /** Returns the newest checkpoint and removes it; empty if there is none since the last call. */
     Optional<Checkpoint> pollCheckpoint() {
         Optional<Checkpoint> newest = mCheckpoint;
         mCheckpoint = Optional.empty();
         return newest;
     }
 
-    /** Ends a batch: the next one is expected. */
+    /** Ends a batch, so that the next sequence is expected. */
     void endBatch() {
         mNextSequence++;
     }
 
-    /** Applies a whole batch; entries of a kind that this version does not know change nothing. */
+    /**
+     * Applies a whole batch and returns the decisions; entries of a kind that is unknown to this
+     * version are ignored.
+     */
     List<EntryDecision> apply(LogBatch batch) {
         List<EntryDecision> decisions = new ArrayList<>();
         for (String text : batch.entries()) {
@@ -132,7 +135,7 @@
         return decisions;
     }
 
-    /** Applies one entry and returns what is decided on it. */
+    /** Applies one entry and returns its decision. */
     EntryDecision apply(RequestEntry entry) {
         Optional<EntryDecision> decided = existingDecision(entry);
         if (decided.isPresent()) {
@@ -152,9 +155,9 @@
     }
 
     /**
-     * Returns the decision on an entry that needs no place in the log, since what was applied
-     * decides it for good. That another attempt holds a claim is none: a batch that this VM has not
-     * seen may have withdrawn it, and only a place in the log tells.
+     * Returns the decision on an entry if it is already final and the entry need not be appended.
+     * That another attempt holds a claim is not final: a batch that this VM has not read yet may
+     * have withdrawn that claim, so such an entry must be appended.
      */
     Optional<EntryDecision> finalDecision(RequestEntry entry) {
         return existingDecision(entry)
@@ -181,8 +184,8 @@
 
     private Optional<EntryDecision> existingBillDecision(Bill bill) {
         Optional<RecentBills.Entry> first = mBills.find(RequestFingerprint.of(bill.key()));
-        long mark = RequestFingerprint.attemptTag(bill.attempt());
-        if (first.isPresent() && tag(first.get()) == mark) {
+        long tag = RequestFingerprint.attemptTag(bill.attempt());
+        if (first.isPresent() && tag(first.get()) == tag) {
             int repeats = count(first.get());
             return Optional.of(EntryDecision.ofBill(Kind.BILLED, repeats, bill.tokens()));
         }
@@ -218,7 +221,9 @@
         return EntryDecision.ofBill(Kind.BILLED, 0, bill.tokens());
     }
 
-    /** Decides a further attempt's bill: it raises the request's bill where it is larger. */
+    /**
+     * Decides the bill of a further attempt, which raises the bill of the request if it is larger.
+     */
     private EntryDecision applyRepeat(Bill bill, RequestFingerprint id, RecentBills.Entry first) {
         int repeats = Math.min(MAX_COUNT, count(first) + 1);
         long raisedTo = Math.max(first.amount(), bill.tokens());
@@ -234,13 +239,13 @@
         return EntryDecision.ofBill(raised ? Kind.RAISED : Kind.DUPLICATE, repeats, charged);
     }
 
-    private void rememberAttempt(Bill bill, long mark, int count, long charged) {
+    private void rememberAttempt(Bill bill, long tag, int count, long charged) {
         RequestFingerprint attempt = RequestFingerprint.of(bill.key(), bill.attempt());
-        mBills.put(attempt, packValue(mark, count), charged);
+        mBills.put(attempt, packValue(tag, count), charged);
     }
 
-    private static long packValue(long mark, int count) {
-        return (mark << COUNT_BITS) | count;
+    private static long packValue(long tag, int count) {
+        return (tag << COUNT_BITS) | count;
     }
 
     private static long tag(RecentBills.Entry entry) {
@@ -298,7 +303,7 @@
         if (held.isEmpty() || !held.get().attempt().equals(outcome.attempt())) {
             return EntryDecision.of(Kind.NOT_HELD);
         }
-        mClaims.recordOutcome(held.get(), outcome);
+        mClaims.record(held.get(), outcome);
         return EntryDecision.of(Kind.DONE);
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/SubmitEntries.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/SubmitEntries.java
@@ -7,13 +7,13 @@
 import java.util.List;
 
 /**
- * Asks a shard's owner to append entries; answered {@link EntriesDecided} or {@link
+ * Asks the owner of a shard to append entries; the reply is {@link EntriesDecided} or {@link
  * EntriesRefused}.
  *
- * <p>Safe to send again. Immutable; safe for use by any thread.
+ * <p>May be sent again safely. Immutable; safe for use by any thread.
  *
  * @param shard the shard, from 0
- * @param entries the entries' texts
+ * @param entries the texts of the entries
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record SubmitEntries(int shard, List<String> entries) implements PeerMessage {
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/package-info.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/package-info.java
@@ -1,2 +1,2 @@
-/** Bills, claims and outcomes of requests, decided once in the shards of a log. */
+/** Durable bills, claims and outcomes of requests, each decided once in a sharded log. */
 package org.hornbeampass.coordination.requests;
--- a/coordination/src/main/java/org/hornbeampass/state/requests/AttemptId.java
+++ b/coordination/src/main/java/org/hornbeampass/state/requests/AttemptId.java
@@ -9,11 +9,11 @@
 /**
  * Identifies one attempt of one VM to serve a request.
  *
- * <p>Invariant: a VM's life never gives a number twice, so no two attempts share a value.
+ * <p>Invariant: an incarnation of a VM never assigns a number twice, so no two attempts are equal.
  * Immutable; safe for use by any thread.
  *
  * @param vm the VM that serves the request
- * @param number the VM's own number for the attempt
+ * @param number the number of the attempt, unique within the incarnation of the VM
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record AttemptId(VmId vm, long number) {
--- a/coordination/src/main/java/org/hornbeampass/state/requests/Bill.java
+++ b/coordination/src/main/java/org/hornbeampass/state/requests/Bill.java
@@ -9,16 +9,16 @@
 import java.util.Objects;
 
 /**
- * What one attempt of a request used, to be charged to one budget.
+ * The tokens that one attempt of a request used, to be charged to one budget.
  *
  * <p>Invariant: token counts are not negative and their sum does not overflow. Immutable; safe for
  * use by any thread.
  *
  * @param key the request
- * @param budget the organisation's budget that it draws on
+ * @param budget the budget of the organisation that is charged
  * @param attempt the attempt that used the tokens
- * @param promptTokens tokens of the prompt
- * @param completionTokens tokens of the answer
+ * @param promptTokens the number of tokens of the prompt
+ * @param completionTokens the number of tokens of the answer
  * @param admittedAtMs when the VM admitted the request, in milliseconds
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
@@ -29,7 +29,7 @@
         long promptTokens,
         long completionTokens,
         long admittedAtMs) {
-    /** Checks the parts. */
+    /** Checks that no component is null and that the token counts are valid. */
     public Bill {
         Objects.requireNonNull(key, "key");
         Objects.requireNonNull(budget, "budget");
@@ -40,7 +40,7 @@
         Math.addExact(promptTokens, completionTokens);
     }
 
-    /** Returns all tokens that are charged. */
+    /** Returns the sum of prompt and completion tokens. */
     public long tokens() {
         return promptTokens + completionTokens;
     }
--- a/coordination/src/main/java/org/hornbeampass/state/requests/BillCharge.java
+++ b/coordination/src/main/java/org/hornbeampass/state/requests/BillCharge.java
@@ -3,21 +3,22 @@
 import java.util.Objects;
 
 /**
- * What an attempt's bill was decided to be, and what of it the attempt has to settle.
+ * The outcome of an attempt's bill, and how many tokens the attempt has to settle.
  *
- * <p>Invariant: the charges of all attempts of one remembered request sum to its bill, which is the
- * largest amount that any of them used. Immutable; safe for use by any thread.
+ * <p>Invariant: the charges of all attempts of one remembered request add up to its bill, which is
+ * the largest amount that any of them used. Immutable; safe for use by any thread.
  *
- * @param outcome what came of the bill
- * @param tokens what the attempt settles from its reservation: all where it was billed first, the
- *     difference where it raised the bill, and nothing for a duplicate
+ * @param outcome the outcome of the bill
+ * @param tokens how many tokens the attempt settles from its reservation: all of them if it is the
+ *     first to be billed, the difference if it raised the bill, and 0 for a duplicate
  */
 public record BillCharge(BillOutcome outcome, long tokens) {
-    /** Checks the parts. */
+    /** Checks that the charge is not negative, and 0 for a duplicate. */
     public BillCharge {
         Objects.requireNonNull(outcome, "outcome");
         if (tokens < 0 || (tokens > 0 && outcome == BillOutcome.DUPLICATE)) {
-            throw new IllegalArgumentException("a duplicate is charged nothing, others not less");
+            throw new IllegalArgumentException(
+                    "a charge must not be negative, and 0 for a duplicate");
         }
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/state/requests/BudgetTotals.java
+++ b/coordination/src/main/java/org/hornbeampass/state/requests/BudgetTotals.java
@@ -3,17 +3,18 @@
 import com.fasterxml.jackson.annotation.JsonFormat;
 
 /**
- * What was billed to one budget since the beginning.
+ * The totals billed to one budget since it was created.
  *
- * <p>Invariant: no part is negative; sums that would overflow throw. Immutable; safe for use by any
- * thread.
+ * <p>Invariant: no component is negative; sums that would overflow throw. Immutable; safe for use
+ * by any thread.
  *
- * @param bills how many bills stand; a raised bill is one bill
- * @param tokens their tokens; of a raised bill the raised amount, once
- * @param duplicates how many further attempts there were of billed requests
+ * @param bills the number of charged bills; a raised bill counts once
+ * @param tokens the tokens of these bills; a raised bill counts with the raised amount, once
+ * @param duplicates the number of further attempts of billed requests
  * @param duplicateTokens the tokens of these attempts that were not charged
- * @param late how many bills came too late to be told from repeated ones, and were not charged
- * @param lateTokens the tokens that these used
+ * @param late the number of bills that arrived too late to be distinguished from repeated ones, and
+ *     were not charged
+ * @param lateTokens the tokens of these late bills
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record BudgetTotals(
@@ -23,10 +24,10 @@
         long duplicateTokens,
         long late,
         long lateTokens) {
-    /** Nothing billed. */
+    /** Totals of a budget to which nothing was billed. */
     public static final BudgetTotals ZERO = new BudgetTotals(0, 0, 0, 0, 0, 0);
 
-    /** Returns the totals of one bill that stands. */
+    /** Returns the totals of one charged bill. */
     public static BudgetTotals ofBilled(long billedTokens) {
         return new BudgetTotals(1, billedTokens, 0, 0, 0, 0);
     }
@@ -46,7 +47,7 @@
         return new BudgetTotals(0, 0, 0, 0, 1, usedTokens);
     }
 
-    /** Returns both together. */
+    /** Returns the sum of these totals and {@code other}. */
     public BudgetTotals plus(BudgetTotals other) {
         return new BudgetTotals(
                 Math.addExact(bills, other.bills),
--- a/coordination/src/main/java/org/hornbeampass/state/requests/ClaimOutcome.java
+++ b/coordination/src/main/java/org/hornbeampass/state/requests/ClaimOutcome.java
@@ -4,28 +4,28 @@
 import java.util.Optional;
 
 /**
- * What came of a claim.
+ * The outcome of a claim.
  *
- * <p>Invariant: an outcome is recorded exactly where the status is {@code RECORDED}. Immutable;
- * safe for use by any thread.
+ * <p>Invariant: a recorded outcome is present if and only if the status is {@code RECORDED}.
+ * Immutable; safe for use by any thread.
  *
- * @param status what came of it
- * @param recorded the recorded outcome of the call
+ * @param status the status of the claim
+ * @param recorded the recorded outcome of the call, if its status is {@code RECORDED}
  */
 public record ClaimOutcome(Status status, Optional<CallOutcome> recorded) {
-    /** What comes of claims. */
+    /** The possible results of a claim. */
     public enum Status {
-        /** This attempt, and no other ever, may run the call. */
+        /** This attempt, and never another one, may run the call. */
         GRANTED,
-        /** Another attempt may be running it; a later retry may find its outcome. */
+        /** Another attempt may be running the call; a later retry may find its outcome. */
         RUNNING,
-        /** Another attempt ran it and its outcome is known. */
+        /** Another attempt ran the call and its outcome is known. */
         RECORDED,
-        /** Another attempt may have run it, and its VM is gone. */
+        /** Another attempt may have run the call, and its VM is gone. */
         OUTCOME_UNKNOWN,
-        /** The id was used before for another body; not run. */
+        /** The id was used before for another body; the call was not run. */
         KEY_REUSED,
-        /** The id is too old to be told from a used one; not run. */
+        /** The id is too old to be distinguished from a used one; the call was not run. */
         EXPIRED
     }
 
@@ -33,16 +33,17 @@
     public ClaimOutcome {
         Objects.requireNonNull(status, "status");
         if (recorded.isPresent() != (status == Status.RECORDED)) {
-            throw new IllegalArgumentException("an outcome is recorded exactly where it is known");
+            throw new IllegalArgumentException(
+                    "an outcome must be present if and only if the status is RECORDED");
         }
     }
 
-    /** Returns an outcome without a recorded one. */
+    /** Returns the outcome of a claim for whose call no outcome is recorded. */
     public static ClaimOutcome of(Status status) {
         return new ClaimOutcome(status, Optional.empty());
     }
 
-    /** Returns the outcome for a call whose outcome is known. */
+    /** Returns the outcome of a claim for whose call an outcome is recorded. */
     public static ClaimOutcome recorded(CallOutcome outcome) {
         return new ClaimOutcome(Status.RECORDED, Optional.of(outcome));
     }
--- a/coordination/src/main/java/org/hornbeampass/state/requests/RequestAuditReport.java
+++ b/coordination/src/main/java/org/hornbeampass/state/requests/RequestAuditReport.java
@@ -6,15 +6,15 @@
 import java.util.Map;
 
 /**
- * What the platform's records tell about bills and claims.
+ * The bills and claims that an audit found in the platform's records.
  *
  * <p>Immutable; safe for use by any thread.
  *
- * @param totals what was billed to each budget since the beginning
- * @param openClaims claims without an outcome; at most as many as were asked for
- * @param moreOpenClaims how many further claims have no outcome
- * @param rememberedIds how many ids of bills are remembered
- * @param findings what is wrong with the records; empty where nothing is
+ * @param totals the totals billed to each budget since it was created
+ * @param openClaims claims without an outcome, at most as many as were requested
+ * @param moreOpenClaims the number of further claims without an outcome
+ * @param rememberedIds the number of ids of bills that are remembered
+ * @param findings the errors found in the records; empty if there are none
  */
 public record RequestAuditReport(
         Map<BudgetKey, BudgetTotals> totals,
@@ -29,7 +29,7 @@
         findings = List.copyOf(findings);
     }
 
-    /** Returns the totals of all budgets together. */
+    /** Returns the sum of the totals of all budgets. */
     public BudgetTotals sum() {
         return totals.values().stream().reduce(BudgetTotals.ZERO, BudgetTotals::plus);
     }
--- a/coordination/src/main/java/org/hornbeampass/state/requests/package-info.java
+++ b/coordination/src/main/java/org/hornbeampass/state/requests/package-info.java
@@ -1,2 +1,2 @@
-/** Requests as they are billed and claimed: immutable values. */
+/** Immutable values for the billing and claiming of requests. */
 package org.hornbeampass.state.requests;
--- a/coordination/src/test/java/org/hornbeampass/coordination/requests/BillReaderTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/requests/BillReaderTest.java
@@ -22,7 +22,7 @@
     private final VmId mB = mFleet.start("b", 1);
 
     @Test
-    void bills_thatStand_areReadOnce_pageByPage() {
+    void repeatedBills_areListedOnce_pageByPage() {
         mFleet.bill(mA, "r1", 10);
         mFleet.mTime.runFor(2_000);
         mFleet.bill(mB, "r1", 12);
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void raisedBill_isOneLine_alsoWhereItsRaiseIsOnALaterPage() {
+    void raisedBill_isListedOnce_alsoIfRaisedAfterBillsOfLaterPages() {
         mFleet.bill(mA, "r1", 10);
         mFleet.mTime.runFor(2_000);
         mFleet.bill(mA, "r2", 20);
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void bills_ofAnotherOrganisation_areNotRead() {
+    void bills_ofAnotherOrganisation_areNotListed() {
         mFleet.bill(mA, "r1", 10);
         mFleet.mTime.runFor(2_000);
 
--- a/coordination/src/test/java/org/hornbeampass/coordination/requests/CheckpointTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/requests/CheckpointTest.java
@@ -14,11 +14,14 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Checks that the log is bounded by checkpoints and that nothing remembered is lost by them. */
+/**
+ * Guards against a log that grows without bound, and against checkpoints that lose ids, claims or
+ * totals.
+ */
 class CheckpointTest {
     private static final long MINUTE_MS = 60_000;
 
-    /** Remembers for 16 minutes, in generations of 2. */
+    /** Remembers ids for 16 minutes, in generations of 2 minutes. */
     private final LedgerFleet mFleet =
             new LedgerFleet(
                     3, settings(new Retention(8 * MINUTE_MS, 8 * MINUTE_MS, 0, 1 << 20, 3)));
@@ -26,7 +29,7 @@
     private final VmId mA = mFleet.start("a", 1);
 
     @Test
-    void log_is_truncated_below_the_checkpoint() {
+    void log_below_the_checkpoint_is_truncated_and_no_bill_is_lost() {
         bills(mA, "r", 60);
 
         assertThat(stored("requests/0/").size()).isLessThan(40);
@@ -35,7 +38,7 @@
     }
 
     @Test
-    void new_vm_remembers_what_the_checkpoint_holds() {
+    void new_vm_knows_the_bills_and_claims_of_the_checkpoint() {
         bills(mA, "r", 20);
         AttemptId claim = mFleet.claim(mA, "release-1", "mould 7");
         mFleet.mTime.runFor(1_000);
@@ -58,7 +61,7 @@
     }
 
     @Test
-    void new_vm_raises_a_bill_that_the_checkpoint_holds_once() {
+    void new_vm_raises_a_bill_of_the_checkpoint_only_once() {
         bills(mA, "r", 20);
         AttemptId raised = mFleet.bill(mA, "r101", 4);
         bills(mA, "s", 4);
@@ -78,7 +81,7 @@
     }
 
     @Test
-    void vm_that_was_paused_past_a_truncation_starts_from_the_checkpoint() {
+    void vm_that_was_paused_during_a_truncation_restarts_from_the_checkpoint() {
         VmId b = mFleet.start("b", 1);
         mFleet.setLiveMembers(mA, mA);
         mFleet.setLiveMembers(b, b);
@@ -94,7 +97,7 @@
     }
 
     @Test
-    void checkpoints_survive_lost_replies_and_two_owners() {
+    void lost_replies_and_two_owners_do_not_corrupt_checkpoints() {
         mFleet.mPlatform.loses(0.05, 0.05);
         VmId b = mFleet.start("b", 1);
         mFleet.setLiveMembers(mA, mA);
--- a/coordination/src/test/java/org/hornbeampass/coordination/requests/EntryCodecTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/requests/EntryCodecTest.java
@@ -18,14 +18,14 @@
 
 import java.util.List;
 
-/** Checks that each kind of entry is read as it was written. */
+/** Checks that an entry of each kind is decoded to what was encoded. */
 class EntryCodecTest {
     private static final RequestKey KEY = LedgerFleet.key("release \"7\"|%\n", "digest");
     private static final AttemptId ATTEMPT = new AttemptId(new VmId("a", 3), 9);
 
     @ParameterizedTest
     @MethodSource("entries")
-    void entry_is_read_as_written(RequestEntry entry) {
+    void entry_is_decoded_unchanged(RequestEntry entry) {
         assertThat(EntryCodec.decode(EntryCodec.encode(entry)).get()).isEqualTo(entry);
     }
 
--- a/coordination/src/test/java/org/hornbeampass/coordination/requests/IdTableTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/requests/IdTableTest.java
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void ids_ofEqualUpperBits_areToldApart_alsoAroundTheEnd() {
+    void idsWithEqualUpperBits_areDistinguished_alsoWhereProbingWrapsAround() {
         for (long low = 0; low < 100; low++) {
             put(new RequestFingerprint(-1, low), low + 1);
         }
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void laterEntry_replacesTheEarlier() {
+    void laterEntry_replacesTheEarlierOne() {
         put(new RequestFingerprint(1, 2), 3);
         put(new RequestFingerprint(1, 2), 4);
 
@@ -45,14 +45,14 @@
     }
 
     @Test
-    void emptyTable_canBeTrimmed_andAsked() {
+    void emptyTable_canBeTrimmed_andSearched() {
         mTable.trim();
 
         assertThat(mTable.get(new RequestFingerprint(0, 0))).isEmpty();
     }
 
     @Test
-    void valueThatMarksAFreeRow_isRefused() {
+    void valueThatMarksAFreeRow_isRejected() {
         assertThatThrownBy(() -> mTable.put(new RequestFingerprint(1, 2), new Entry(0, 1)))
                 .isInstanceOf(IllegalArgumentException.class);
     }
--- a/coordination/src/test/java/org/hornbeampass/coordination/requests/LedgerFleet.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/requests/LedgerFleet.java
@@ -33,10 +33,10 @@
 import java.util.function.UnaryOperator;
 
 /**
- * A few VMs with ledgers in virtual time, and what each attempt was told.
+ * Simulates VMs with request ledgers in virtual time, and records the reply to each attempt.
  *
- * <p>Each VM has its own view of the members, so two VMs can own one shard. Not thread-safe: tests
- * run on one thread.
+ * <p>Each VM has its own view of the live members, so two VMs can act as the owner of one shard.
+ * Not thread-safe: tests run on one thread.
  */
 final class LedgerFleet {
     static final long START_MS = 1_764_700_000_000L;
@@ -64,16 +64,19 @@
         this(seed, settings, platform -> platform);
     }
 
-    /** Creates a fleet whose VMs see the platform through a rule, such as a broken one. */
-    LedgerFleet(long seed, LedgerSettings settings, UnaryOperator<Platform> platformRule) {
+    /**
+     * Creates a fleet whose VMs access the platform through a wrapper, such as one that breaks an
+     * invariant.
+     */
+    LedgerFleet(long seed, LedgerSettings settings, UnaryOperator<Platform> platformWrapper) {
         mSeed = seed;
-        mPlatformWrapper = platformRule;
+        mPlatformWrapper = platformWrapper;
         mSettings = settings;
         mPlatform = new FaultyPlatform(mTime, mVms, seed);
         mPeers = new FakePeerNetwork(mTime, mVms, seed + 1);
     }
 
-    /** Returns settings with few shards. */
+    /** Returns the default settings with another number of shards. */
     static LedgerSettings settings(int shards) {
         LedgerSettings standard = LedgerSettings.standard();
         return new LedgerSettings(
@@ -84,12 +87,12 @@
                 standard.claimWaitMs());
     }
 
-    /** Starts a life of a VM; all others see it, and it sees all that live. */
+    /** Starts an incarnation of a VM; it and all live VMs see each other as members. */
     VmId start(String name, long incarnation) {
         return start(name, incarnation, mSettings);
     }
 
-    /** Starts a life of a VM with settings of its own. */
+    /** Starts an incarnation of a VM with its own settings. */
     VmId start(String name, long incarnation, LedgerSettings settings) {
         VmId vm = new VmId(name, incarnation);
         TreeSet<VmId> members = new TreeSet<>();
@@ -121,17 +124,17 @@
         return mLedgers.get(vm);
     }
 
-    /** Returns all lives of VMs that were started. */
+    /** Returns all incarnations of VMs that were started. */
     List<VmId> vms() {
         return List.copyOf(mLedgers.keySet());
     }
 
-    /** Makes a VM believe that only these VMs are live. */
+    /** Sets the VMs that a VM considers to be live. */
     void setLiveMembers(VmId vm, VmId... live) {
         mMembers.put(vm, new TreeSet<>(List.of(live)));
     }
 
-    /** Kills a VM; the others learn of it. */
+    /** Kills a VM and removes it from the views of the others. */
     void kill(VmId vm) {
         mVms.kill(vm);
         mMembers.values().forEach(m -> m.remove(vm));
@@ -145,7 +148,7 @@
         return new RequestKey(ORGANISATION, new RequestId(id), body);
     }
 
-    /** Bills an attempt of a request on a VM. */
+    /** Bills a new attempt of a request on a VM; returns the attempt. */
     AttemptId bill(VmId vm, String id, long tokens) {
         AttemptId attempt = newAttempt(vm);
         Bill bill = new Bill(key(id, "body"), BUDGET, attempt, 0, tokens, mTime.nowMs());
@@ -153,7 +156,7 @@
         return attempt;
     }
 
-    /** Bills once more what was billed before. */
+    /** Submits a bill to the ledger of a VM; a bill may be submitted again. */
     void submitBill(VmId vm, Bill bill) {
         mBills.put(bill.attempt(), bill);
         mVms.deliver(
@@ -161,7 +164,7 @@
                 atMs -> ledger(vm).bill(atMs, bill, (t, r) -> mBillReplies.put(bill.attempt(), r)));
     }
 
-    /** Claims a call on a VM. */
+    /** Claims a call for a new attempt on a VM; returns the attempt. */
     AttemptId claim(VmId vm, String id, String body) {
         AttemptId attempt = newAttempt(vm);
         Claim claim = new Claim(key(id, body), attempt, mTime.nowMs());
@@ -171,7 +174,10 @@
         return attempt;
     }
 
-    /** Records the outcome of a claimed call on its VM; returns where the result will be. */
+    /**
+     * Records the outcome of a claimed call on its VM; returns a reference that receives whether it
+     * was recorded.
+     */
     AtomicReference<Boolean> recordOutcome(AttemptId attempt, String body) {
         AtomicReference<Boolean> recorded = new AtomicReference<>();
         CallOutcome outcome =
@@ -184,19 +190,19 @@
         return recorded;
     }
 
-    /** Returns what an attempt's claim was answered; empty where it waits or failed. */
+    /** Returns the status of an attempt's claim; empty if it is undecided or failed. */
     Optional<ClaimOutcome.Status> claimStatus(AttemptId attempt) {
         return Optional.ofNullable(mClaimReplies.get(attempt))
                 .filter(Either::isRight)
                 .map(r -> r.get().status());
     }
 
-    /** Returns what an attempt's bill was answered. */
+    /** Returns the outcome of an attempt's bill; empty if it is undecided. */
     Optional<BillOutcome> billOutcome(AttemptId attempt) {
         return Optional.ofNullable(mBillReplies.get(attempt)).map(r -> r.get().outcome());
     }
 
-    /** Returns each attempt that was billed with success. */
+    /** Returns the attempts whose bill was the first of its request. */
     List<AttemptId> billedAttempts() {
         List<AttemptId> billed = new ArrayList<>();
         mBillReplies.forEach(
@@ -208,17 +214,17 @@
         return billed;
     }
 
-    /** Returns what an attempt was told to settle; 0 where its bill is not answered. */
+    /** Returns the tokens that an attempt was charged; 0 if its bill is undecided. */
     long chargedTokens(AttemptId attempt) {
         return mBillReplies.containsKey(attempt) ? mBillReplies.get(attempt).get().tokens() : 0;
     }
 
-    /** Returns what all attempts were told to settle. */
+    /** Returns the sum of the tokens that all attempts were charged. */
     long settledTokens() {
         return mBillReplies.keySet().stream().mapToLong(this::chargedTokens).sum();
     }
 
-    /** Reads the records past all faults. */
+    /** Audits the records directly at the store, without any injected faults. */
     RequestAuditReport audit() {
         AtomicReference<RequestAuditReport> report = new AtomicReference<>();
         new RequestAudit(mPlatform.store(), mSettings, 100)
--- a/coordination/src/test/java/org/hornbeampass/coordination/requests/LedgerMutant.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/requests/LedgerMutant.java
@@ -10,31 +10,31 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Deliberately broken rules, each of which a check must catch.
+ * Faults that are injected deliberately, each of which a check must detect.
  *
  * <p>Immutable; safe for use by any thread.
  */
 enum LedgerMutant {
-    /** Nothing is broken. */
+    /** No fault. */
     NONE,
-    /** A conditional create overwrites what is there. */
+    /** A conditional create overwrites an existing object. */
     CREATE_OVERWRITES,
     /** A create is answered as written before it reaches the platform. */
     ACKNOWLEDGE_BEFORE_WRITE,
     /** A VM runs a call whose claim was not answered in time. */
     RUN_WITHOUT_ANSWER,
-    /** A VM whose claim was held by another asks again under the other's attempt. */
+    /** A VM runs a call although another attempt holds the claim. */
     RUN_WHEN_HELD,
-    /** Outcomes are altered on their way into the log. */
+    /** Outcomes are altered before they are written to the log. */
     OUTCOMES_ALTERED,
-    /** A VM settles its whole bill where only the difference was charged. */
+    /** A VM settles its whole bill although only the difference was charged. */
     RAISE_SETTLES_WHOLE,
-    /** Amounts of bills are altered on their way into the log. */
+    /** Amounts of bills are altered before they are written to the log. */
     AMOUNTS_ALTERED,
-    /** Withdrawals never reach the log. */
+    /** Withdrawals are not written to the log. */
     WITHDRAWALS_DROPPED;
 
-    /** Returns the platform as a VM under this rule sees it. */
+    /** Returns the platform as a VM with this fault accesses it. */
     Platform apply(Platform platform) {
         return switch (this) {
             case CREATE_OVERWRITES ->
@@ -87,7 +87,7 @@
                 : call;
     }
 
-    /** Turns every bill's single token of the prompt into nine. */
+    /** Changes the single prompt token of every bill into nine. */
     private static PlatformCall withLargerBills(PlatformCall call) {
         return changeEntries(
                 call,
--- a/coordination/src/test/java/org/hornbeampass/coordination/requests/LedgerSchedule.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/requests/LedgerSchedule.java
@@ -24,17 +24,17 @@
 import java.util.TreeSet;
 
 /**
- * Plays a schedule of steps on a fleet and checks, after each, what must always hold.
+ * Runs a schedule of steps on a fleet and checks the invariants after each step.
  *
- * <p>VMs behave as routers do: a granted call runs at once; a failure is told the caller as "not
- * run". Not thread-safe: tests run on one thread.
+ * <p>VMs behave as routers do: a granted call runs at once; a failed claim is reported to the
+ * caller as "not run". Not thread-safe: tests run on one thread.
  */
 final class LedgerSchedule {
     private static final long MINUTE_MS = 60_000;
     private static final long MAX_TOKENS = 11;
     private static final long RECOVERY_MS = 3 * MINUTE_MS;
 
-    /** What must always hold. */
+    /** The invariants. */
     enum Rule {
         ONE_BILL_PER_ID,
         FIRST_BILL_STANDS,
@@ -75,7 +75,10 @@
         }
     }
 
-    /** Remembers for 24 minutes in generations of 3, longer than any schedule; one shard of two. */
+    /**
+     * Remembers ids for 24 minutes, longer than any schedule, in generations of 3 minutes; uses two
+     * shards.
+     */
     private static LedgerSettings settings() {
         LedgerSettings two = LedgerFleet.settings(2);
         return new LedgerSettings(
@@ -86,7 +89,7 @@
                 two.claimWaitMs());
     }
 
-    /** Returns the rules that were broken. */
+    /** Runs the steps and returns the invariants that were broken. */
     Set<Rule> run(List<LedgerStep> steps) {
         for (LedgerStep step : steps) {
             run(step);
@@ -150,7 +153,7 @@
         submit(new Bill(key, LedgerFleet.BUDGET, attempt, 1, tokens, mFleet.mTime.nowMs()));
     }
 
-    /** Sends a bill again that the VM sent before, as after an answer that it missed. */
+    /** Sends an undecided bill of the VM again, as after a lost reply. */
     private void billAgain(VmId vm) {
         mBills.values().stream()
                 .filter(b -> b.attempt().vm().equals(vm) && !mBillReplies.containsKey(b.attempt()))
@@ -167,10 +170,11 @@
     }
 
     private void onBillReply(Bill bill, BillCharge decided) {
-        boolean whole =
+        boolean chargesFullBill =
                 mMutant == LedgerMutant.RAISE_SETTLES_WHOLE
                         && decided.outcome() == BillOutcome.RAISED;
-        BillCharge charge = whole ? new BillCharge(decided.outcome(), bill.tokens()) : decided;
+        BillCharge charge =
+                chargesFullBill ? new BillCharge(decided.outcome(), bill.tokens()) : decided;
         BillCharge before = mBillReplies.put(bill.attempt(), charge);
         if (before != null && !before.equals(charge)) {
             mBroken.add(Rule.ANSWERED_ONCE);
@@ -224,7 +228,9 @@
         }
     }
 
-    /** Claims a call whose attempt will find no upstream, and so sends nothing. */
+    /**
+     * Claims a call whose attempt will find no upstream, so that it is withdrawn instead of run.
+     */
     private void claimAndGiveUp(VmId vm, String id) {
         claim(vm, id, "body");
         AttemptId last = null;
@@ -255,7 +261,7 @@
                 vm, atMs -> mFleet.ledger(vm).recordOutcome(atMs, outcome, (t, r) -> {}));
     }
 
-    /** Ends all faults and gives what waits time to end. */
+    /** Ends all faults, waits for the waiting entries, and checks the final state. */
     private void endFaultsAndWait() {
         mFleet.mPlatform.outage(false);
         mFleet.mPlatform.takes(1, 3);
@@ -272,7 +278,9 @@
         checkNotRunCallsCanRun();
     }
 
-    /** Checks each request's settlements and the audit against the bills in the log. */
+    /**
+     * Checks that the settled tokens of each request and the audit add up to the bills in the log.
+     */
     private void checkSums() {
         mHistory.catchUp();
         Map<RequestKey, Long> settled = new HashMap<>();
@@ -298,7 +306,9 @@
         }
     }
 
-    /** A call of which every attempt was told "not run", by VMs that live, can be run at last. */
+    /**
+     * Checks that a call can still run if all its attempts, on live VMs, were answered "not run".
+     */
     private void checkNotRunCallsCanRun() {
         VmId vm = mNames.get("vm0");
         List<Claim> probes = new ArrayList<>();
@@ -338,11 +348,11 @@
         mBillReplies.forEach(
                 (attempt, charge) -> {
                     RequestKey key = mBills.get(attempt).key();
-                    boolean stands = charge.outcome() == BillOutcome.BILLED;
-                    if (stands && billed.put(key, attempt) != null) {
+                    boolean first = charge.outcome() == BillOutcome.BILLED;
+                    if (first && billed.put(key, attempt) != null) {
                         mBroken.add(Rule.ONE_BILL_PER_ID);
                     }
-                    if (stands != mHistory.isFirstBill(key, attempt)) {
+                    if (first != mHistory.isFirstBill(key, attempt)) {
                         mBroken.add(Rule.FIRST_BILL_STANDS);
                     }
                     if (charge.tokens() != mHistory.chargedTokens(attempt)) {
--- a/coordination/src/test/java/org/hornbeampass/coordination/requests/LedgerScheduleProperties.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/requests/LedgerScheduleProperties.java
@@ -20,17 +20,17 @@
 import java.util.stream.Stream;
 
 /**
- * Checks one bill per id, at most one run, "not run" and durability over random schedules, and that
- * each of these checks catches a broken rule.
+ * Checks the invariants of the request log, such as one bill per id and at most one run per call,
+ * over random schedules of faults; and checks that each of these checks detects a broken invariant.
  *
- * <p>A longer run: {@code -Dhornbeampass.schedules=<number>}.
+ * <p>{@code -Dhornbeampass.schedules=<number>} sets the number of schedules of the long run.
  */
 class LedgerScheduleProperties {
     private static final int STEPS = 40;
     private static final long LONG_RUN_SEED = 20_261_202;
 
     @Property(seed = "4711", tries = 150)
-    void rules_hold_after_every_step(
+    void invariants_hold_after_every_step(
             @ForAll("steps") List<LedgerStep> steps, @ForAll long faultSeed) {
         assertThat(new LedgerSchedule(faultSeed, LedgerMutant.NONE).run(steps)).isEmpty();
     }
@@ -69,7 +69,7 @@
         "RUN_WHEN_HELD, ONE_RUN_PER_CALL",
         "WITHDRAWALS_DROPPED, NOT_RUN_CAN_RUN_LATER",
     })
-    void broken_rule_is_caught(LedgerMutant mutant, LedgerSchedule.Rule rule) {
+    void broken_invariant_is_detected(LedgerMutant mutant, LedgerSchedule.Rule rule) {
         TreeSet<LedgerSchedule.Rule> broken = new TreeSet<>();
         for (int seed = 0; seed < 60 && !broken.contains(rule); seed++) {
             broken.addAll(new LedgerSchedule(seed, mutant).run(steps(seed)));
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void rules_hold_in_the_long_run() {
+    void invariants_hold_in_the_long_run() {
         int schedules = Integer.getInteger("hornbeampass.schedules", 20);
         for (long i = 0; i < schedules; i++) {
             long seed = LONG_RUN_SEED + i;
--- a/coordination/src/test/java/org/hornbeampass/coordination/requests/LedgerStep.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/requests/LedgerStep.java
@@ -7,17 +7,17 @@
  *
  * <p>Immutable; safe for use by any thread.
  *
- * @param kind what happens
- * @param vm which VM, by its place
- * @param id which request, or which other VM
- * @param waitMs how long time goes on afterwards, in milliseconds
+ * @param kind the kind of step
+ * @param vm the index of the VM
+ * @param id the number of the request, or of the other VM
+ * @param waitMs how long time advances after the step, in milliseconds
  */
 record LedgerStep(Kind kind, int vm, int id, int waitMs) {
     static final int VMS = 4;
     static final int IDS = 6;
     static final int MAX_WAIT_MS = 6_000;
 
-    /** What can happen. */
+    /** The kinds of steps. */
     enum Kind {
         BILL,
         BILL_AGAIN,
@@ -43,7 +43,7 @@
         WAIT
     }
 
-    /** Returns a random step; bills and claims are as likely as all else together. */
+    /** Returns a random step; half of all steps bill or claim, the others are of any kind. */
     static LedgerStep random(SplittableRandom random) {
         Kind[] kinds = Kind.values();
         Kind kind =
--- a/coordination/src/test/java/org/hornbeampass/coordination/requests/LogHistory.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/requests/LogHistory.java
@@ -18,11 +18,12 @@
 import java.util.Set;
 
 /**
- * All that was ever written to the request log, seen at the store itself, and the plain rule of who
- * is billed: the first in the log, and every later one by what it exceeds all before.
+ * Reference model of the request log: reads everything that was written to the store, and charges
+ * the first bill of a request in the log in full, and every later one by the amount that exceeds
+ * all before it.
  *
- * <p>Written apart from the code under test: no generations, no fingerprints, nothing forgotten.
- * Not thread-safe: tests run on one thread.
+ * <p>Written independently of the code under test: it has no generations and no fingerprints, and
+ * never forgets an id. Not thread-safe: tests run on one thread.
  */
 final class LogHistory {
     private final MemoryPlatform mStore;
@@ -37,7 +38,7 @@
         mStore = store;
     }
 
-    /** Takes in what was written since the last time. */
+    /** Reads what was written since the last call. */
     void catchUp() {
         mStore.submit(
                 0,
@@ -78,27 +79,27 @@
         }
     }
 
-    /** Returns whether an attempt's bill is the first of its request. */
+    /** Returns whether the bill of an attempt is the first one of its request. */
     boolean isFirstBill(RequestKey key, AttemptId attempt) {
         return attempt.equals(mFirstBills.get(key));
     }
 
-    /** Returns whether an attempt's bill is in the log. */
+    /** Returns whether the bill of an attempt is in the log. */
     boolean hasBill(AttemptId attempt) {
         return mCharges.containsKey(attempt);
     }
 
-    /** Returns what an attempt whose bill is in the log has to settle. */
+    /** Returns the tokens that an attempt has to settle; 0 if its bill is not in the log. */
     long chargedTokens(AttemptId attempt) {
         return mCharges.getOrDefault(attempt, 0L);
     }
 
-    /** Returns each request's bill: the largest amount of its entries. */
+    /** Returns the bill of each request: the largest amount of its entries, in tokens. */
     Map<RequestKey, Long> amounts() {
         return mAmounts;
     }
 
-    /** Returns whether an attempt's claim is in the log. */
+    /** Returns whether the claim of an attempt is in the log. */
     boolean hasClaim(AttemptId attempt) {
         return mClaims.contains(attempt);
     }
--- a/coordination/src/test/java/org/hornbeampass/coordination/requests/RequestAuditTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/requests/RequestAuditTest.java
@@ -19,7 +19,10 @@
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicReference;
 
-/** Checks that the platform's records alone tell what was billed and claimed. */
+/**
+ * Checks that an audit finds all bills and claims in the platform's records alone, and reports
+ * invalid records.
+ */
 class RequestAuditTest {
     private static final BudgetKey BUDGET =
             new BudgetKey(LedgerFleet.ORGANISATION, LedgerFleet.BUDGET);
@@ -50,16 +53,16 @@
     }
 
     @Test
-    void entry_in_the_wrong_shard_is_found() {
-        BatchWriter replay = new BatchWriter();
-        replay.append("requests/0", "r1");
-        replay.append("requests/1", "r1");
+    void entry_in_the_wrong_shard_is_reported() {
+        BatchWriter writer = new BatchWriter();
+        writer.append("requests/0", "r1");
+        writer.append("requests/1", "r1");
 
         assertThat(audit().get().findings()).hasSize(1).first().asString().contains("of shard");
     }
 
     @Test
-    void entry_that_can_not_be_read_is_found() {
+    void entry_of_unknown_kind_is_reported() {
         new BatchWriter().append("requests/0", List.of("T1", "X[]"));
 
         assertThat(audit().get().findings()).hasSize(1).first().asString().contains("unknown kind");
@@ -84,7 +87,7 @@
         return result.get();
     }
 
-    /** Writes batches as a router would, or as none should. */
+    /** Writes valid batches, and ones that no router should write. */
     private final class BatchWriter {
         private void append(String prefix, String id) {
             AttemptId attempt = mFleet.newAttempt(mA);
--- a/coordination/src/test/java/org/hornbeampass/coordination/requests/RequestLedgerTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/requests/RequestLedgerTest.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.atomic.AtomicReference;
 
-/** Checks what bills and claims are answered, through faults of VMs, network and platform. */
+/** Checks the decisions on bills and claims under faults of VMs, network and platform. */
 class RequestLedgerTest {
     private final LedgerFleet mFleet = new LedgerFleet(1, LedgerFleet.settings(2));
     private final VmId mA = mFleet.start("a", 1);
@@ -23,7 +23,7 @@
     private final VmId mC = mFleet.start("c", 1);
 
     @Test
-    void first_bill_stands_and_a_retry_elsewhere_is_a_duplicate() {
+    void first_bill_is_charged_and_a_retry_elsewhere_is_a_duplicate() {
         AttemptId first = mFleet.bill(mA, "r1", 10);
         mFleet.mTime.runFor(2_000);
         AttemptId second = mFleet.bill(mB, "r1", 10);
@@ -37,16 +37,17 @@
 
     @Test
     void larger_bill_of_a_retry_raises_the_bill_and_settles_the_difference() {
-        AttemptId brokenOff = mFleet.bill(mA, "r1", 10);
+        AttemptId partial = mFleet.bill(mA, "r1", 10);
         mFleet.mTime.runFor(2_000);
-        AttemptId whole = mFleet.bill(mB, "r1", 12);
+        AttemptId complete = mFleet.bill(mB, "r1", 12);
         mFleet.mTime.runFor(2_000);
         AttemptId less = mFleet.bill(mC, "r1", 11);
         mFleet.mTime.runFor(2_000);
 
-        assertThat(mFleet.mBillReplies.get(brokenOff))
+        assertThat(mFleet.mBillReplies.get(partial))
                 .contains(new BillCharge(BillOutcome.BILLED, 10));
-        assertThat(mFleet.mBillReplies.get(whole)).contains(new BillCharge(BillOutcome.RAISED, 2));
+        assertThat(mFleet.mBillReplies.get(complete))
+                .contains(new BillCharge(BillOutcome.RAISED, 2));
         assertThat(mFleet.mBillReplies.get(less))
                 .contains(new BillCharge(BillOutcome.DUPLICATE, 0));
         assertThat(mFleet.audit().sum().tokens()).isEqualTo(12);
@@ -97,7 +98,7 @@
     }
 
     @Test
-    void vm_cut_off_from_its_peers_appends_itself() {
+    void vm_isolated_from_its_peers_appends_to_the_log_itself() {
         mFleet.mPeers.cut("a", "b");
         mFleet.mPeers.cut("a", "c");
         mFleet.mPeers.cut("b", "c");
@@ -110,7 +111,7 @@
     }
 
     @Test
-    void vm_cut_off_from_the_owners_bills_before_an_answer_goes_without_its_bill() {
+    void vm_isolated_from_the_owners_bills_within_the_time_that_routers_wait() {
         long routersWaitMs = 2_000;
         mFleet.mPeers.cut("a", "b");
         mFleet.mPeers.cut("a", "c");
@@ -124,7 +125,7 @@
     }
 
     @Test
-    void vm_cut_off_from_the_platform_bills_through_its_peers() {
+    void vm_isolated_from_the_platform_bills_through_its_peers() {
         mFleet.mTime.runFor(1_000);
         mFleet.mPlatform.cut(mA);
         AttemptId one = mFleet.bill(mA, "r1", 10);
@@ -139,7 +140,7 @@
     }
 
     @Test
-    void claim_is_granted_once_and_its_outcome_is_given_to_retries() {
+    void claim_is_granted_once_and_its_outcome_is_returned_to_retries() {
         AttemptId first = mFleet.claim(mA, "release-1", "mould 7");
         mFleet.mTime.runFor(1_000);
         AttemptId early = mFleet.claim(mB, "release-1", "mould 7");
@@ -172,7 +173,7 @@
     }
 
     @Test
-    void claim_told_not_run_in_an_outage_is_withdrawn_before_another_is_granted() {
+    void claim_answered_as_not_run_is_withdrawn_before_another_is_granted() {
         mFleet.mPlatform.loses(0, 1.0);
         AttemptId first = mFleet.claim(mA, "release-1", "mould 7");
         mFleet.mTime.runFor(10_000);
@@ -189,7 +190,7 @@
     }
 
     @Test
-    void full_backlog_is_told_and_ends_with_the_outage() {
+    void backlog_is_full_in_an_outage_and_empties_after_it() {
         LedgerSettings small =
                 new LedgerSettings(
                         1,
@@ -214,7 +215,7 @@
     }
 
     @Test
-    void hand_over_ends_once_all_is_durable() {
+    void drain_ends_once_all_entries_are_durable() {
         AttemptId one = mFleet.bill(mA, "r1", 10);
         AttemptId two = mFleet.bill(mB, "r2", 10);
         AtomicLong doneMs = new AtomicLong();
@@ -230,7 +231,7 @@
     }
 
     @Test
-    void request_answered_too_often_is_refused_by_the_vms_that_know() {
+    void request_repeated_too_often_is_rejected_by_the_vms_that_know_of_it() {
         for (int i = 0; i < 4; i++) {
             mFleet.bill(mA, "r1", 10);
             mFleet.mTime.runFor(2_000);
@@ -247,7 +248,7 @@
     }
 
     @Test
-    void key_that_carries_an_old_time_is_refused() {
+    void key_with_an_old_timestamp_is_rejected() {
         long nowMs = mFleet.mTime.nowMs();
         long tooOldMs = nowMs - Retention.standard().retryMs() - 1;
 
--- a/coordination/src/test/java/org/hornbeampass/coordination/requests/RequestLoadTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/requests/RequestLoadTest.java
@@ -16,18 +16,18 @@
 import java.util.SplittableRandom;
 
 /**
- * Checks in virtual time that the platform's writes depend on shards and interval, not on requests,
- * and prints the figures.
+ * Checks in virtual time that the number of writes to the platform depends on shards and write
+ * interval, not on the request rate, and prints the measurements.
  *
- * <p>{@code -Dhornbeampass.load=true} adds the rows up to the target's size; without it that one
- * test is skipped.
+ * <p>{@code -Dhornbeampass.load=true} enables the test up to the target size; it is skipped
+ * otherwise.
  */
 class RequestLoadTest {
     private static final int SECONDS = 20;
     private static final int WARM_UP_SECONDS = 5;
     private static final double MS_PER_SECOND = 1_000.0;
 
-    /** What one run measured. */
+    /** The measurements of one run. */
     private record Load(
             double writesPerSecond,
             double readsPerSecond,
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void writes_do_not_grow_with_the_rate() {
+    void writes_do_not_grow_with_the_request_rate() {
         Load one = run(200, 8, 16);
         Load ten = run(2_000, 8, 16);
 
@@ -57,7 +57,7 @@
 
     @Test
     @EnabledIfSystemProperty(named = "hornbeampass.load", matches = "true")
-    void target_is_within_the_platforms_limits() {
+    void target_size_is_within_the_platforms_limits() {
         run(1_000, 8, 16);
         run(5_000, 64, 64);
         run(5_000, 64, 128);
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void vms_that_start_together_read_within_a_bound_and_bill_soon() {
+    void vms_that_start_together_bill_soon_with_a_bounded_number_of_reads() {
         LedgerFleet fleet = new LedgerFleet(1, LedgerFleet.settings(16));
         for (int i = 0; i < 8; i++) {
             VmId vm = fleet.start("vm" + i, 1);
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void queue_of_an_outage_is_worked_off_in_few_writes() {
+    void backlog_of_an_outage_is_written_in_few_writes() {
         LedgerFleet fleet = new LedgerFleet(1, LedgerFleet.settings(16));
         for (int i = 0; i < 8; i++) {
             fleet.start("vm" + i, 1);
--- a/coordination/src/test/java/org/hornbeampass/coordination/requests/RequestScenarios.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/requests/RequestScenarios.java
@@ -7,7 +7,7 @@
 import org.junit.platform.suite.api.SelectClasspathResource;
 import org.junit.platform.suite.api.Suite;
 
-/** Runs the scenarios of bills and of calls that may not be repeated. */
+/** Runs the scenarios of billing and of calls that may not be repeated. */
 @Suite
 @IncludeEngines("cucumber")
 @SelectClasspathResource("features/requests")
--- a/coordination/src/test/java/org/hornbeampass/coordination/requests/RequestSteps.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/requests/RequestSteps.java
@@ -19,7 +19,7 @@
 import java.util.Map;
 
 /**
- * The words of the scenarios; a router that is granted a call runs it at once.
+ * Steps of the scenarios; a router that is granted a call runs it at once.
  *
  * <p>One instance per scenario. Not thread-safe: scenarios run on one thread.
  */
@@ -40,20 +40,20 @@
         mFleet.mTime.runFor(SECOND_MS);
     }
 
-    /** Sets how much is lost. */
+    /** Drops every reply of the platform. */
     @Given("the platform loses every reply")
     public void platform_loses_every_reply() {
         mFleet.mPlatform.loses(0, 1);
     }
 
-    /** Sets how much is lost. */
+    /** Sets the share of messages that are lost. */
     @Given("the platform and the network lose {int} of 10 messages")
     public void platform_and_network_lose(int tenths) {
         mFleet.mPlatform.loses(tenths / 10.0, tenths / 10.0);
         mFleet.mPeers.drops(tenths / 10.0);
     }
 
-    /** Ends all loss. */
+    /** Ends the loss of messages. */
     @When("the platform answers again")
     public void platform_answers_again() {
         mFleet.mPlatform.loses(0, 0);
@@ -67,26 +67,26 @@
     }
 
     /** Ends an outage. */
-    @When("the platform is back")
-    public void platform_is_back() {
+    @When("the platform is available again")
+    public void platform_is_available_again() {
         mFleet.mPlatform.outage(false);
     }
 
-    /** Cuts a router off. */
-    @Given("router {string} is cut off from the platform")
-    public void router_is_cut_off_from_the_platform(String name) {
+    /** Isolates a router from the platform. */
+    @Given("router {string} is isolated from the platform")
+    public void router_is_isolated_from_the_platform(String name) {
         mFleet.mPlatform.cut(mRouters.get(name));
     }
 
-    /** Cuts a router off. */
-    @Given("router {string} is cut off from the others")
-    public void router_is_cut_off_from_the_others(String name) {
+    /** Isolates a router from its peers. */
+    @Given("router {string} is isolated from the other routers")
+    public void router_is_isolated_from_the_other_routers(String name) {
         mRouters.keySet().forEach(other -> mFleet.mPeers.cut(name, other));
     }
 
-    /** Splits the views of the members. */
-    @Given("every router sees itself alone")
-    public void every_router_sees_itself_alone() {
+    /** Makes each router see only itself as a live member. */
+    @Given("every router sees only itself as live")
+    public void every_router_sees_only_itself() {
         mRouters.values().forEach(vm -> mFleet.setLiveMembers(vm, vm));
         mFleet.mTime.runFor(2 * SECOND_MS);
     }
@@ -98,14 +98,14 @@
     }
 
     /** Resumes a router. */
-    @When("router {string} goes on")
-    public void router_goes_on(String name) {
+    @When("router {string} resumes")
+    public void router_resumes(String name) {
         mFleet.mVms.resume(mRouters.get(name));
     }
 
-    /** Removes a router from the others' views. */
-    @Given("all others take router {string} for dead")
-    public void others_take_router_for_dead(String name) {
+    /** Removes a router from the live members of the others. */
+    @Given("all other routers consider router {string} dead")
+    public void others_consider_router_dead(String name) {
         VmId[] others =
                 mRouters.entrySet().stream()
                         .filter(e -> !e.getKey().equals(name))
@@ -117,8 +117,8 @@
     }
 
     /** Kills a router. */
-    @When("router {string} dies")
-    public void router_dies(String name) {
+    @When("router {string} crashes")
+    public void router_crashes(String name) {
         mFleet.kill(mRouters.get(name));
     }
 
@@ -134,19 +134,19 @@
         mFleet.mTime.runFor(minutes * MINUTE_MS);
     }
 
-    /** Asks a router for a call that may not be repeated. */
+    /** Claims a call that may not be repeated on a router. */
     @When("router {string} is asked for manifest entry {string} for {string}")
     public void claim_manifest_entry(String router, String id, String body) {
         mLastAttempts.put(router, mFleet.claim(mRouters.get(router), id, body));
     }
 
-    /** Asks a router for a call that may not be repeated. */
+    /** Claims a call that may not be repeated on a router. */
     @When("router {string} is asked for mould release {string} for {string}")
     public void claim_mould_release(String router, String id, String body) {
         claim_manifest_entry(router, id, body);
     }
 
-    /** Lets a router run a call. */
+    /** Claims a call on a router and checks that it runs. */
     @Given("router {string} runs manifest entry {string} for {string}")
     public void runs_manifest_entry(String router, String id, String body) {
         claim_manifest_entry(router, id, body);
@@ -154,7 +154,7 @@
         answers(router, "GRANTED");
     }
 
-    /** Lets a router run a call. */
+    /** Claims a call on a router and checks that it runs. */
     @Given("router {string} runs mould release {string} for {string}")
     public void runs_mould_release(String router, String id, String body) {
         runs_manifest_entry(router, id, body);
@@ -166,23 +166,23 @@
         mFleet.recordOutcome(mLastAttempts.get(router), body);
     }
 
-    /** Checks what a router answered. */
+    /** Checks the status with which a router answered. */
     @Then("router {string} answers {string}")
     public void answers(String router, String answer) {
-        Either<Failure, ClaimOutcome> told = mFleet.mClaimReplies.get(mLastAttempts.get(router));
-        assertThat(told).as("answer of %s", router).isNotNull();
+        Either<Failure, ClaimOutcome> reply = mFleet.mClaimReplies.get(mLastAttempts.get(router));
+        assertThat(reply).as("answer of %s", router).isNotNull();
         if (answer.equals("not run")) {
-            assertThat(told.getLeft().kind()).isEqualTo(ErrorKind.PLATFORM_UNAVAILABLE);
+            assertThat(reply.getLeft().kind()).isEqualTo(ErrorKind.PLATFORM_UNAVAILABLE);
         } else {
-            assertThat(told.get().status().name()).isEqualTo(answer);
+            assertThat(reply.get().status().name()).isEqualTo(answer);
         }
     }
 
-    /** Checks the recorded outcome that a router passes on. */
-    @Then("router {string} passes on {string}")
-    public void passes_on(String router, String body) {
-        ClaimOutcome told = mFleet.mClaimReplies.get(mLastAttempts.get(router)).get();
-        assertThat(told.recorded().orElseThrow().body()).isEqualTo(body);
+    /** Checks the recorded outcome that a router returns. */
+    @Then("router {string} returns {string}")
+    public void returns(String router, String body) {
+        ClaimOutcome reply = mFleet.mClaimReplies.get(mLastAttempts.get(router)).get();
+        assertThat(reply.recorded().orElseThrow().body()).isEqualTo(body);
     }
 
     /** Checks how often a call ran. */
@@ -204,14 +204,14 @@
     }
 
     /** Checks how often a call ran. */
-    @Then("release {string} ran never")
-    public void release_ran_never(String id) {
+    @Then("release {string} never ran")
+    public void release_never_ran(String id) {
         assertThat(runs(id)).isZero();
     }
 
-    /** Checks what the records tell about a call. */
-    @Then("the log holds one claim at most that stands for {string}")
-    public void log_holds_one_claim_at_most(String id) {
+    /** Checks the open claims of a call in the audit. */
+    @Then("the log holds at most one open claim for {string}")
+    public void log_holds_at_most_one_open_claim(String id) {
         assertThat(mFleet.audit().openClaims())
                 .filteredOn(c -> c.key().request().value().equals(id))
                 .hasSizeLessThanOrEqualTo(1);
@@ -247,20 +247,20 @@
         }
     }
 
-    /** Checks the records. */
+    /** Checks the audit. */
     @Then("review {string} is billed with {int} tokens")
     public void is_billed_with(String id, int tokens) {
         assertThat(mFleet.audit().sum().tokens()).as(id).isEqualTo(tokens);
     }
 
-    /** Checks the answers and the records. */
-    @Then("one bill stands for review {string}")
-    public void one_bill_stands(String id) {
+    /** Checks the replies and the audit. */
+    @Then("review {string} has exactly one bill")
+    public void has_exactly_one_bill(String id) {
         assertThat(mFleet.audit().sum().bills()).as(id).isEqualTo(1);
         assertThat(mFleet.billedAttempts()).hasSize(1);
     }
 
-    /** Checks the answers. */
+    /** Checks the replies. */
     @Then("{int} tokens are refunded")
     public void are_refunded(int tokens) {
         long refunded =
@@ -270,13 +270,13 @@
         assertThat(refunded).isEqualTo(tokens);
     }
 
-    /** Checks the answers. */
+    /** Checks the replies. */
     @Then("the routers settle {int} tokens")
     public void are_settled(int tokens) {
         assertThat(mFleet.settledTokens()).isEqualTo(tokens);
     }
 
-    /** Checks the answers and the records. */
+    /** Checks the replies and the audit. */
     @Then("{int} tokens are billed and {int} are refunded")
     public void are_billed_and_refunded(int billed, int refunded) {
         assertThat(mFleet.audit().sum().tokens()).isEqualTo(billed);
@@ -284,7 +284,7 @@
         are_refunded(refunded);
     }
 
-    /** Checks that no bill was answered. */
+    /** Checks that no bill is decided. */
     @Then("nothing is billed")
     public void nothing_is_billed() {
         assertThat(mFleet.mBillReplies).isEmpty();
--- a/coordination/src/test/java/org/hornbeampass/coordination/requests/SettingsAgreementTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/requests/SettingsAgreementTest.java
@@ -14,12 +14,12 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Tests {@link SettingsAgreement}, through the ledger that it guards. */
+/** Tests {@link SettingsAgreement} through the ledger that uses it. */
 class SettingsAgreementTest {
     private final LedgerFleet mFleet = new LedgerFleet(7, LedgerFleet.settings(2));
 
     @Test
-    void firstVm_storesItsSettings_andAnotherWithTheSame_isReady() {
+    void firstVm_storesItsSettings_andAnotherVmWithTheSameSettings_isReady() {
         VmId a = mFleet.start("a", 1);
         assertThat(reason(a).kind()).isEqualTo(ErrorKind.NOT_READY);
         mFleet.mTime.runFor(1_000);
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void vm_ofOtherShards_isNeverReady_andTouchesNoShard() {
+    void vm_withAnotherShardCount_isNeverReady_andWritesToNoShard() {
         VmId a = mFleet.start("a", 1);
         mFleet.mTime.runFor(1_000);
         VmId other = mFleet.start("b", 1, LedgerFleet.settings(3));
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void vm_ofOtherRetention_isNeverReady_andTheOthersBillWithoutIt() {
+    void vm_withAnotherRetention_isNeverReady_andTheOthersBillWithoutIt() {
         mFleet.start("a", 1);
         mFleet.mTime.runFor(1_000);
         LedgerSettings two = LedgerFleet.settings(2);
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void twoFirstVms_thatDiffer_doNotBothBecomeReady() {
+    void twoFirstVms_withDifferentSettings_doNotBothBecomeReady() {
         VmId a = mFleet.start("a", 1);
         VmId b = mFleet.start("b", 1, LedgerFleet.settings(3));
         mFleet.mTime.runFor(10_000);
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void vm_whoseRepliesAreLost_asksAgain() {
+    void vm_whoseRepliesAreLost_repeatsTheCall() {
         mFleet.mPlatform.loses(0, 0.7);
         VmId a = mFleet.start("a", 1);
         mFleet.mTime.runFor(300_000);
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void vm_inAnOutage_becomesReadyAfterIt() {
+    void vm_startedInAnOutage_becomesReadyAfterIt() {
         mFleet.mPlatform.outage(true);
         VmId a = mFleet.start("a", 1);
         mFleet.mTime.runFor(60_000);
--- a/coordination/src/test/java/org/hornbeampass/coordination/requests/ShardStateTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/requests/ShardStateTest.java
@@ -17,7 +17,7 @@
 import org.hornbeampass.state.requests.Claim;
 import org.junit.jupiter.api.Test;
 
-/** Checks the decision on each entry, by what was applied before it. */
+/** Checks the decision on each entry, depending on the entries that were applied before it. */
 class ShardStateTest {
     private static final long HOUR_MS = 3_600_000;
     private static final long START_MS = 1_764_700_000_000L;
@@ -28,8 +28,8 @@
     private final ShardState mState = new ShardState(Retention.standard());
 
     @Test
-    void bill_sent_again_is_the_same_bill_and_another_attempt_is_a_duplicate() {
-        at(START_MS);
+    void resent_bill_is_billed_once_and_that_of_another_attempt_is_a_duplicate() {
+        applyBatchAt(START_MS);
 
         assertThat(bill("r", ONE, START_MS)).isEqualTo(Kind.BILLED);
         assertThat(bill("r", ONE, START_MS)).isEqualTo(Kind.BILLED);
@@ -42,8 +42,8 @@
     }
 
     @Test
-    void larger_bill_raises_by_the_difference_and_sent_again_is_decided_alike() {
-        at(START_MS);
+    void larger_bill_charges_the_difference_and_is_decided_alike_when_resent() {
+        applyBatchAt(START_MS);
         bill("r", ONE, START_MS);
 
         EntryDecision raised = mState.apply(billEntry("r", TWO, 7));
@@ -60,8 +60,8 @@
     }
 
     @Test
-    void raise_that_names_another_budget_is_charged_to_that_budget() {
-        at(START_MS);
+    void raise_on_another_budget_is_charged_to_that_budget() {
+        applyBatchAt(START_MS);
         bill("r", ONE, START_MS);
         BudgetId other = new BudgetId("other");
 
@@ -76,7 +76,7 @@
 
     @Test
     void same_id_with_another_body_is_another_repeatable_request() {
-        at(START_MS);
+        applyBatchAt(START_MS);
 
         assertThat(mState.apply(billEntry("r", "body 1", ONE, START_MS)).kind())
                 .isEqualTo(Kind.BILLED);
@@ -85,22 +85,22 @@
     }
 
     @Test
-    void bill_is_remembered_for_the_whole_window_and_forgotten_after_it() {
-        at(START_MS);
+    void bill_is_remembered_for_the_whole_retention_time_and_forgotten_after_it() {
+        applyBatchAt(START_MS);
         bill("r", ONE, START_MS);
-        long nowMs = pass(START_MS, 2 * HOUR_MS);
+        long nowMs = applyBatchesFor(START_MS, 2 * HOUR_MS);
         assertThat(bill("r", TWO, nowMs)).isEqualTo(Kind.DUPLICATE);
 
-        nowMs = pass(nowMs, 3 * HOUR_MS);
+        nowMs = applyBatchesFor(nowMs, 3 * HOUR_MS);
 
         assertThat(bill("r", THREE, nowMs)).isEqualTo(Kind.BILLED);
     }
 
     @Test
-    void bill_that_can_not_be_told_from_a_repeated_one_is_late() {
-        at(START_MS);
+    void bill_that_can_not_be_distinguished_from_a_repeated_one_is_late() {
+        applyBatchAt(START_MS);
         bill("other", ONE, START_MS);
-        pass(START_MS, HOUR_MS + 60_000);
+        applyBatchesFor(START_MS, HOUR_MS + 60_000);
 
         assertThat(bill("r", TWO, START_MS)).isEqualTo(Kind.LATE);
         assertThat(bill("r", TWO, START_MS)).isEqualTo(Kind.LATE);
@@ -108,17 +108,17 @@
     }
 
     @Test
-    void bill_that_waited_for_the_end_of_a_long_outage_is_not_late() {
-        at(START_MS);
+    void bill_that_waited_during_a_long_outage_is_not_late() {
+        applyBatchAt(START_MS);
         bill("other", ONE, START_MS);
-        at(START_MS + 10 * HOUR_MS);
+        applyBatchAt(START_MS + 10 * HOUR_MS);
 
         assertThat(bill("r", TWO, START_MS + 1_000)).isEqualTo(Kind.BILLED);
     }
 
     @Test
-    void held_claim_needs_a_place_in_the_log_since_it_may_have_been_withdrawn() {
-        at(START_MS);
+    void decision_that_a_claim_is_held_is_not_final_since_it_may_be_withdrawn() {
+        applyBatchAt(START_MS);
         claim("c", "body", ONE);
         ClaimEntry retry = claimEntry("c", "body", TWO);
 
@@ -129,8 +129,8 @@
     }
 
     @Test
-    void claim_that_comes_after_its_withdrawal_is_not_granted() {
-        at(START_MS);
+    void claim_that_is_applied_after_its_withdrawal_is_not_granted() {
+        applyBatchAt(START_MS);
         mState.apply(new WithdrawEntry(LedgerFleet.key("c", "body"), ONE, START_MS));
 
         assertThat(claim("c", "body", ONE)).isEqualTo(Kind.WITHDRAWN);
@@ -138,8 +138,8 @@
     }
 
     @Test
-    void outcome_is_taken_from_the_holder_only() {
-        at(START_MS);
+    void outcome_is_recorded_only_for_the_holder_of_the_claim() {
+        applyBatchAt(START_MS);
         claim("c", "body", ONE);
 
         assertThat(outcome("c", TWO)).isEqualTo(Kind.NOT_HELD);
@@ -149,28 +149,28 @@
     }
 
     @Test
-    void claim_whose_key_carries_a_time_is_refused_once_it_may_be_forgotten() {
-        at(START_MS);
+    void claim_whose_key_has_a_timestamp_is_rejected_once_it_may_be_forgotten() {
+        applyBatchAt(START_MS);
         assertThat(claim("c@" + START_MS, "body", ONE)).isEqualTo(Kind.GRANTED);
-        long nowMs = pass(START_MS, HOUR_MS);
+        long nowMs = applyBatchesFor(START_MS, HOUR_MS);
         assertThat(claim("c@" + START_MS, "body", TWO)).isEqualTo(Kind.HELD);
 
-        pass(nowMs, HOUR_MS);
+        applyBatchesFor(nowMs, HOUR_MS);
 
         assertThat(claim("c@" + START_MS, "body", THREE)).isEqualTo(Kind.EXPIRED);
     }
 
     @Test
-    void claim_whose_key_carries_no_time_is_never_forgotten() {
-        at(START_MS);
+    void claim_whose_key_has_no_timestamp_is_never_forgotten() {
+        applyBatchAt(START_MS);
         claim("release-1", "body", ONE);
-        pass(START_MS, 48 * HOUR_MS);
+        applyBatchesFor(START_MS, 48 * HOUR_MS);
 
         assertThat(claim("release-1", "body", TWO)).isEqualTo(Kind.HELD);
     }
 
     @Test
-    void claims_without_a_time_are_bounded() {
+    void claims_without_a_timestamp_are_bounded() {
         ShardState small = new ShardState(new Retention(HOUR_MS, HOUR_MS, 0, 500, 3));
         small.beginBatch(START_MS);
         Kind last = Kind.GRANTED;
@@ -181,15 +181,17 @@
         assertThat(last).isEqualTo(Kind.FULL);
     }
 
-    private void at(long nowMs) {
+    private void applyBatchAt(long nowMs) {
         mState.beginBatch(nowMs);
         mState.endBatch();
     }
 
-    /** Lets time pass with a batch every half minute. */
-    private long pass(long fromMs, long durationMs) {
+    /**
+     * Advances the log by a batch every half minute; returns the time of the end in milliseconds.
+     */
+    private long applyBatchesFor(long fromMs, long durationMs) {
         for (long t = fromMs; t <= fromMs + durationMs; t += 30_000) {
-            at(t);
+            applyBatchAt(t);
         }
         return fromMs + durationMs;
     }
