--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/BillReader.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/BillReader.java
@@ -20,16 +20,18 @@
 import java.util.function.BiConsumer;
 
 /**
- * Reads an organisation's newest bills that stand from the platform's records alone: those since
- * the last checkpoint of each shard; older ones are only in the totals of {@link RequestAudit}.
+ * Reads an organisation's most recent bills, without duplicates, from the platform's records alone:
+ * those since the last checkpoint of each shard. Older bills are only contained in the totals of
+ * {@link RequestAudit}.
  *
- * <p>A raised bill is one line with the raised amount, at the place of the first attempt's
- * admission where that is since the checkpoint. What the reader holds at one time is one shard's
- * memory, the organisation's bills in one shard's log, one page of that log and one page of bills.
- * One run per instance; each step follows the reply of the last one, so it needs no lock.
+ * <p>A raised bill is one line with the raised amount. It is listed by the admission time of the
+ * request's first attempt, if that bill is since the checkpoint. The reader holds at one time the
+ * state of one shard, the organisation's bills in that shard's log, one page of that log and one
+ * page of bills. Each instance serves one run; each step starts when the previous one's reply has
+ * arrived, so no lock is needed.
  */
 public final class BillReader {
-    private static final int PAGE = 8;
+    private static final int PAGE_BATCHES = 8;
     private static final int MAX_RESTARTS = 5;
 
     private final Platform mPlatform;
@@ -38,16 +40,16 @@
     private final String mAfter;
     private final int mLimit;
     private final TreeMap<String, Bill> mPage = new TreeMap<>();
-    private final Map<RequestKey, Bill> mFirst = new HashMap<>();
+    private final Map<RequestKey, Bill> mFirstBills = new HashMap<>();
     private int mRestarts;
 
     /**
-     * Makes the reader of one page.
+     * Creates a reader for one page.
      *
-     * @param platform the platform that keeps the records
-     * @param settings the settings with which they were written
-     * @param organisation whose bills
-     * @param after where the page starts, from the page before
+     * @param platform the platform that stores the records
+     * @param settings the settings with which the records were written
+     * @param organisation the organisation whose bills are read
+     * @param after where the page starts, taken from the previous page; empty for the first page
      * @param limit the largest number of bills on the page
      */
     public BillReader(
@@ -63,12 +65,16 @@
         mLimit = limit;
     }
 
-    /** Reads every shard; {@code done} is run once. */
+    /**
+     * Reads every shard and calls {@code done} once, with the time in milliseconds and the page or
+     * the failure.
+     */
     public void run(long nowMs, BiConsumer<Long, Either<Failure, BillPage>> done) {
-        shard(nowMs, 0, done);
+        readShard(nowMs, 0, done);
     }
 
-    private void shard(long nowMs, int shard, BiConsumer<Long, Either<Failure, BillPage>> done) {
+    private void readShard(
+            long nowMs, int shard, BiConsumer<Long, Either<Failure, BillPage>> done) {
         if (shard == mSettings.shards()) {
             done.accept(nowMs, Either.right(page()));
             return;
@@ -78,12 +84,12 @@
                         new CheckpointKeys(shard),
                         mSettings.retention(),
                         (atMs, loaded) ->
-                                loaded.peek(state -> readOn(atMs, shard, state, done))
-                                        .peekLeft(f -> restart(atMs, shard, f, done)))
+                                loaded.peek(state -> readNextPage(atMs, shard, state, done))
+                                        .peekLeft(f -> restartShard(atMs, shard, f, done)))
                 .start(nowMs);
     }
 
-    private void readOn(
+    private void readNextPage(
             long nowMs,
             int shard,
             ShardState state,
@@ -92,13 +98,13 @@
                 .read(
                         nowMs,
                         state.nextSequence(),
-                        PAGE,
+                        PAGE_BATCHES,
                         (atMs, page) ->
-                                page.peek(batches -> take(atMs, shard, state, batches, done))
-                                        .peekLeft(f -> restart(atMs, shard, f, done)));
+                                page.peek(batches -> collect(atMs, shard, state, batches, done))
+                                        .peekLeft(f -> restartShard(atMs, shard, f, done)));
     }
 
-    private void take(
+    private void collect(
             long nowMs,
             int shard,
             ShardState state,
@@ -106,44 +112,44 @@
             BiConsumer<Long, Either<Failure, BillPage>> done) {
         if (batches.isEmpty()) {
             mRestarts = 0;
-            mFirst.clear();
-            shard(nowMs, shard + 1, done);
+            mFirstBills.clear();
+            readShard(nowMs, shard + 1, done);
             return;
         }
         for (LogBatch batch : batches) {
             Iterator<EntryDecision> decisions = state.apply(batch).iterator();
             for (String text : batch.entries()) {
                 if (EntryCodec.decodeTime(text).isEmpty()) {
-                    EntryCodec.decode(text).peek(entry -> take(entry, decisions.next()));
+                    EntryCodec.decode(text).peek(entry -> collect(entry, decisions.next()));
                 }
             }
         }
-        readOn(nowMs, shard, state, done);
+        readNextPage(nowMs, shard, state, done);
     }
 
-    private void take(RequestEntry entry, EntryDecision decision) {
-        boolean stands =
+    private void collect(RequestEntry entry, EntryDecision decision) {
+        boolean charged =
                 decision.kind() == EntryDecision.Kind.BILLED
                         || decision.kind() == EntryDecision.Kind.RAISED;
-        if (!stands
-                || !(entry instanceof RequestEntry.BillEntry known)
-                || !known.key().organisation().equals(mOrganisation)) {
+        if (!charged
+                || !(entry instanceof RequestEntry.BillEntry billEntry)
+                || !billEntry.key().organisation().equals(mOrganisation)) {
             return;
         }
-        Bill first = mFirst.computeIfAbsent(known.key(), k -> known.bill());
-        Bill bill = standing(first, known.bill());
-        String place = place(bill);
-        if (place.compareTo(mAfter) <= 0) {
+        Bill first = mFirstBills.computeIfAbsent(billEntry.key(), k -> billEntry.bill());
+        Bill bill = withRaisedAmount(first, billEntry.bill());
+        String key = sortKey(bill);
+        if (key.compareTo(mAfter) <= 0) {
             return;
         }
-        mPage.merge(place, bill, (before, now) -> now.tokens() > before.tokens() ? now : before);
+        mPage.merge(key, bill, (before, now) -> now.tokens() > before.tokens() ? now : before);
         if (mPage.size() > mLimit + 1) {
             mPage.pollLastEntry();
         }
     }
 
-    /** Returns a raised bill as it stands, at the place of the first. */
-    private static Bill standing(Bill first, Bill raised) {
+    /** Returns the raised bill with the budget and the admission time of the first one. */
+    private static Bill withRaisedAmount(Bill first, Bill raised) {
         return new Bill(
                 first.key(),
                 first.budget(),
@@ -153,8 +159,8 @@
                 first.admittedAtMs());
     }
 
-    /** Returns a bill's place in the order of admission. */
-    private static String place(Bill bill) {
+    /** Returns a key by which bills sort in the order of their admission. */
+    private static String sortKey(Bill bill) {
         return String.format(
                 java.util.Locale.ROOT,
                 "%019d~%s~%s",
@@ -173,8 +179,11 @@
                 last ? Optional.empty() : Optional.of(mPage.lastKey()));
     }
 
-    /** Starts a shard anew where its log was truncated while it was read. */
-    private void restart(
+    /**
+     * Reads the shard again from its checkpoint, since its log may have been truncated while it was
+     * read.
+     */
+    private void restartShard(
             long nowMs,
             int shard,
             Failure failure,
@@ -185,6 +194,6 @@
             done.accept(nowMs, Either.left(Failure.of(failure.kind(), message)));
             return;
         }
-        shard(nowMs, shard, done);
+        readShard(nowMs, shard, done);
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/CheckpointParts.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/CheckpointParts.java
@@ -20,32 +20,32 @@
 import java.util.Map;
 
 /**
- * Turns what a shard remembers into texts that the platform holds, and back.
+ * Encodes the state of a shard into texts for the platform, and decodes them.
  *
- * <p>Equal memories give equal texts, in whatever order they were filled. Thread-safe: holds no
- * state.
+ * <p>Equal states are encoded to equal texts, in whatever order they were filled. Thread-safe:
+ * holds no state.
  */
 final class CheckpointParts {
-    /** How many ids go into one part: 704,000 bytes, 940,000 in Base64. */
+    /** The most ids in one part: 704,000 bytes, 940,000 in Base64. */
     static final int IDS_PER_PART = 22_000;
 
     private static final int ID_BYTES = 4 * Long.BYTES;
-    private static final int MAX_CHARS = 400_000;
+    private static final int MAX_PART_CHARS = 400_000;
 
     private CheckpointParts() {}
 
     /**
      * Ids of bills, four longs each: high, low, value and amount.
      *
-     * @param rows the bytes
+     * @param rows the longs as bytes, in big-endian order
      */
     private record IdPart(byte[] rows) {}
 
     /**
-     * When an attempt gave up.
+     * The withdrawal of an attempt's claim.
      *
      * @param attempt the attempt
-     * @param atMs when
+     * @param atMs when the claim was withdrawn, in milliseconds
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     private record Withdrawal(AttemptId attempt, long atMs) {}
@@ -53,10 +53,10 @@
     /**
      * Claims and withdrawals.
      *
-     * @param held claims that stand
-     * @param withdrawn attempts that gave up
+     * @param held claims that were granted and not withdrawn
+     * @param withdrawn attempts whose claims were withdrawn
      */
-    private record ClaimPart(List<ClaimMemory.Held> held, List<Withdrawal> withdrawn) {}
+    private record ClaimPart(List<ClaimTable.HeldClaim> held, List<Withdrawal> withdrawn) {}
 
     /**
      * One budget's totals.
@@ -75,8 +75,8 @@
      */
     private record TotalPart(List<TotalLine> lines) {}
 
-    /** Returns a closed generation's ids, in their order. */
-    static List<String> ofGeneration(BillMemory.Generation generation) {
+    /** Encodes the ids of a closed generation, in ascending order. */
+    static List<String> encodeGeneration(RecentBills.Generation generation) {
         List<long[]> ids = new ArrayList<>(generation.size());
         generation.forEach(
                 (id, entry) ->
@@ -92,8 +92,8 @@
         return parts;
     }
 
-    /** Reads one part into a generation. */
-    static Either<Failure, Boolean> readGeneration(String text, BillMemory.Generation into) {
+    /** Decodes one part and adds its ids to a generation. */
+    static Either<Failure, Boolean> decodeGeneration(String text, RecentBills.Generation into) {
         return Json.decode(text, IdPart.class)
                 .map(
                         part -> {
@@ -103,17 +103,18 @@
                                 long low = bytes.getLong();
                                 into.put(
                                         new RequestFingerprint(high, low),
-                                        new BillMemory.Entry(bytes.getLong(), bytes.getLong()));
+                                        new RecentBills.Entry(bytes.getLong(), bytes.getLong()));
                             }
                             return true;
                         });
     }
 
-    /** Returns the claims and withdrawals, in the order of their ids. */
-    static List<String> ofClaims(ClaimMemory claims) {
-        List<ClaimMemory.Held> held = new ArrayList<>(claims.held());
+    /** Encodes the claims by organisation and request, then the withdrawals by VM and number. */
+    static List<String> encodeClaims(ClaimTable claims) {
+        List<ClaimTable.HeldClaim> held = new ArrayList<>(claims.heldClaims());
         held.sort(
-                Comparator.<ClaimMemory.Held, OrganisationId>comparing(h -> h.key().organisation())
+                Comparator.<ClaimTable.HeldClaim, OrganisationId>comparing(
+                                h -> h.key().organisation())
                         .thenComparing(h -> h.key().request()));
         List<Withdrawal> withdrawn = new ArrayList<>();
         claims.withdrawals().forEach((a, atMs) -> withdrawn.add(new Withdrawal(a, atMs)));
@@ -126,8 +127,8 @@
         return parts;
     }
 
-    /** Reads one part of claims. */
-    static Either<Failure, Boolean> readClaims(String text, ClaimMemory into) {
+    /** Decodes one part of claims and withdrawals into {@code into}. */
+    static Either<Failure, Boolean> decodeClaims(String text, ClaimTable into) {
         return Json.decode(text, ClaimPart.class)
                 .map(
                         part -> {
@@ -137,16 +138,16 @@
                         });
     }
 
-    /** Returns the totals, in the order of the budgets. */
-    static List<String> ofTotals(Map<BudgetKey, BudgetTotals> totals) {
+    /** Encodes the totals, in the order of the budgets. */
+    static List<String> encodeTotals(Map<BudgetKey, BudgetTotals> totals) {
         List<TotalLine> lines = new ArrayList<>();
         totals.forEach((k, t) -> lines.add(new TotalLine(k.organisation(), k.budget(), t)));
         lines.sort(Comparator.comparing(TotalLine::organisation).thenComparing(TotalLine::budget));
         return chunks(lines).stream().map(c -> Json.encode(new TotalPart(c))).toList();
     }
 
-    /** Reads one part of totals. */
-    static Either<Failure, Boolean> readTotals(String text, Map<BudgetKey, BudgetTotals> into) {
+    /** Decodes one part of totals into {@code into}. */
+    static Either<Failure, Boolean> decodeTotals(String text, Map<BudgetKey, BudgetTotals> into) {
         return Json.decode(text, TotalPart.class)
                 .map(
                         part -> {
@@ -161,13 +162,15 @@
                         });
     }
 
-    /** Splits a list so that each chunk's text stays well below what the platform holds. */
+    /**
+     * Splits a list so that the text of each chunk stays well below the size limit of the platform.
+     */
     private static <T> List<List<T>> chunks(List<T> all) {
         List<List<T>> chunks = new ArrayList<>();
-        int chars = MAX_CHARS;
+        int chars = MAX_PART_CHARS;
         for (T each : all) {
             int length = Json.encode(each).length();
-            if (chars + length > MAX_CHARS) {
+            if (chars + length > MAX_PART_CHARS) {
                 chunks.add(new ArrayList<>());
                 chars = 0;
             }
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/CheckpointWriter.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/CheckpointWriter.java
@@ -15,18 +15,20 @@
 import java.util.function.BiConsumer;
 
 /**
- * One run of writing a checkpoint: parts, then the manifest; then the parts that only the last
- * manifest names are deleted.
+ * Writes a checkpoint: its parts, then the manifest; then deletes the parts that only the previous
+ * manifest lists.
  *
- * <p>Invariants: a manifest is written conditionally on the one that was read before its parts were
- * written, so it never names a part that another run deleted; nothing is deleted before it is known
- * to be written. A run that fails anywhere stops; the next one starts anew. Two runs of one
- * checkpoint write equal parts, so a part that exists already is as good as written.
+ * <p>Invariants: the manifest is written conditionally on the version that was read before the
+ * parts were written, so it never lists a part that another run has deleted; nothing is deleted
+ * before the manifest is known to be written. A run stops at the first failed write; the next run
+ * starts over. Two runs of the same checkpoint write equal parts, so a part that already exists
+ * counts as written.
  *
- * <p>Used by one run, each step following the reply of the last one.
+ * <p>Each instance serves one run; each step starts when the previous one's reply has arrived, so
+ * no lock is needed.
  */
 final class CheckpointWriter {
-    private static final long NOTHING = 0;
+    private static final long NOT_WRITTEN = 0;
 
     private final Platform mPlatform;
     private final CheckpointKeys mKeys;
@@ -34,10 +36,10 @@
     private final CheckpointManifest mManifest;
     private final BiConsumer<Long, Long> mDone;
 
-    private Optional<CheckpointManifest> mBefore = Optional.empty();
-    private long mVersion;
+    private Optional<CheckpointManifest> mStoredManifest = Optional.empty();
+    private long mStoredVersion;
 
-    /** A part to be written. */
+    /** A part still to be written. */
     private record Part(String key, String text) {}
 
     CheckpointWriter(
@@ -53,8 +55,8 @@
     }
 
     /**
-     * Starts; at its end {@code done} is run with the time in milliseconds and the sequence below
-     * which the log may be truncated, 0 where the checkpoint was not written.
+     * Starts writing. At the end, {@code done} is called with the time in milliseconds and the
+     * sequence below which the log may be truncated, or 0 if the checkpoint was not written.
      */
     void start(long nowMs) {
         mPlatform.submit(
@@ -64,22 +66,22 @@
                     if (reply instanceof PlatformReply.Missing) {
                         writeParts(atMs);
                     } else if (reply instanceof PlatformReply.Found found) {
-                        follow(atMs, found.object());
+                        replaceStored(atMs, found.object());
                     } else {
-                        mDone.accept(atMs, NOTHING);
+                        mDone.accept(atMs, NOT_WRITTEN);
                     }
                 });
     }
 
-    private void follow(long nowMs, StoredObject stored) {
+    private void replaceStored(long nowMs, StoredObject stored) {
         Either<?, CheckpointManifest> before =
                 Json.decode(stored.value(), CheckpointManifest.class);
         if (before.isLeft() || before.get().nextSequence() >= mManifest.nextSequence()) {
-            mDone.accept(nowMs, NOTHING);
+            mDone.accept(nowMs, NOT_WRITTEN);
             return;
         }
-        mBefore = Optional.of(before.get());
-        mVersion = stored.version();
+        mStoredManifest = Optional.of(before.get());
+        mStoredVersion = stored.version();
         writeParts(nowMs);
     }
 
@@ -93,18 +95,18 @@
             parts.add(
                     new Part(mKeys.totals(mManifest.openNumber(), i), mCheckpoint.totals().get(i)));
         }
-        Iterator<BillMemory.Generation> missing =
-                mCheckpoint.generations().stream().filter(g -> !written(g.number())).iterator();
+        Iterator<RecentBills.Generation> missing =
+                mCheckpoint.generations().stream().filter(g -> !isStored(g.number())).iterator();
         writeNext(nowMs, parts.iterator(), missing);
     }
 
-    private boolean written(long number) {
-        return mBefore.flatMap(b -> b.generation(number)).isPresent();
+    private boolean isStored(long number) {
+        return mStoredManifest.flatMap(b -> b.generation(number)).isPresent();
     }
 
-    /** Writes the next part; a generation is only turned into text when its turn comes. */
+    /** Writes the next part; a generation is encoded only when it is about to be written. */
     private void writeNext(
-            long nowMs, Iterator<Part> parts, Iterator<BillMemory.Generation> generations) {
+            long nowMs, Iterator<Part> parts, Iterator<RecentBills.Generation> generations) {
         if (!parts.hasNext() && !generations.hasNext()) {
             writeManifest(nowMs);
             return;
@@ -118,19 +120,19 @@
                 nowMs,
                 new PlatformCall.Create(part.key(), part.text()),
                 (atMs, reply) -> {
-                    boolean stands =
+                    boolean partExists =
                             reply instanceof PlatformReply.Written
                                     || reply instanceof PlatformReply.Conflict;
-                    if (stands) {
+                    if (partExists) {
                         writeNext(atMs, parts, generations);
                     } else {
-                        mDone.accept(atMs, NOTHING);
+                        mDone.accept(atMs, NOT_WRITTEN);
                     }
                 });
     }
 
-    private Iterator<Part> partsOf(BillMemory.Generation generation) {
-        List<String> texts = CheckpointParts.ofGeneration(generation);
+    private Iterator<Part> partsOf(RecentBills.Generation generation) {
+        List<String> texts = CheckpointParts.encodeGeneration(generation);
         List<Part> parts = new ArrayList<>();
         for (int i = 0; i < texts.size(); i++) {
             parts.add(new Part(mKeys.generation(generation.number(), i), texts.get(i)));
@@ -141,23 +143,23 @@
     private void writeManifest(long nowMs) {
         String value = Json.encode(mManifest);
         PlatformCall call =
-                mBefore.isEmpty()
+                mStoredManifest.isEmpty()
                         ? new PlatformCall.Create(mKeys.manifest(), value)
-                        : new PlatformCall.Update(mKeys.manifest(), value, mVersion);
+                        : new PlatformCall.Update(mKeys.manifest(), value, mStoredVersion);
         mPlatform.submit(
                 nowMs,
                 call,
                 (atMs, reply) -> {
                     if (reply instanceof PlatformReply.Written) {
-                        deleteParts(atMs, dropped().iterator());
+                        deleteParts(atMs, obsoleteKeys().iterator());
                     } else {
-                        mDone.accept(atMs, NOTHING);
+                        mDone.accept(atMs, NOT_WRITTEN);
                     }
                 });
     }
 
-    private List<String> dropped() {
-        return mBefore.map(b -> mKeys.dropped(b, mManifest)).orElse(List.of());
+    private List<String> obsoleteKeys() {
+        return mStoredManifest.map(b -> mKeys.obsoleteKeys(b, mManifest)).orElse(List.of());
     }
 
     private void deleteParts(long nowMs, Iterator<String> keys) {
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/Deferred.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/DeferredActions.java
@@ -4,11 +4,11 @@
 import java.util.List;
 
 /**
- * What is to be run once the ledger's lock is released: calls, messages and callbacks.
+ * Collects the calls, messages and callbacks to run once the ledger's lock is released.
  *
  * <p>Not thread-safe; used by the one thread that holds, then has released, the lock.
  */
-final class Deferred {
+final class DeferredActions {
     private final List<Runnable> mSteps = new ArrayList<>();
 
     void add(Runnable step) {
@@ -21,8 +21,8 @@
 
     /** Runs a step with the ledger's lock held, then what the step deferred without it. */
     @FunctionalInterface
-    interface Guard {
+    interface LockRunner {
         /** Runs a step. */
-        void locked(java.util.function.Consumer<Deferred> step);
+        void runLocked(java.util.function.Consumer<DeferredActions> step);
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/RequestAudit.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/RequestAudit.java
@@ -21,13 +21,14 @@
 /**
  * Reads all bills and claims from the platform's records alone, shard by shard and page by page.
  *
- * <p>It needs no router. What it holds at one time is one shard's memory, one page of its log, the
- * totals, and a bounded list of open claims. Records that are written meanwhile are seen or not,
- * per shard; each shard's part is exact for one place in its log. One run at a time per instance;
- * not thread-safe beyond that each step follows the reply of the last one.
+ * <p>Needs no router. The audit holds at one time the state of one shard, one page of its log, the
+ * totals, and a bounded list of open claims. Records that are written during the run may or may not
+ * be included; the result for each shard is exact for one position in its log. Each instance serves
+ * one run at a time. Not thread-safe, except that each step starts when the previous one's reply
+ * has arrived.
  */
 public final class RequestAudit {
-    private static final int PAGE = 8;
+    private static final int PAGE_BATCHES = 8;
     private static final int MAX_RESTARTS = 5;
     private static final int MAX_FINDINGS = 100;
 
@@ -38,15 +39,15 @@
     private final List<OpenClaim> mOpenClaims = new ArrayList<>();
     private final List<String> mFindings = new ArrayList<>();
     private long mMoreOpenClaims;
-    private long mRemembered;
+    private long mRememberedIds;
     private int mRestarts;
 
     /**
      * Creates an audit.
      *
-     * @param platform the platform that keeps the records
-     * @param settings the settings with which they were written
-     * @param maxOpenClaims how many open claims are listed
+     * @param platform the platform that stores the records
+     * @param settings the settings with which the records were written
+     * @param maxOpenClaims the most open claims that are listed
      */
     public RequestAudit(Platform platform, LedgerSettings settings, int maxOpenClaims) {
         mPlatform = platform;
@@ -58,14 +59,14 @@
      * Reads every shard.
      *
      * @param nowMs the present time in milliseconds
-     * @param done takes the time in milliseconds and the report, or why the records could not be
-     *     read
+     * @param done called with the time in milliseconds and the report, or with the reason why the
+     *     records could not be read
      */
     public void run(long nowMs, BiConsumer<Long, Either<Failure, RequestAuditReport>> done) {
-        shard(nowMs, 0, done);
+        readShard(nowMs, 0, done);
     }
 
-    private void shard(
+    private void readShard(
             long nowMs, int shard, BiConsumer<Long, Either<Failure, RequestAuditReport>> done) {
         if (shard == mSettings.shards()) {
             done.accept(nowMs, Either.right(report()));
@@ -76,12 +77,12 @@
                         new CheckpointKeys(shard),
                         mSettings.retention(),
                         (atMs, loaded) ->
-                                loaded.peek(state -> readOn(atMs, shard, state, done))
-                                        .peekLeft(f -> restart(atMs, shard, f, done)))
+                                loaded.peek(state -> readNextPage(atMs, shard, state, done))
+                                        .peekLeft(f -> restartShard(atMs, shard, f, done)))
                 .start(nowMs);
     }
 
-    private void readOn(
+    private void readNextPage(
             long nowMs,
             int shard,
             ShardState state,
@@ -90,33 +91,36 @@
                 .read(
                         nowMs,
                         state.nextSequence(),
-                        PAGE,
+                        PAGE_BATCHES,
                         (atMs, page) ->
-                                page.peek(batches -> take(atMs, shard, state, batches, done))
-                                        .peekLeft(f -> restart(atMs, shard, f, done)));
+                                page.peek(batches -> onPageRead(atMs, shard, state, batches, done))
+                                        .peekLeft(f -> restartShard(atMs, shard, f, done)));
     }
 
-    private void take(
+    private void onPageRead(
             long nowMs,
             int shard,
             ShardState state,
             List<LogBatch> batches,
             BiConsumer<Long, Either<Failure, RequestAuditReport>> done) {
         for (LogBatch batch : batches) {
-            check(shard, batch);
+            checkBatch(shard, batch);
             state.apply(batch);
         }
         if (!batches.isEmpty()) {
-            readOn(nowMs, shard, state, done);
+            readNextPage(nowMs, shard, state, done);
             return;
         }
-        add(state);
+        addShard(state);
         mRestarts = 0;
-        shard(nowMs, shard + 1, done);
+        readShard(nowMs, shard + 1, done);
     }
 
-    /** Starts a shard anew where its log was truncated while it was read. */
-    private void restart(
+    /**
+     * Reads the shard again from its checkpoint, since its log may have been truncated while it was
+     * read.
+     */
+    private void restartShard(
             long nowMs,
             int shard,
             Failure failure,
@@ -127,39 +131,46 @@
             done.accept(nowMs, Either.left(Failure.of(failure.kind(), message)));
             return;
         }
-        shard(nowMs, shard, done);
+        readShard(nowMs, shard, done);
     }
 
-    private void check(int shard, LogBatch batch) {
+    private void checkBatch(int shard, LogBatch batch) {
         for (String text : batch.entries()) {
             if (EntryCodec.decodeTime(text).isPresent()) {
                 continue;
             }
             Either<Failure, RequestEntry> entry = EntryCodec.decode(text);
             if (entry.isLeft()) {
-                find(shard, batch, entry.getLeft().message());
+                addFinding(shard, batch, entry.getLeft().message());
                 continue;
             }
-            RequestEntry known = entry.get();
-            int place =
+            RequestEntry decoded = entry.get();
+            int expected =
                     RequestFingerprint.shard(
-                            known.key().organisation(), known.key().request(), mSettings.shards());
-            if (place != shard) {
-                find(shard, batch, "an entry of shard " + place + "; were the shards changed?");
+                            decoded.key().organisation(),
+                            decoded.key().request(),
+                            mSettings.shards());
+            if (expected != shard) {
+                addFinding(
+                        shard,
+                        batch,
+                        "found an entry of shard "
+                                + expected
+                                + "; was the number of shards changed?");
             }
         }
     }
 
-    private void find(int shard, LogBatch batch, String what) {
+    private void addFinding(int shard, LogBatch batch, String problem) {
         if (mFindings.size() < MAX_FINDINGS) {
-            mFindings.add("shard " + shard + ", batch " + batch.sequence() + ": " + what);
+            mFindings.add("shard " + shard + ", batch " + batch.sequence() + ": " + problem);
         }
     }
 
-    private void add(ShardState state) {
+    private void addShard(ShardState state) {
         state.totals().forEach((key, totals) -> mTotals.merge(key, totals, BudgetTotals::plus));
-        mRemembered += state.bills().size();
-        for (ClaimMemory.Held held : state.claims().held()) {
+        mRememberedIds += state.bills().size();
+        for (ClaimTable.HeldClaim held : state.claims().heldClaims()) {
             if (held.outcome().isPresent()) {
                 continue;
             }
@@ -173,6 +184,6 @@
 
     private RequestAuditReport report() {
         return new RequestAuditReport(
-                mTotals, mOpenClaims, mMoreOpenClaims, mRemembered, mFindings);
+                mTotals, mOpenClaims, mMoreOpenClaims, mRememberedIds, mFindings);
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/SettingsAgreement.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/SettingsAgreement.java
@@ -12,123 +12,132 @@
 import java.util.SplittableRandom;
 
 /**
- * Finds out whether this VM decides the request log by the settings that the whole fleet uses.
+ * Checks that this VM decides the request log with the settings that the whole fleet uses.
  *
- * <p>The first VM ever writes its settings to the platform by a conditional create; all later ones
- * compare theirs. Invariants: two VMs whose settings differ never both agree; once told, an answer
- * stays. A lost reply is asked for again. Not thread-safe; the ledger's lock guards it.
+ * <p>The first VM of the fleet writes its settings to the platform by a conditional create; all
+ * later ones compare stored with them. Invariants: two VMs whose settings differ never both match;
+ * the result, once known, does not change. If a reply is lost, the call is repeated. Not
+ * thread-safe; guarded by the ledger's lock.
  */
 final class SettingsAgreement {
-    /** Where the settings are kept. */
+    /** The platform key of the settings. */
     static final String KEY = "requests/settings";
 
-    /** The number of the rules by which the log is decided; raised with every change of them. */
-    static final int RULES = 2;
+    /**
+     * The version of the rules by which entries are decided; increased with every change of the
+     * rules.
+     */
+    static final int RULES_VERSION = 2;
 
     private static final RetryPolicy BACKOFF = new RetryPolicy(50, 2_000, Integer.MAX_VALUE);
 
     private final Platform mPlatform;
-    private final Agreed mOwn;
-    private final Deferred.Guard mGuard;
+    private final SharedSettings mOwnSettings;
+    private final DeferredActions.LockRunner mLockRunner;
     private final SplittableRandom mRandom;
 
-    private Answer mAnswer = Answer.NOT_KNOWN;
-    private String mTheirs = "";
+    private Comparison mComparison = Comparison.UNKNOWN;
+    private String mStoredSettings = "";
     private boolean mCallOpen;
     private int mFailures;
     private long mNextTryMs = Long.MIN_VALUE;
 
-    /** What is known. */
-    private enum Answer {
-        NOT_KNOWN,
+    /** The result of comparing the settings of this VM with those of the fleet. */
+    private enum Comparison {
+        UNKNOWN,
         SAME,
         DIFFERENT
     }
 
     /**
-     * What all VMs must have in common.
+     * The settings that must be equal on all VMs.
      *
-     * @param rules the number of the rules
+     * @param rules the version of the rules by which entries are decided
      * @param shards the number of shards
      * @param retention how long ids are remembered
      */
-    record Agreed(int rules, int shards, Retention retention) {}
+    record SharedSettings(int rules, int shards, Retention retention) {}
 
     SettingsAgreement(
             Platform platform,
             LedgerSettings settings,
-            Deferred.Guard guard,
+            DeferredActions.LockRunner lockRunner,
             SplittableRandom random) {
         mPlatform = platform;
-        mOwn = new Agreed(RULES, settings.shards(), settings.retention());
-        mGuard = guard;
+        mOwnSettings = new SharedSettings(RULES_VERSION, settings.shards(), settings.retention());
+        mLockRunner = lockRunner;
         mRandom = random;
     }
 
-    /** Returns whether this VM may read and write the log. */
-    boolean same() {
-        return mAnswer == Answer.SAME;
+    /**
+     * Returns whether the settings are known to match, so that this VM may read and write the log.
+     */
+    boolean isMatching() {
+        return mComparison == Comparison.SAME;
     }
 
-    /** Returns why this VM may not, if so. */
-    Optional<Failure> notReady() {
-        return switch (mAnswer) {
+    /** Returns why this VM must not read and write the log; empty if the settings match. */
+    Optional<Failure> readinessFailure() {
+        return switch (mComparison) {
             case SAME -> Optional.empty();
-            case NOT_KNOWN ->
+            case UNKNOWN ->
                     Optional.of(
                             Failure.of(
                                     ErrorKind.NOT_READY,
-                                    "the request log's settings are not read yet from " + KEY));
+                                    "the settings of the request log are not read yet from "
+                                            + KEY));
             case DIFFERENT ->
                     Optional.of(
                             Failure.of(
                                     ErrorKind.NOT_READY,
-                                    "this VM's settings of the request log, "
-                                            + Json.encode(mOwn)
-                                            + ", are not the fleet's, "
-                                            + mTheirs
-                                            + ", kept at "
+                                    "the request log settings of this VM, "
+                                            + Json.encode(mOwnSettings)
+                                            + ", differ from those of the fleet, "
+                                            + mStoredSettings
+                                            + ", stored at "
                                             + KEY
                                             + "; start this VM with the fleet's settings and"
                                             + " version"));
         };
     }
 
-    /** Asks the platform where that is due. */
-    void step(long nowMs, Deferred deferred) {
-        if (mAnswer != Answer.NOT_KNOWN || mCallOpen || nowMs < mNextTryMs) {
+    /** Reads the settings from the platform, if that is due. */
+    void step(long nowMs, DeferredActions deferred) {
+        if (mComparison != Comparison.UNKNOWN || mCallOpen || nowMs < mNextTryMs) {
             return;
         }
         submit(nowMs, new PlatformCall.Get(KEY), deferred);
     }
 
-    private void submit(long nowMs, PlatformCall call, Deferred deferred) {
+    private void submit(long nowMs, PlatformCall call, DeferredActions deferred) {
         mCallOpen = true;
         deferred.add(
                 () ->
                         mPlatform.submit(
                                 nowMs,
                                 call,
-                                (atMs, reply) -> mGuard.locked(d -> replied(atMs, reply, d))));
+                                (atMs, reply) ->
+                                        mLockRunner.runLocked(d -> onReply(atMs, reply, d))));
     }
 
-    private void replied(long nowMs, PlatformReply reply, Deferred deferred) {
+    private void onReply(long nowMs, PlatformReply reply, DeferredActions deferred) {
         mCallOpen = false;
         if (reply instanceof PlatformReply.Written) {
-            mAnswer = Answer.SAME;
+            mComparison = Comparison.SAME;
         } else if (reply instanceof PlatformReply.Found found) {
             compare(found.object().value());
         } else if (reply instanceof PlatformReply.Missing) {
-            submit(nowMs, new PlatformCall.Create(KEY, Json.encode(mOwn)), deferred);
+            submit(nowMs, new PlatformCall.Create(KEY, Json.encode(mOwnSettings)), deferred);
         } else {
             mFailures++;
             mNextTryMs = nowMs + BACKOFF.waitMs(mFailures, mRandom);
         }
     }
 
-    private void compare(String theirs) {
-        boolean same = Json.decode(theirs, Agreed.class).filter(mOwn::equals).isDefined();
-        mTheirs = theirs;
-        mAnswer = same ? Answer.SAME : Answer.DIFFERENT;
+    private void compare(String stored) {
+        boolean same =
+                Json.decode(stored, SharedSettings.class).filter(mOwnSettings::equals).isDefined();
+        mStoredSettings = stored;
+        mComparison = same ? Comparison.SAME : Comparison.DIFFERENT;
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/ShardReplica.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/ShardReplica.java
@@ -21,41 +21,41 @@
 import java.util.function.LongSupplier;
 
 /**
- * One VM's copy of one shard: catches up with the log, then appends entries in groups.
+ * The replica of one shard on this VM: it catches up with the log, then appends entries in batches.
  *
- * <p>Invariants: entries are decided by applying them at their place in the log, and are answered
- * only after that; at most one write is open, and its sequence is tried again with the same batch
- * until it is decided, so a lost reply can't put an entry into the log unnoticed. A VM whose view
- * is old, because it was paused or another VM also writes, loses the race for the sequence, applies
- * the winning batch and goes on behind it.
+ * <p>Invariants: entries are decided by applying them at their position in the log, and are
+ * answered only after that; at most one write is open, and it is retried with the same sequence and
+ * batch until it is decided, so a lost reply can't put an entry into the log unnoticed. A VM whose
+ * state is outdated, because it was paused or another VM writes too, loses the race for the
+ * sequence, applies the winning batch and continues after it.
  *
- * <p>Not thread-safe; the ledger's lock guards it.
+ * <p>Not thread-safe; guarded by the ledger's lock.
  */
 final class ShardReplica {
     private static final RetryPolicy BACKOFF = new RetryPolicy(50, 2_000, Integer.MAX_VALUE);
     static final String LOG_PREFIX = "requests/";
-    private static final int PAGE = 8;
-    private static final int TRUNCATE_PAGE = 20;
+    private static final int PAGE_BATCHES = 8;
+    private static final int TRUNCATE_PAGE_BATCHES = 20;
 
     private final Storage mStorage;
     private final VmId mSelf;
     private final LedgerSettings mSettings;
-    private final Deferred.Guard mGuard;
+    private final DeferredActions.LockRunner mLockRunner;
     private final LongSupplier mWriterSequences;
     private final SplittableRandom mRandom;
-    private final Deque<Proposal> mPending = new ArrayDeque<>();
-    private final List<Proposal> mInFlight = new ArrayList<>();
+    private final Deque<PendingEntry> mPending = new ArrayDeque<>();
+    private final List<PendingEntry> mInFlight = new ArrayList<>();
 
     /**
-     * Where a shard is kept.
+     * The storage of a shard.
      *
-     * @param platform for reads that entries wait for
-     * @param background for checkpoints
-     * @param log the shard's log
+     * @param platform used for reads that entries wait for
+     * @param background used for checkpoints
+     * @param log the log of the shard
      * @param keys the keys of the shard's checkpoint
      */
     record Storage(Platform platform, Platform background, ShardLog log, CheckpointKeys keys) {
-        /** Returns where one shard is kept. */
+        /** Returns the storage of one shard. */
         static Storage of(Platform platform, Platform background, int shard) {
             ShardLog log = new ShardLog(platform, LOG_PREFIX + shard);
             return new Storage(platform, background, log, new CheckpointKeys(shard));
@@ -70,139 +70,141 @@
     private LogBatch mOpenBatch;
     private long mOpenBatchMs;
     private boolean mLoaded;
-    private boolean mReady;
+    private boolean mCaughtUp;
     private boolean mCheckpointing;
     private long mTruncateBelow;
     private boolean mCallOpen;
     private long mPendingBytes;
-    private int mUrgent;
+    private int mUrgentCount;
     private int mFailures;
     private long mFailingSinceMs;
     private long mNextTryMs = Long.MIN_VALUE;
     private long mLastWriteMs = Long.MIN_VALUE;
-    private boolean mSkipInterval;
+    private boolean mWriteNow;
 
     ShardReplica(
             Storage storage,
             VmId self,
             LedgerSettings settings,
-            Deferred.Guard guard,
+            DeferredActions.LockRunner lockRunner,
             LongSupplier writerSequences,
             SplittableRandom random) {
         mStorage = storage;
         mSelf = self;
         mSettings = settings;
-        mGuard = guard;
+        mLockRunner = lockRunner;
         mWriterSequences = writerSequences;
         mRandom = random;
         mState = new ShardState(settings.retention());
     }
 
-    /** Returns whether the copy has caught up and the platform answered the last call. */
-    boolean healthy() {
-        return mReady && mFailures == 0;
+    /** Returns whether the replica has caught up and the last call to the platform succeeded. */
+    boolean isHealthy() {
+        return mCaughtUp && mFailures == 0;
     }
 
-    /** Returns for how long the platform has not answered this copy's calls, in milliseconds. */
+    /**
+     * Returns for how long the calls of this replica to the platform have failed, in milliseconds.
+     */
     long failingForMs(long nowMs) {
         return mFailures == 0 ? 0 : nowMs - mFailingSinceMs;
     }
 
     /**
-     * Gives back this VM's own entries, each once, and drops those of others, which they still
-     * hold. A batch whose write is open is still tried again, and its entries may be decided twice,
-     * alike.
+     * Removes all waiting entries and returns those of this VM, each once; those of other VMs are
+     * dropped, since these VMs still hold them. The write of an open batch is still retried, so its
+     * entries may be decided twice, with the same result.
      */
-    List<Proposal> recall() {
-        List<Proposal> own = new ArrayList<>(mInFlight);
+    List<PendingEntry> removeLocalEntries() {
+        List<PendingEntry> own = new ArrayList<>(mInFlight);
         own.addAll(mPending);
-        own.removeIf(p -> !p.own());
-        mInFlight.replaceAll(Proposal::notOwn);
+        own.removeIf(p -> !p.local());
+        mInFlight.replaceAll(PendingEntry::asRemote);
         mPending.clear();
         mPendingBytes = 0;
-        mUrgent = 0;
+        mUrgentCount = 0;
         return own;
     }
 
-    /** Returns whether nothing waits here. */
-    boolean idle() {
+    /** Returns whether no entry waits here and no checkpoint is being written. */
+    boolean isIdle() {
         return mPending.isEmpty() && mInFlight.isEmpty() && !mCheckpointing;
     }
 
-    /** Returns how many entries wait here. */
-    int waiting() {
+    /** Returns the number of entries that wait here. */
+    int pendingCount() {
         return mPending.size() + mInFlight.size();
     }
 
-    /** Returns the state as far as it is caught up. */
+    /** Returns the state after the last batch that was applied. */
     ShardState state() {
         return mState;
     }
 
-    /** Takes an entry in; it is answered at once where it is decided already. */
-    void submit(long nowMs, Proposal proposal, Deferred deferred) {
-        if (mReady && answerKnown(nowMs, proposal, deferred)) {
+    /** Adds an entry; answers it at once if it is already decided. */
+    void submit(long nowMs, PendingEntry pending, DeferredActions deferred) {
+        if (mCaughtUp && answerIfDecided(nowMs, pending, deferred)) {
             return;
         }
-        mPending.addLast(proposal);
-        mPendingBytes += proposal.bytes();
-        mUrgent += proposal.urgent() ? 1 : 0;
+        mPending.addLast(pending);
+        mPendingBytes += pending.estimatedBytes();
+        mUrgentCount += pending.urgent() ? 1 : 0;
         step(nowMs, deferred);
     }
 
-    private boolean answerKnown(long nowMs, Proposal proposal, Deferred deferred) {
-        return mState.known(proposal.entry())
+    private boolean answerIfDecided(long nowMs, PendingEntry pending, DeferredActions deferred) {
+        return mState.finalDecision(pending.entry())
                 .map(
                         decision -> {
-                            deferred.add(() -> proposal.done().accept(nowMs, decision));
+                            deferred.add(() -> pending.done().accept(nowMs, decision));
                             return true;
                         })
                 .orElse(false);
     }
 
-    /** Starts the next call where one is due. */
-    void step(long nowMs, Deferred deferred) {
+    /** Starts the next call to the platform, if one is due. */
+    void step(long nowMs, DeferredActions deferred) {
         if (mCallOpen || nowMs < mNextTryMs) {
             return;
         }
         if (!mLoaded) {
-            load(nowMs, deferred);
-        } else if (!mReady) {
-            readOn(nowMs, deferred);
+            loadCheckpoint(nowMs, deferred);
+        } else if (!mCaughtUp) {
+            readNextPage(nowMs, deferred);
         } else if (mOpenBatch != null) {
             append(nowMs, deferred);
-        } else if (due(nowMs) && fillBatch(nowMs, deferred)) {
+        } else if (isWriteDue(nowMs) && fillBatch(nowMs, deferred)) {
             append(nowMs, deferred);
         }
     }
 
-    private boolean due(long nowMs) {
+    private boolean isWriteDue(long nowMs) {
         if (mPending.isEmpty()) {
             return false;
         }
         LedgerSettings.Commit commit = mSettings.commit();
-        long interval = mUrgent > 0 ? commit.claimIntervalMs() : commit.billIntervalMs();
-        return mSkipInterval
+        long interval = mUrgentCount > 0 ? commit.claimIntervalMs() : commit.billIntervalMs();
+        return mWriteNow
                 || mPendingBytes >= commit.maxBatchBytes()
                 || mLastWriteMs == Long.MIN_VALUE
                 || nowMs - mLastWriteMs >= interval;
     }
 
-    /** Puts as many waiting entries as fit into a new batch; returns whether there is any. */
-    private boolean fillBatch(long nowMs, Deferred deferred) {
+    /** Moves as many waiting entries as fit into a new batch; returns whether there are any. */
+    private boolean fillBatch(long nowMs, DeferredActions deferred) {
         int bytes = 0;
         while (!mPending.isEmpty()) {
-            Proposal next = mPending.peekFirst();
-            if (bytes > 0 && bytes + next.bytes() > mSettings.commit().maxBatchBytes()) {
+            PendingEntry next = mPending.peekFirst();
+            if (bytes > 0 && bytes + next.estimatedBytes() > mSettings.commit().maxBatchBytes()) {
                 break;
             }
             removePending();
-            if (!answerKnown(nowMs, next, deferred)) {
-                bytes += next.bytes();
+            if (!answerIfDecided(nowMs, next, deferred)) {
+                bytes += next.estimatedBytes();
                 mInFlight.add(next);
             }
         }
-        mSkipInterval = false;
+        mWriteNow = false;
         if (mInFlight.isEmpty()) {
             return false;
         }
@@ -216,12 +218,12 @@
     }
 
     private void removePending() {
-        Proposal first = mPending.removeFirst();
-        mPendingBytes -= first.bytes();
-        mUrgent -= first.urgent() ? 1 : 0;
+        PendingEntry first = mPending.removeFirst();
+        mPendingBytes -= first.estimatedBytes();
+        mUrgentCount -= first.urgent() ? 1 : 0;
     }
 
-    private void append(long nowMs, Deferred deferred) {
+    private void append(long nowMs, DeferredActions deferred) {
         mCallOpen = true;
         mLastWriteMs = nowMs;
         LogBatch batch = mOpenBatch;
@@ -233,13 +235,15 @@
                                         batch.sequence(),
                                         batch,
                                         (atMs, result) ->
-                                                mGuard.locked(d -> appended(atMs, result, d))));
+                                                mLockRunner.runLocked(
+                                                        d -> onAppended(atMs, result, d))));
     }
 
-    private void appended(long nowMs, Either<Failure, AppendResult> result, Deferred deferred) {
+    private void onAppended(
+            long nowMs, Either<Failure, AppendResult> result, DeferredActions deferred) {
         mCallOpen = false;
         if (result.isLeft()) {
-            failed(nowMs, result.getLeft());
+            onFailure(nowMs, result.getLeft());
             return;
         }
         mFailures = 0;
@@ -247,61 +251,62 @@
         if (result.get() instanceof AppendResult.Lost lost) {
             requeue();
             mState.apply(lost.winner());
-            mSkipInterval = true;
+            mWriteNow = true;
         } else {
             applyOwn(nowMs, deferred);
         }
         step(nowMs, deferred);
     }
 
-    private void applyOwn(long nowMs, Deferred deferred) {
+    private void applyOwn(long nowMs, DeferredActions deferred) {
         mState.beginBatch(mOpenBatchMs);
-        for (Proposal proposal : mInFlight) {
-            EntryDecision decision = mState.apply(proposal.entry());
-            deferred.add(() -> proposal.done().accept(nowMs, decision));
+        for (PendingEntry pending : mInFlight) {
+            EntryDecision decision = mState.apply(pending.entry());
+            deferred.add(() -> pending.done().accept(nowMs, decision));
         }
         mInFlight.clear();
         mState.endBatch();
     }
 
-    private void failed(long nowMs, Failure failure) {
+    private void onFailure(long nowMs, Failure failure) {
         mFailingSinceMs = mFailures == 0 ? nowMs : mFailingSinceMs;
         mFailures++;
         mNextTryMs = nowMs + BACKOFF.waitMs(mFailures, mRandom);
         if (failure.kind() == ErrorKind.REVISION_CONFLICT) {
             requeue();
             mOpenBatch = null;
-            mReady = false;
+            mCaughtUp = false;
             mLoaded = false;
             mState = new ShardState(mSettings.retention());
         }
     }
 
-    /** Puts the entries of a batch that does not stand back to the front. */
+    /** Returns the entries of a batch that was not appended to the front of the queue. */
     private void requeue() {
         for (int i = mInFlight.size() - 1; i >= 0; i--) {
-            Proposal proposal = mInFlight.get(i);
-            mPending.addFirst(proposal);
-            mPendingBytes += proposal.bytes();
-            mUrgent += proposal.urgent() ? 1 : 0;
+            PendingEntry pending = mInFlight.get(i);
+            mPending.addFirst(pending);
+            mPendingBytes += pending.estimatedBytes();
+            mUrgentCount += pending.urgent() ? 1 : 0;
         }
         mInFlight.clear();
     }
 
-    private void load(long nowMs, Deferred deferred) {
+    private void loadCheckpoint(long nowMs, DeferredActions deferred) {
         mCallOpen = true;
         BiConsumer<Long, Either<Failure, ShardState>> done =
-                (atMs, loaded) -> mGuard.locked(d -> loaded(atMs, loaded, d));
+                (atMs, loaded) -> mLockRunner.runLocked(d -> onLoaded(atMs, loaded, d));
         CheckpointLoader loader =
                 new CheckpointLoader(
                         mStorage.platform(), mStorage.keys(), mSettings.retention(), done);
         deferred.add(() -> loader.start(nowMs));
     }
 
-    private void loaded(long nowMs, Either<Failure, ShardState> loaded, Deferred deferred) {
+    private void onLoaded(
+            long nowMs, Either<Failure, ShardState> loaded, DeferredActions deferred) {
         mCallOpen = false;
         if (loaded.isLeft()) {
-            failed(nowMs, loaded.getLeft());
+            onFailure(nowMs, loaded.getLeft());
             return;
         }
         mFailures = 0;
@@ -311,13 +316,13 @@
     }
 
     /**
-     * Writes the newest checkpoint where there is one that is not written yet, then truncates the
-     * log below it, a page at a time.
+     * Writes the newest checkpoint, if it is not written yet, or else truncates the log below the
+     * last written one, a page at a time.
      *
-     * @param owned whether this VM owns the shard; another one leaves it to the owner
+     * @param owned whether this VM owns the shard; other VMs leave checkpoints to the owner
      */
-    void checkpoint(long nowMs, boolean owned, Deferred deferred) {
-        if (!mReady || mCheckpointing) {
+    void maintainCheckpoint(long nowMs, boolean owned, DeferredActions deferred) {
+        if (!mCaughtUp || mCheckpointing) {
             return;
         }
         Optional<Checkpoint> newest = mState.pollCheckpoint();
@@ -331,7 +336,8 @@
                             mStorage.background(),
                             mStorage.keys(),
                             newest.get(),
-                            (atMs, below) -> mGuard.locked(d -> checkpointed(below)));
+                            (atMs, below) ->
+                                    mLockRunner.runLocked(d -> onCheckpointWritten(below)));
             deferred.add(() -> writer.start(nowMs));
         } else if (mTruncateBelow > 0) {
             mCheckpointing = true;
@@ -342,24 +348,26 @@
                                     .truncate(
                                             nowMs,
                                             below,
-                                            TRUNCATE_PAGE,
-                                            (atMs, found) -> mGuard.locked(d -> truncated(found))));
+                                            TRUNCATE_PAGE_BATCHES,
+                                            (atMs, found) ->
+                                                    mLockRunner.runLocked(
+                                                            d -> onTruncated(found))));
         }
     }
 
-    private void checkpointed(long truncateBelow) {
+    private void onCheckpointWritten(long truncateBelow) {
         mCheckpointing = false;
         mTruncateBelow = Math.max(mTruncateBelow, truncateBelow);
     }
 
-    private void truncated(Either<Failure, Integer> found) {
+    private void onTruncated(Either<Failure, Integer> found) {
         mCheckpointing = false;
-        if (found.isLeft() || found.get() < TRUNCATE_PAGE) {
+        if (found.isLeft() || found.get() < TRUNCATE_PAGE_BATCHES) {
             mTruncateBelow = 0;
         }
     }
 
-    private void readOn(long nowMs, Deferred deferred) {
+    private void readNextPage(long nowMs, DeferredActions deferred) {
         mCallOpen = true;
         long from = mState.nextSequence();
         deferred.add(
@@ -368,20 +376,22 @@
                                 .read(
                                         nowMs,
                                         from,
-                                        PAGE,
+                                        PAGE_BATCHES,
                                         (atMs, batches) ->
-                                                mGuard.locked(d -> readPage(atMs, batches, d))));
+                                                mLockRunner.runLocked(
+                                                        d -> onPageRead(atMs, batches, d))));
     }
 
-    private void readPage(long nowMs, Either<Failure, List<LogBatch>> batches, Deferred deferred) {
+    private void onPageRead(
+            long nowMs, Either<Failure, List<LogBatch>> batches, DeferredActions deferred) {
         mCallOpen = false;
         if (batches.isLeft()) {
-            failed(nowMs, batches.getLeft());
+            onFailure(nowMs, batches.getLeft());
             return;
         }
         mFailures = 0;
         batches.get().forEach(mState::apply);
-        mReady = batches.get().isEmpty();
+        mCaughtUp = batches.get().isEmpty();
         step(nowMs, deferred);
     }
 }
--- a/coordination/src/test/java/org/hornbeampass/coordination/requests/LogHistory.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/requests/LogHistory.java
@@ -18,11 +18,12 @@
 import java.util.Set;
 
 /**
- * All that was ever written to the request log, seen at the store itself, and the plain rule of who
- * is billed: the first in the log, and every later one by what it exceeds all before.
+ * Reference model of the request log: reads everything that was written to the store, and charges
+ * the first bill of a request in the log in full, and every later one by the amount that exceeds
+ * all before it.
  *
- * <p>Written apart from the code under test: no generations, no fingerprints, nothing forgotten.
- * Not thread-safe: tests run on one thread.
+ * <p>Written independently of the code under test: it has no generations and no fingerprints, and
+ * never forgets an id. Not thread-safe: tests run on one thread.
  */
 final class LogHistory {
     private final MemoryPlatform mStore;
@@ -31,27 +32,27 @@
     private final Map<RequestKey, Long> mAmounts = new HashMap<>();
     private final Map<AttemptId, Long> mCharges = new HashMap<>();
     private final Set<AttemptId> mClaims = new HashSet<>();
-    private long mUpTo;
+    private long mReadUpToVersion;
 
     LogHistory(MemoryPlatform store) {
         mStore = store;
     }
 
-    /** Takes in what was written since the last time. */
+    /** Reads what was written since the last call. */
     void catchUp() {
         mStore.submit(
                 0,
-                new PlatformCall.Watch("requests/", mUpTo, Duration.ZERO),
+                new PlatformCall.Watch("requests/", mReadUpToVersion, Duration.ZERO),
                 (atMs, reply) -> {
                     if (reply instanceof PlatformReply.Changed changed) {
-                        changed.changes().forEach(this::take);
-                        mUpTo = Math.max(mUpTo, changed.upToVersion());
+                        changed.changes().forEach(this::add);
+                        mReadUpToVersion = Math.max(mReadUpToVersion, changed.upToVersion());
                     }
                 });
         mStore.expireWatches(Long.MAX_VALUE);
     }
 
-    private void take(Change change) {
+    private void add(Change change) {
         boolean batch =
                 change.value().isPresent()
                         && !change.key().endsWith("~floor")
@@ -60,11 +61,11 @@
             return;
         }
         for (String text : Json.decode(change.value().get(), LogBatch.class).get().entries()) {
-            EntryCodec.decode(text).forEach(this::take);
+            EntryCodec.decode(text).forEach(this::add);
         }
     }
 
-    private void take(RequestEntry entry) {
+    private void add(RequestEntry entry) {
         if (entry instanceof BillEntry bill) {
             mFirstBills.putIfAbsent(bill.key(), bill.attempt());
             if (!mCharges.containsKey(bill.attempt())) {
@@ -78,27 +79,27 @@
         }
     }
 
-    /** Returns whether an attempt's bill is the first of its request. */
-    boolean billedFirst(RequestKey key, AttemptId attempt) {
+    /** Returns whether the bill of an attempt is the first one of its request. */
+    boolean isFirstBill(RequestKey key, AttemptId attempt) {
         return attempt.equals(mFirstBills.get(key));
     }
 
-    /** Returns whether an attempt's bill is in the log. */
+    /** Returns whether the bill of an attempt is in the log. */
     boolean hasBill(AttemptId attempt) {
         return mCharges.containsKey(attempt);
     }
 
-    /** Returns what an attempt whose bill is in the log has to settle. */
-    long charge(AttemptId attempt) {
+    /** Returns the tokens that an attempt has to settle; 0 if its bill is not in the log. */
+    long chargedTokens(AttemptId attempt) {
         return mCharges.getOrDefault(attempt, 0L);
     }
 
-    /** Returns each request's bill: the largest amount of its entries. */
+    /** Returns the bill of each request: the largest amount of its entries, in tokens. */
     Map<RequestKey, Long> amounts() {
         return mAmounts;
     }
 
-    /** Returns whether an attempt's claim is in the log. */
+    /** Returns whether the claim of an attempt is in the log. */
     boolean hasClaim(AttemptId attempt) {
         return mClaims.contains(attempt);
     }
--- a/coordination/src/test/java/org/hornbeampass/coordination/requests/RequestLedgerTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/requests/RequestLedgerTest.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.atomic.AtomicReference;
 
-/** Checks what bills and claims are answered, through faults of VMs, network and platform. */
+/** Checks the decisions on bills and claims under faults of VMs, network and platform. */
 class RequestLedgerTest {
     private final LedgerFleet mFleet = new LedgerFleet(1, LedgerFleet.settings(2));
     private final VmId mA = mFleet.start("a", 1);
@@ -23,7 +23,7 @@
     private final VmId mC = mFleet.start("c", 1);
 
     @Test
-    void first_bill_stands_and_a_retry_elsewhere_is_a_duplicate() {
+    void first_bill_is_charged_and_a_retry_elsewhere_is_a_duplicate() {
         AttemptId first = mFleet.bill(mA, "r1", 10);
         mFleet.mTime.runFor(2_000);
         AttemptId second = mFleet.bill(mB, "r1", 10);
@@ -37,47 +37,50 @@
 
     @Test
     void larger_bill_of_a_retry_raises_the_bill_and_settles_the_difference() {
-        AttemptId brokenOff = mFleet.bill(mA, "r1", 10);
+        AttemptId partial = mFleet.bill(mA, "r1", 10);
         mFleet.mTime.runFor(2_000);
-        AttemptId whole = mFleet.bill(mB, "r1", 12);
+        AttemptId complete = mFleet.bill(mB, "r1", 12);
         mFleet.mTime.runFor(2_000);
         AttemptId less = mFleet.bill(mC, "r1", 11);
         mFleet.mTime.runFor(2_000);
 
-        assertThat(mFleet.mBilled.get(brokenOff)).contains(new BillCharge(BillOutcome.BILLED, 10));
-        assertThat(mFleet.mBilled.get(whole)).contains(new BillCharge(BillOutcome.RAISED, 2));
-        assertThat(mFleet.mBilled.get(less)).contains(new BillCharge(BillOutcome.DUPLICATE, 0));
+        assertThat(mFleet.mBillReplies.get(partial))
+                .contains(new BillCharge(BillOutcome.BILLED, 10));
+        assertThat(mFleet.mBillReplies.get(complete))
+                .contains(new BillCharge(BillOutcome.RAISED, 2));
+        assertThat(mFleet.mBillReplies.get(less))
+                .contains(new BillCharge(BillOutcome.DUPLICATE, 0));
         assertThat(mFleet.audit().sum().tokens()).isEqualTo(12);
     }
 
     @Test
     void two_owners_of_one_shard_agree_on_the_raised_amount() {
-        mFleet.sees(mA, mA);
-        mFleet.sees(mB, mB);
-        mFleet.sees(mC, mC);
+        mFleet.setLiveMembers(mA, mA);
+        mFleet.setLiveMembers(mB, mB);
+        mFleet.setLiveMembers(mC, mC);
         mFleet.bill(mA, "r1", 10);
         mFleet.bill(mB, "r1", 30);
         mFleet.bill(mC, "r1", 20);
         mFleet.mTime.runFor(10_000);
 
-        assertThat(mFleet.mBilled).hasSize(3);
-        assertThat(mFleet.billed()).hasSize(1);
-        assertThat(mFleet.settled()).isEqualTo(30);
+        assertThat(mFleet.mBillReplies).hasSize(3);
+        assertThat(mFleet.billedAttempts()).hasSize(1);
+        assertThat(mFleet.settledTokens()).isEqualTo(30);
         assertThat(mFleet.audit().sum().tokens()).isEqualTo(30);
     }
 
     @Test
     void two_owners_of_one_shard_agree_on_one_bill() {
-        mFleet.sees(mA, mA);
-        mFleet.sees(mB, mB);
-        mFleet.sees(mC, mC);
+        mFleet.setLiveMembers(mA, mA);
+        mFleet.setLiveMembers(mB, mB);
+        mFleet.setLiveMembers(mC, mC);
         AttemptId one = mFleet.bill(mA, "r1", 10);
         AttemptId two = mFleet.bill(mB, "r1", 10);
         AttemptId three = mFleet.bill(mC, "r1", 10);
         mFleet.mTime.runFor(10_000);
 
-        assertThat(mFleet.mBilled).containsOnlyKeys(one, two, three);
-        assertThat(mFleet.billed()).hasSize(1);
+        assertThat(mFleet.mBillReplies).containsOnlyKeys(one, two, three);
+        assertThat(mFleet.billedAttempts()).hasSize(1);
     }
 
     @Test
@@ -86,16 +89,16 @@
         AttemptId one = mFleet.bill(mA, "r1", 10);
         AttemptId two = mFleet.bill(mB, "r2", 10);
         mFleet.mTime.runFor(600_000);
-        assertThat(mFleet.mBilled).isEmpty();
+        assertThat(mFleet.mBillReplies).isEmpty();
 
         mFleet.mPlatform.outage(false);
         mFleet.mTime.runFor(30_000);
 
-        assertThat(mFleet.billed()).containsExactlyInAnyOrder(one, two);
+        assertThat(mFleet.billedAttempts()).containsExactlyInAnyOrder(one, two);
     }
 
     @Test
-    void vm_cut_off_from_its_peers_appends_itself() {
+    void vm_isolated_from_its_peers_appends_to_the_log_itself() {
         mFleet.mPeers.cut("a", "b");
         mFleet.mPeers.cut("a", "c");
         mFleet.mPeers.cut("b", "c");
@@ -104,11 +107,11 @@
         AttemptId three = mFleet.bill(mC, "r3", 10);
         mFleet.mTime.runFor(30_000);
 
-        assertThat(mFleet.billed()).containsExactlyInAnyOrder(one, two, three);
+        assertThat(mFleet.billedAttempts()).containsExactlyInAnyOrder(one, two, three);
     }
 
     @Test
-    void vm_cut_off_from_the_owners_bills_before_an_answer_goes_without_its_bill() {
+    void vm_isolated_from_the_owners_bills_within_the_time_that_routers_wait() {
         long routersWaitMs = 2_000;
         mFleet.mPeers.cut("a", "b");
         mFleet.mPeers.cut("a", "c");
@@ -118,31 +121,31 @@
         }
         mFleet.mTime.runFor(routersWaitMs);
 
-        assertThat(mFleet.billed()).containsExactlyInAnyOrderElementsOf(bills);
+        assertThat(mFleet.billedAttempts()).containsExactlyInAnyOrderElementsOf(bills);
     }
 
     @Test
-    void vm_cut_off_from_the_platform_bills_through_its_peers() {
+    void vm_isolated_from_the_platform_bills_through_its_peers() {
         mFleet.mTime.runFor(1_000);
         mFleet.mPlatform.cut(mA);
         AttemptId one = mFleet.bill(mA, "r1", 10);
         AttemptId two = mFleet.bill(mA, "r2", 10);
         AttemptId three = mFleet.bill(mA, "r3", 10);
-        mFleet.sees(mA, mB, mC);
-        mFleet.sees(mB, mB, mC);
-        mFleet.sees(mC, mB, mC);
+        mFleet.setLiveMembers(mA, mB, mC);
+        mFleet.setLiveMembers(mB, mB, mC);
+        mFleet.setLiveMembers(mC, mB, mC);
         mFleet.mTime.runFor(30_000);
 
-        assertThat(mFleet.billed()).containsExactlyInAnyOrder(one, two, three);
+        assertThat(mFleet.billedAttempts()).containsExactlyInAnyOrder(one, two, three);
     }
 
     @Test
-    void claim_is_granted_once_and_its_outcome_is_given_to_retries() {
+    void claim_is_granted_once_and_its_outcome_is_returned_to_retries() {
         AttemptId first = mFleet.claim(mA, "release-1", "mould 7");
         mFleet.mTime.runFor(1_000);
         AttemptId early = mFleet.claim(mB, "release-1", "mould 7");
         mFleet.mTime.runFor(1_000);
-        AtomicReference<Boolean> recorded = mFleet.outcome(first, "released");
+        AtomicReference<Boolean> recorded = mFleet.recordOutcome(first, "released");
         mFleet.mTime.runFor(1_000);
         AttemptId late = mFleet.claim(mC, "release-1", "mould 7");
         AttemptId reused = mFleet.claim(mC, "release-1", "mould 8");
@@ -151,7 +154,7 @@
         assertThat(mFleet.claimStatus(first)).contains(ClaimOutcome.Status.GRANTED);
         assertThat(mFleet.claimStatus(early)).contains(ClaimOutcome.Status.RUNNING);
         assertThat(recorded).hasValue(true);
-        assertThat(mFleet.mClaimed.get(late).get().recorded().orElseThrow().body())
+        assertThat(mFleet.mClaimReplies.get(late).get().recorded().orElseThrow().body())
                 .isEqualTo("released");
         assertThat(mFleet.claimStatus(reused)).contains(ClaimOutcome.Status.KEY_REUSED);
     }
@@ -170,11 +173,11 @@
     }
 
     @Test
-    void claim_told_not_run_in_an_outage_is_withdrawn_before_another_is_granted() {
+    void claim_answered_as_not_run_is_withdrawn_before_another_is_granted() {
         mFleet.mPlatform.loses(0, 1.0);
         AttemptId first = mFleet.claim(mA, "release-1", "mould 7");
         mFleet.mTime.runFor(10_000);
-        assertThat(mFleet.mClaimed.get(first).getLeft().kind())
+        assertThat(mFleet.mClaimReplies.get(first).getLeft().kind())
                 .isEqualTo(ErrorKind.PLATFORM_UNAVAILABLE);
 
         mFleet.mPlatform.loses(0, 0);
@@ -183,11 +186,11 @@
         mFleet.mTime.runFor(5_000);
 
         assertThat(mFleet.claimStatus(retry)).contains(ClaimOutcome.Status.GRANTED);
-        assertThat(mFleet.mClaimed.get(first).isLeft()).isTrue();
+        assertThat(mFleet.mClaimReplies.get(first).isLeft()).isTrue();
     }
 
     @Test
-    void full_backlog_is_told_and_ends_with_the_outage() {
+    void backlog_is_full_in_an_outage_and_empties_after_it() {
         LedgerSettings small =
                 new LedgerSettings(
                         1,
@@ -199,57 +202,61 @@
         VmId vm = fleet.start("a", 1);
         fleet.mPlatform.outage(true);
         for (int i = 0; i < 10; i++) {
-            assertThat(fleet.ledger(vm).backlogFull()).isFalse();
+            assertThat(fleet.ledger(vm).isBacklogFull()).isFalse();
             fleet.bill(vm, "r" + i, 1);
         }
-        assertThat(fleet.ledger(vm).backlogFull()).isTrue();
+        assertThat(fleet.ledger(vm).isBacklogFull()).isTrue();
 
         fleet.mPlatform.outage(false);
         fleet.mTime.runFor(10_000);
 
-        assertThat(fleet.ledger(vm).backlogFull()).isFalse();
-        assertThat(fleet.billed()).hasSize(10);
+        assertThat(fleet.ledger(vm).isBacklogFull()).isFalse();
+        assertThat(fleet.billedAttempts()).hasSize(10);
     }
 
     @Test
-    void hand_over_ends_once_all_is_durable() {
+    void drain_ends_once_all_entries_are_durable() {
         AttemptId one = mFleet.bill(mA, "r1", 10);
         AttemptId two = mFleet.bill(mB, "r2", 10);
         AtomicLong doneMs = new AtomicLong();
         mFleet.mTime.runFor(1);
-        mFleet.ledger(mA).handOver(mFleet.mTime.nowMs(), doneMs::set);
-        mFleet.sees(mB, mB, mC);
-        mFleet.sees(mC, mB, mC);
+        mFleet.ledger(mA).drain(mFleet.mTime.nowMs(), doneMs::set);
+        mFleet.setLiveMembers(mB, mB, mC);
+        mFleet.setLiveMembers(mC, mB, mC);
         mFleet.mTime.runFor(30_000);
 
         assertThat(doneMs.get()).isPositive();
-        assertThat(mFleet.billed()).containsExactlyInAnyOrder(one, two);
-        assertThat(mFleet.ledger(mA).waiting()).isZero();
+        assertThat(mFleet.billedAttempts()).containsExactlyInAnyOrder(one, two);
+        assertThat(mFleet.ledger(mA).pendingCount()).isZero();
     }
 
     @Test
-    void request_answered_too_often_is_refused_by_the_vms_that_know() {
+    void request_repeated_too_often_is_rejected_by_the_vms_that_know_of_it() {
         for (int i = 0; i < 4; i++) {
             mFleet.bill(mA, "r1", 10);
             mFleet.mTime.runFor(2_000);
         }
         long nowMs = mFleet.mTime.nowMs();
 
-        assertThat(mFleet.ledger(mA).refusal(nowMs, LedgerFleet.key("r1", "body")))
+        assertThat(mFleet.ledger(mA).rejectionReason(nowMs, LedgerFleet.key("r1", "body")))
                 .hasValueSatisfying(
                         f -> assertThat(f.kind()).isEqualTo(ErrorKind.IDEMPOTENCY_KEY_EXPIRED));
-        assertThat(mFleet.ledger(mA).refusal(nowMs, LedgerFleet.key("r1", "other"))).isEmpty();
-        assertThat(mFleet.ledger(mB).refusal(nowMs, LedgerFleet.key("r1", "body"))).isEmpty();
+        assertThat(mFleet.ledger(mA).rejectionReason(nowMs, LedgerFleet.key("r1", "other")))
+                .isEmpty();
+        assertThat(mFleet.ledger(mB).rejectionReason(nowMs, LedgerFleet.key("r1", "body")))
+                .isEmpty();
     }
 
     @Test
-    void key_that_carries_an_old_time_is_refused() {
+    void key_with_an_old_timestamp_is_rejected() {
         long nowMs = mFleet.mTime.nowMs();
         long tooOldMs = nowMs - Retention.standard().retryMs() - 1;
 
-        assertThat(mFleet.ledger(mA).refusal(nowMs, LedgerFleet.key("r@" + tooOldMs, "body")))
+        assertThat(
+                        mFleet.ledger(mA)
+                                .rejectionReason(nowMs, LedgerFleet.key("r@" + tooOldMs, "body")))
                 .isPresent();
-        assertThat(mFleet.ledger(mA).refusal(nowMs, LedgerFleet.key("r@" + nowMs, "body")))
+        assertThat(mFleet.ledger(mA).rejectionReason(nowMs, LedgerFleet.key("r@" + nowMs, "body")))
                 .isEmpty();
         AttemptId claim = mFleet.claim(mA, "r@" + tooOldMs, "body");
         mFleet.mTime.runFor(2_000);
--- a/coordination/src/test/java/org/hornbeampass/coordination/requests/SettingsAgreementTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/requests/SettingsAgreementTest.java
@@ -14,25 +14,25 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Tests {@link SettingsAgreement}, through the ledger that it guards. */
+/** Tests {@link SettingsAgreement} through the ledger that uses it. */
 class SettingsAgreementTest {
     private final LedgerFleet mFleet = new LedgerFleet(7, LedgerFleet.settings(2));
 
     @Test
-    void firstVm_storesItsSettings_andAnotherWithTheSame_isReady() {
+    void firstVm_storesItsSettings_andAnotherVmWithTheSameSettings_isReady() {
         VmId a = mFleet.start("a", 1);
         assertThat(reason(a).kind()).isEqualTo(ErrorKind.NOT_READY);
         mFleet.mTime.runFor(1_000);
         VmId b = mFleet.start("b", 1);
         mFleet.mTime.runFor(1_000);
 
-        assertThat(mFleet.ledger(a).notReady()).isEmpty();
-        assertThat(mFleet.ledger(b).notReady()).isEmpty();
+        assertThat(mFleet.ledger(a).readinessFailure()).isEmpty();
+        assertThat(mFleet.ledger(b).readinessFailure()).isEmpty();
         assertThat(stored().orElseThrow()).contains("\"shards\":2");
     }
 
     @Test
-    void vm_ofOtherShards_isNeverReady_andTouchesNoShard() {
+    void vm_withAnotherShardCount_isNeverReady_andWritesToNoShard() {
         VmId a = mFleet.start("a", 1);
         mFleet.mTime.runFor(1_000);
         VmId other = mFleet.start("b", 1, LedgerFleet.settings(3));
@@ -44,13 +44,13 @@
 
         assertThat(reason(other).message())
                 .contains("\"shards\":3", "\"shards\":2", "requests/settings", "start this VM");
-        assertThat(mFleet.mBilled).doesNotContainKeys(bills.toArray(AttemptId[]::new));
+        assertThat(mFleet.mBillReplies).doesNotContainKeys(bills.toArray(AttemptId[]::new));
         assertThat(mFleet.audit().sum().bills()).isZero();
-        assertThat(mFleet.ledger(a).notReady()).isEmpty();
+        assertThat(mFleet.ledger(a).readinessFailure()).isEmpty();
     }
 
     @Test
-    void vm_ofOtherRetention_isNeverReady_andTheOthersBillWithoutIt() {
+    void vm_withAnotherRetention_isNeverReady_andTheOthersBillWithoutIt() {
         mFleet.start("a", 1);
         mFleet.mTime.runFor(1_000);
         LedgerSettings two = LedgerFleet.settings(2);
@@ -69,30 +69,33 @@
         mFleet.mTime.runFor(60_000);
 
         assertThat(reason(other).message()).contains("\"retryMs\":60000");
-        assertThat(mFleet.billed()).hasSize(20);
+        assertThat(mFleet.billedAttempts()).hasSize(20);
     }
 
     @Test
-    void twoFirstVms_thatDiffer_doNotBothBecomeReady() {
+    void twoFirstVms_withDifferentSettings_doNotBothBecomeReady() {
         VmId a = mFleet.start("a", 1);
         VmId b = mFleet.start("b", 1, LedgerFleet.settings(3));
         mFleet.mTime.runFor(10_000);
 
-        assertThat(List.of(mFleet.ledger(a).notReady(), mFleet.ledger(b).notReady()))
+        assertThat(
+                        List.of(
+                                mFleet.ledger(a).readinessFailure(),
+                                mFleet.ledger(b).readinessFailure()))
                 .containsOnlyOnce(Optional.empty());
     }
 
     @Test
-    void vm_whoseRepliesAreLost_asksAgain() {
+    void vm_whoseRepliesAreLost_repeatsTheCall() {
         mFleet.mPlatform.loses(0, 0.7);
         VmId a = mFleet.start("a", 1);
         mFleet.mTime.runFor(300_000);
 
-        assertThat(mFleet.ledger(a).notReady()).isEmpty();
+        assertThat(mFleet.ledger(a).readinessFailure()).isEmpty();
     }
 
     @Test
-    void vm_inAnOutage_becomesReadyAfterIt() {
+    void vm_startedInAnOutage_becomesReadyAfterIt() {
         mFleet.mPlatform.outage(true);
         VmId a = mFleet.start("a", 1);
         mFleet.mTime.runFor(60_000);
@@ -101,11 +104,11 @@
         mFleet.mPlatform.outage(false);
         mFleet.mTime.runFor(10_000);
 
-        assertThat(mFleet.ledger(a).notReady()).isEmpty();
+        assertThat(mFleet.ledger(a).readinessFailure()).isEmpty();
     }
 
     private Failure reason(VmId vm) {
-        return mFleet.ledger(vm).notReady().orElseThrow();
+        return mFleet.ledger(vm).readinessFailure().orElseThrow();
     }
 
     private Optional<String> stored() {
--- a/router/src/main/java/org/hornbeampass/router/serve/LedgerBillPort.java
+++ b/router/src/main/java/org/hornbeampass/router/serve/LedgerBillPort.java
@@ -62,14 +62,14 @@
 
     @Override
     public Optional<Failure> refusal(long nowMs) {
-        if (mLedger.backlogFull()) {
+        if (mLedger.isBacklogFull()) {
             return Optional.of(
                     Failure.retryAfter(
                             ErrorKind.BILLING_BACKLOG,
                             "too many bills await the platform; retry later or on another router",
                             BACKLOG_RETRY_MS));
         }
-        return mLedger.refusal(nowMs, mKey);
+        return mLedger.rejectionReason(nowMs, mKey);
     }
 
     @Override
