--- a/cli/src/main/java/org/hornbeampass/cli/command/ParameterOptions.java
+++ b/cli/src/main/java/org/hornbeampass/cli/command/ParameterOptions.java
@@ -108,7 +108,7 @@
                         keep(out, ParameterName.MAX_CONCURRENT, base.maxConcurrent()),
                         keep(out, ParameterName.REQUESTS_PER_SECOND, base.requestsPerSecond()),
                         keep(out, ParameterName.BUDGET_PREFERENCE, base.budgetPreference()));
-        return set().over(left);
+        return set().withFallback(left);
     }
 
     private static <T> Optional<T> keep(
--- a/coordination/src/main/java/org/hornbeampass/coordination/config/ConfigCore.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/config/ConfigCore.java
@@ -49,7 +49,7 @@
         mSettings = settings;
         mRandom = random;
         mGuard = guard;
-        mHistory = new ConfigHistory(settings.keepEntries());
+        mHistory = new ConfigHistory(settings.retainedEntries());
     }
 
     long newestHeard() {
--- a/coordination/src/main/java/org/hornbeampass/coordination/config/ConfigSettings.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/config/ConfigSettings.java
@@ -8,27 +8,28 @@
  * <p>Times are in milliseconds unless typed. Immutable; safe for use by any thread.
  *
  * @param pullTimeoutMs how long a peer's reply may take
- * @param watchAtMost how long one watch on the platform's log waits
- * @param retryMs how long to wait before a failed platform call or pull is repeated
- * @param pollMs how often a VM that does not watch reads the platform's log
+ * @param maxWatchWait how long one watch on the platform's log waits
+ * @param retryDelayMs how long to wait before a failed platform call or pull is repeated
+ * @param pollIntervalMs how often a VM that does not watch reads the platform's log
  * @param proposalTimeoutMs how long a proposal may stay open before it is answered as unknown
- * @param keepEntries how many of the newest changes a VM keeps for its peers
+ * @param retainedEntries how many of the newest changes a VM keeps for its peers
  * @param maxPullBytes the largest size of the changes in one reply to a pull
- * @param snapshotEvery how many changes lie between two snapshots on the platform
- * @param reportMs how often a VM reports its revision even where it did not change
- * @param startPeers how many peers must answer before a VM that can't reach the platform is ready
+ * @param changesPerSnapshot how many changes lie between two snapshots on the platform
+ * @param reportIntervalMs how often a VM reports its revision even where it did not change
+ * @param minStartPeers how many peers must answer before a VM that can't reach the platform is
+ *     ready
  */
 public record ConfigSettings(
         long pullTimeoutMs,
-        Duration watchAtMost,
-        long retryMs,
-        long pollMs,
+        Duration maxWatchWait,
+        long retryDelayMs,
+        long pollIntervalMs,
         long proposalTimeoutMs,
-        int keepEntries,
+        int retainedEntries,
         int maxPullBytes,
-        int snapshotEvery,
-        long reportMs,
-        int startPeers) {
+        int changesPerSnapshot,
+        long reportIntervalMs,
+        int minStartPeers) {
     /** Returns the settings for a fleet of 8 to 390 VMs. */
     public static ConfigSettings defaults() {
         return new ConfigSettings(
--- a/coordination/src/main/java/org/hornbeampass/coordination/config/ConfigStore.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/config/ConfigStore.java
@@ -94,7 +94,7 @@
     }
 
     /** Returns the newest revision that this VM has heard of, applied or not. */
-    public long newestHeard() {
+    public long newestKnownRevision() {
         synchronized (mLock) {
             return mCore.newestHeard();
         }
@@ -109,7 +109,7 @@
     }
 
     /** Returns why this VM is not ready; empty where it is. */
-    public Optional<Failure> notReady() {
+    public Optional<Failure> readinessFailure() {
         if (mReady) {
             return Optional.empty();
         }
@@ -135,7 +135,7 @@
     }
 
     /** Returns when the platform last told this VM how far the log goes, in milliseconds. */
-    public OptionalLong confirmedMs() {
+    public OptionalLong lastConfirmedMs() {
         synchronized (mLock) {
             return mLogFollower.confirmedMs();
         }
@@ -161,7 +161,7 @@
         locked(
                 nowMs,
                 out -> {
-                    Optional<Failure> notReady = notReady();
+                    Optional<Failure> notReady = readinessFailure();
                     if (notReady.isPresent()) {
                         out.add(() -> done.accept(nowMs, Either.left(notReady.get())));
                         return;
@@ -182,7 +182,7 @@
      *
      * @param nowMs the present time in milliseconds
      */
-    public List<VmRevision> inForce(long nowMs) {
+    public List<VmRevision> vmRevisions(long nowMs) {
         synchronized (mLock) {
             return mBoard.inForce(nowMs);
         }
@@ -262,7 +262,7 @@
 
     private boolean enoughPeers() {
         int peers = mMembership.view().members().size() - 1;
-        int wanted = Math.max(1, Math.min(mCore.mSettings.startPeers(), peers));
+        int wanted = Math.max(1, Math.min(mCore.mSettings.minStartPeers(), peers));
         return mPeerFollower.answered() >= wanted
                 && mCore.mHistory.revision() >= mCore.newestHeard();
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/config/LogFollower.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/config/LogFollower.java
@@ -77,14 +77,14 @@
 
     private void poll(long nowMs) {
         if (nowMs >= mNextPollMs) {
-            long pollMs = mCore.mSettings.pollMs();
+            long pollMs = mCore.mSettings.pollIntervalMs();
             mNextPollMs = nowMs + pollMs / 2 + mCore.mRandom.nextInt((int) pollMs);
             mReadDue = true;
         }
     }
 
     private void failed(long nowMs) {
-        long retryMs = mCore.mSettings.retryMs();
+        long retryMs = mCore.mSettings.retryDelayMs();
         mNotBeforeMs = nowMs + retryMs / 2 + mCore.mRandom.nextInt((int) retryMs);
     }
 
@@ -165,7 +165,7 @@
         mBusy = true;
         PlatformCall call =
                 new PlatformCall.Watch(
-                        ConfigCore.LOG_PREFIX + "/", mWatchFrom, mCore.mSettings.watchAtMost());
+                        ConfigCore.LOG_PREFIX + "/", mWatchFrom, mCore.mSettings.maxWatchWait());
         out.add(
                 () ->
                         mCore.mPlatform.submit(
--- a/coordination/src/main/java/org/hornbeampass/coordination/config/PeerFollower.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/config/PeerFollower.java
@@ -132,7 +132,7 @@
 
     private void failed(long nowMs, String peer) {
         mSources.remove(peer);
-        long retryMs = mCore.mSettings.retryMs();
+        long retryMs = mCore.mSettings.retryDelayMs();
         mNotBeforeMs = nowMs + 1 + mCore.mRandom.nextInt((int) retryMs);
     }
 
--- a/coordination/src/main/java/org/hornbeampass/coordination/config/Proposals.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/config/Proposals.java
@@ -161,7 +161,7 @@
                 mCore.apply(attempt.mText);
             }
         } else if (isCurrent(attempt)) {
-            long retryMs = mCore.mSettings.retryMs();
+            long retryMs = mCore.mSettings.retryDelayMs();
             mNotBeforeMs = nowMs + retryMs / 2 + mCore.mRandom.nextInt((int) retryMs);
             if (result.getLeft().kind() == ErrorKind.REVISION_CONFLICT) {
                 mCore.wantSnapshot();
--- a/coordination/src/main/java/org/hornbeampass/coordination/config/RevisionBoard.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/config/RevisionBoard.java
@@ -86,7 +86,7 @@
         if (collector.isEmpty() || (!news && nowMs < mNextReportMs)) {
             return;
         }
-        long reportMs = mCore.mSettings.reportMs();
+        long reportMs = mCore.mSettings.reportIntervalMs();
         mNextReportMs = nowMs + reportMs / 2 + mCore.mRandom.nextInt((int) reportMs);
         mReported = revision;
         mReportedTo = collector;
--- a/coordination/src/main/java/org/hornbeampass/coordination/config/SnapshotWriter.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/config/SnapshotWriter.java
@@ -29,7 +29,7 @@
     }
 
     void tick(long nowMs, Outbox out) {
-        long due = mWritten + mCore.mSettings.snapshotEvery();
+        long due = mWritten + mCore.mSettings.changesPerSnapshot();
         boolean writes =
                 !mBusy
                         && nowMs >= mNotBeforeMs
@@ -67,7 +67,7 @@
                                                 mCore.mLog.truncate(
                                                         nowMs,
                                                         p.revision(),
-                                                        2 * mCore.mSettings.snapshotEvery(),
+                                                        2 * mCore.mSettings.changesPerSnapshot(),
                                                         (atMs, deleted) -> {})));
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/config/VmRevision.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/config/VmRevision.java
@@ -11,6 +11,6 @@
  *
  * @param member the VM
  * @param revision the revision; empty where nothing was heard of it
- * @param heardMs when the VM said so, in milliseconds; empty where nothing was heard of it
+ * @param reportedAtMs when the VM said so, in milliseconds; empty where nothing was heard of it
  */
-public record VmRevision(Member member, OptionalLong revision, OptionalLong heardMs) {}
+public record VmRevision(Member member, OptionalLong revision, OptionalLong reportedAtMs) {}
--- a/coordination/src/main/java/org/hornbeampass/coordination/news/ViewNews.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/news/ViewNews.java
@@ -63,7 +63,7 @@
 
     /** Asks another VM for what is newer. */
     void ask(long nowMs, String name) {
-        if (!mAsking && !mView.receiving(nowMs)) {
+        if (!mAsking && !mView.isReceiving(nowMs)) {
             request(nowMs, name, LITTLE_BYTES, TIMEOUT_MS);
         }
     }
@@ -91,10 +91,10 @@
         }
         NewsReply news = (NewsReply) reply.get();
         if (!news.leftOut()) {
-            mView.offer(
+            mView.mergePeerState(
                     nowMs, Set.copyOf(news.keys()), objects(news.objects()), news.upToVersion());
         } else if (mView.failingForMs(nowMs) == 0) {
-            mView.refresh(nowMs);
+            mView.relist(nowMs);
         } else if (maxBytes < ALL_BYTES) {
             request(nowMs, name, ALL_BYTES, COPY_TIMEOUT_MS);
         }
--- a/coordination/src/main/java/org/hornbeampass/coordination/platform/CallBudget.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/platform/CallRateLimiter.java
@@ -23,7 +23,7 @@
  * <p>Thread-safe: one lock guards all state; calls and replies are run after it is released. {@link
  * #tick} must be called often, since it alone sends what waits.
  */
-public final class CallBudget {
+public final class CallRateLimiter {
     private final Platform mPlatform;
     private final CallLimits mLimits;
     private final Object mLock = new Object();
@@ -104,7 +104,7 @@
      * @param limits this VM's share of the platform's limits
      * @param nowMs the present time in milliseconds
      */
-    public CallBudget(Platform platform, CallLimits limits, long nowMs) {
+    public CallRateLimiter(Platform platform, CallLimits limits, long nowMs) {
         mPlatform = platform;
         mLimits = limits;
         for (PlatformCall.Kind kind : PlatformCall.Kind.values()) {
@@ -115,7 +115,7 @@
     }
 
     /** Returns the platform as seen by calls of one priority. */
-    public Platform lane(CallPriority priority) {
+    public Platform withPriority(CallPriority priority) {
         return (nowMs, call, done) -> submit(nowMs, new Waiting(priority, call, done));
     }
 
--- a/coordination/src/main/java/org/hornbeampass/coordination/platform/MissedChanges.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/platform/CatchUpMode.java
@@ -11,9 +11,9 @@
  *
  * <p>Stateless; safe for use by any thread.
  */
-public enum MissedChanges {
+public enum CatchUpMode {
     /** Each one, in order: for small objects, of which each change may tell something. */
-    REPLAYED {
+    ALL_VERSIONS {
         @Override
         boolean listsAfterFailure() {
             return false;
@@ -33,7 +33,7 @@
      * Mbit/s (875 bytes in a millisecond) that needed one of them: 2.8 s of such a link by their
      * sizes, in place of 0.6.
      */
-    SKIPPED {
+    NEWEST_VERSION {
         @Override
         boolean listsAfterFailure() {
             return true;
--- a/coordination/src/main/java/org/hornbeampass/coordination/platform/Lease.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/platform/Lease.java
@@ -23,9 +23,9 @@
  * fencing number, which the receiver or the order's own record checks. The lease only keeps two VMs
  * from doing the same work.
  *
- * <p>Invariants: {@link #held} is empty once the duration has passed since the last renewal was
- * sent; fencing numbers of one name never repeat. Thread-safe: one lock guards the state; calls and
- * callbacks run without it.
+ * <p>Invariants: {@link #heldFencingNumber} is empty once the duration has passed since the last
+ * renewal was sent; fencing numbers of one name never repeat. Thread-safe: one lock guards the
+ * state; calls and callbacks run without it.
  */
 public final class Lease {
     private static final String PREFIX = "leases/";
@@ -70,7 +70,7 @@
     }
 
     /** Returns the fencing number while this VM may believe that it holds the lease. */
-    public OptionalLong held(long nowMs) {
+    public OptionalLong heldFencingNumber(long nowMs) {
         synchronized (mLock) {
             return nowMs < mHeldUntilMs ? OptionalLong.of(mFencing) : OptionalLong.empty();
         }
--- a/coordination/src/main/java/org/hornbeampass/coordination/platform/MemoryPlatform.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/platform/MemoryPlatform.java
@@ -140,7 +140,7 @@
             ready.add(new Ready(done, reply.get()));
             return;
         }
-        mWatches.add(new PendingWatch(watch, nowMs + watch.atMost().toMillis(), done));
+        mWatches.add(new PendingWatch(watch, nowMs + watch.maxWait().toMillis(), done));
     }
 
     private void collectWatches(List<Ready> ready) {
--- a/coordination/src/main/java/org/hornbeampass/coordination/platform/PlatformCall.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/platform/PlatformCall.java
@@ -26,10 +26,10 @@
      * Reads one object; answered {@code Found} or {@code Missing}.
      *
      * @param key the object's key
-     * @param mayBeOld whether an answer will do that is some seconds old, which costs the platform
-     *     less; such an answer proves nothing about the present
+     * @param allowsStale whether an answer will do that is some seconds old, which costs the
+     *     platform less; such an answer proves nothing about the present
      */
-    record Get(String key, boolean mayBeOld) implements PlatformCall {
+    record Get(String key, boolean allowsStale) implements PlatformCall {
         /** Reads an object as it is now. */
         public Get(String key) {
             this(key, false);
@@ -101,9 +101,9 @@
      *
      * @param prefix the prefix that the keys share
      * @param afterVersion only changes with a greater version
-     * @param atMost how long to wait for the first change
+     * @param maxWait how long to wait for the first change
      */
-    record Watch(String prefix, long afterVersion, Duration atMost) implements PlatformCall {
+    record Watch(String prefix, long afterVersion, Duration maxWait) implements PlatformCall {
         @Override
         public Kind kind() {
             return Kind.WATCH;
--- a/coordination/src/main/java/org/hornbeampass/coordination/platform/WatchedView.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/platform/WatchedView.java
@@ -41,7 +41,7 @@
     private final Duration mWatchTime;
     private final BiConsumer<Long, Change> mListener;
     private final RetryPolicy mBackoff;
-    private final MissedChanges mMissed;
+    private final CatchUpMode mMissed;
     private final Object mLock = new Object();
     private final SplittableRandom mRandom;
     private final VersionedObjects mObjects = new VersionedObjects();
@@ -76,7 +76,7 @@
             Duration watchTime,
             long seed,
             BiConsumer<Long, Change> listener) {
-        this(platform, prefix, watchTime, BACKOFF, MissedChanges.REPLAYED, seed, listener);
+        this(platform, prefix, watchTime, BACKOFF, CatchUpMode.ALL_VERSIONS, seed, listener);
     }
 
     /**
@@ -95,7 +95,7 @@
             String prefix,
             Duration watchTime,
             RetryPolicy backoff,
-            MissedChanges missed,
+            CatchUpMode missed,
             long seed,
             BiConsumer<Long, Change> listener) {
         mPlatform = platform;
@@ -150,7 +150,7 @@
     }
 
     /** Returns whether the platform's answer to the open call is on its way, but not yet whole. */
-    public boolean receiving(long nowMs) {
+    public boolean isReceiving(long nowMs) {
         synchronized (mLock) {
             return mOpen && mArrivedMs != NEVER && nowMs - mArrivedMs < RECEIVING_MS;
         }
@@ -164,7 +164,8 @@
      * @param newer the objects that changed since this view's version, or more
      * @param storeVersion the store's version up to which the other VM is informed
      */
-    public void offer(long nowMs, Set<String> keys, List<StoredObject> newer, long storeVersion) {
+    public void mergePeerState(
+            long nowMs, Set<String> keys, List<StoredObject> newer, long storeVersion) {
         List<Change> shown = new ArrayList<>();
         synchronized (mLock) {
             if (mStopped || storeVersion <= mUpToVersion) {
@@ -188,7 +189,7 @@
      *
      * @param nowMs the present time in milliseconds
      */
-    public void refresh(long nowMs) {
+    public void relist(long nowMs) {
         replaceWatch(nowMs, true);
     }
 
@@ -198,14 +199,14 @@
      *
      * @param nowMs the present time in milliseconds
      */
-    public void watchAnew(long nowMs) {
+    public void restartWatch(long nowMs) {
         replaceWatch(nowMs, false);
     }
 
     private void replaceWatch(long nowMs, boolean lists) {
         Runnable giveUp;
         synchronized (mLock) {
-            if (mStopped || !mOpen || mListNext || receiving(nowMs)) {
+            if (mStopped || !mOpen || mListNext || isReceiving(nowMs)) {
                 return;
             }
             mOpen = false;
--- a/coordination/src/main/java/org/hornbeampass/coordination/upstream/IncarnationTracker.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/upstream/IncarnationTracker.java
@@ -1,6 +1,6 @@
 package org.hornbeampass.coordination.upstream;
 
-import org.hornbeampass.state.upstream.Evidence;
+import org.hornbeampass.state.upstream.LeavingEvidence;
 
 import java.util.Optional;
 
@@ -18,7 +18,7 @@
     private long mEndedUpTo = NONE;
     private long mListed = NONE;
     private long mLiveSinceMs;
-    private Optional<Evidence> mEvidence = Optional.empty();
+    private Optional<LeavingEvidence> mEvidence = Optional.empty();
 
     IncarnationTracker(long nowMs) {
         mLiveSinceMs = nowMs;
@@ -40,7 +40,7 @@
     }
 
     /** Returns what ended the last life that ended; empty where none did. */
-    Optional<Evidence> endEvidence() {
+    Optional<LeavingEvidence> endEvidence() {
         return mEvidence;
     }
 
@@ -61,7 +61,7 @@
     }
 
     /** Ends a life and all earlier ones. Returns whether the present life ended just now. */
-    boolean ended(long nowMs, long incarnation, Evidence evidence) {
+    boolean ended(long nowMs, long incarnation, LeavingEvidence evidence) {
         boolean wasLive = live();
         seen(nowMs, incarnation);
         if (incarnation > mEndedUpTo) {
@@ -82,6 +82,6 @@
      * list showed has ended; one that no list ever showed may be too new for it.
      */
     boolean notListed(long nowMs) {
-        return mListed != NONE && ended(nowMs, mListed, Evidence.LIST);
+        return mListed != NONE && ended(nowMs, mListed, LeavingEvidence.PLATFORM_LIST);
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/upstream/UpstreamStatus.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/upstream/UpstreamStatus.java
@@ -1,7 +1,7 @@
 package org.hornbeampass.coordination.upstream;
 
 import org.hornbeampass.state.UpstreamId;
-import org.hornbeampass.state.upstream.Evidence;
+import org.hornbeampass.state.upstream.LeavingEvidence;
 
 import java.util.Optional;
 import java.util.OptionalLong;
@@ -23,7 +23,7 @@
 public record UpstreamStatus(
         UpstreamId id,
         boolean live,
-        Optional<Evidence> endEvidence,
+        Optional<LeavingEvidence> endEvidence,
         long incarnation,
         UpstreamHealth.State health,
         int inFlight,
--- a/coordination/src/main/java/org/hornbeampass/coordination/upstream/UpstreamTable.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/upstream/UpstreamTable.java
@@ -6,7 +6,7 @@
 import org.hornbeampass.state.config.ConfigSnapshot;
 import org.hornbeampass.state.config.UpstreamSpec;
 import org.hornbeampass.state.upstream.CacheEvents;
-import org.hornbeampass.state.upstream.Evidence;
+import org.hornbeampass.state.upstream.LeavingEvidence;
 import org.hornbeampass.state.upstream.ListedUpstream;
 import org.hornbeampass.state.upstream.LoadReport;
 import org.hornbeampass.state.upstream.UpstreamList;
@@ -82,7 +82,7 @@
                 state.reported(nowMs, report);
             }
             if (report.leaving()) {
-                state.life().ended(nowMs, report.incarnation(), Evidence.UPSTREAM_WORD);
+                state.life().ended(nowMs, report.incarnation(), LeavingEvidence.UPSTREAM_REPORT);
             }
             if (wasLive != state.live() || !before.equals(modelsOf(state))) {
                 regroup();
@@ -112,7 +112,7 @@
      *
      * @param incarnation the life that ends; 0 where the upstream has none
      */
-    public void onLeaving(long nowMs, UpstreamId id, Evidence evidence, long incarnation) {
+    public void onLeaving(long nowMs, UpstreamId id, LeavingEvidence evidence, long incarnation) {
         synchronized (mLock) {
             UpstreamState state = mStates.get(id);
             if (state != null && state.life().ended(nowMs, incarnation, evidence)) {
@@ -197,7 +197,7 @@
             state.life().listed(nowMs, each.incarnation());
         }
         if (each.leaving()) {
-            state.life().ended(nowMs, each.incarnation(), Evidence.LIST);
+            state.life().ended(nowMs, each.incarnation(), LeavingEvidence.PLATFORM_LIST);
         }
     }
 
--- a/coordination/src/main/java/org/hornbeampass/state/PromptTokens.java
+++ b/coordination/src/main/java/org/hornbeampass/state/PromptTokens.java
@@ -26,7 +26,7 @@
      *
      * @param characters the number of characters of all message contents together
      */
-    public static int of(long characters) {
+    public static int count(long characters) {
         long tokens = (characters + CHARACTERS_PER_TOKEN - 1) / CHARACTERS_PER_TOKEN;
         return (int) Math.max(1, Math.min(Integer.MAX_VALUE, tokens));
     }
--- a/coordination/src/main/java/org/hornbeampass/state/config/ConfigSnapshot.java
+++ b/coordination/src/main/java/org/hornbeampass/state/config/ConfigSnapshot.java
@@ -59,7 +59,10 @@
             return Optional.empty();
         }
         return Optional.ofNullable(templates.get(organisation.template()))
-                .map(t -> OrganisationTerms.of(organisation.overrides().over(t.parameters())));
+                .map(
+                        t ->
+                                OrganisationTerms.of(
+                                        organisation.overrides().withFallback(t.parameters())));
     }
 
     /** Returns the revision of an object's last change; 0 where it does not exist. */
--- a/coordination/src/main/java/org/hornbeampass/state/config/Parameters.java
+++ b/coordination/src/main/java/org/hornbeampass/state/config/Parameters.java
@@ -53,7 +53,7 @@
     }
 
     /** Returns these parameters with each one that is not set taken from {@code below}. */
-    public Parameters over(Parameters below) {
+    public Parameters withFallback(Parameters below) {
         return new Parameters(
                 models.or(below::models),
                 adapters.or(below::adapters),
--- a/coordination/src/main/java/org/hornbeampass/state/config/UpstreamSpec.java
+++ b/coordination/src/main/java/org/hornbeampass/state/config/UpstreamSpec.java
@@ -63,7 +63,7 @@
     }
 
     /** Returns the upstream as one that gets no new work. */
-    public UpstreamSpec drained() {
+    public UpstreamSpec asDraining() {
         return new UpstreamSpec(
                 id, baseUri, model, service, domain, region, checksFencing, maxConcurrent, true);
     }
--- a/coordination/src/main/java/org/hornbeampass/state/service/Route.java
+++ b/coordination/src/main/java/org/hornbeampass/state/service/Route.java
@@ -16,7 +16,7 @@
  * @param priority its rank among routes; 0 is the most urgent
  * @param targets the services that share the requests
  * @param maxAttempts to how many upstreams one request may be sent
- * @param open whether requests need no key
+ * @param allowsAnonymous whether requests need no key
  * @param resumable whether a stream may go on at another upstream
  * @param gapTargetMs the longest pause between events of an answer that is on time; 0 where there
  *     are no events
@@ -31,7 +31,7 @@
         int priority,
         List<Target> targets,
         int maxAttempts,
-        boolean open,
+        boolean allowsAnonymous,
         boolean resumable,
         long gapTargetMs) {
     /** Copies the list. */
--- a/coordination/src/main/java/org/hornbeampass/state/service/RouteKind.java
+++ b/coordination/src/main/java/org/hornbeampass/state/service/RouteKind.java
@@ -36,7 +36,7 @@
     }
 
     /** Returns whether an upstream should stop at once when the caller leaves. */
-    public boolean cancelsWithCaller() {
+    public boolean cancelsOnCallerDisconnect() {
         return mRepeatable || mStreams;
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/state/upstream/Evidence.java
+++ b/coordination/src/main/java/org/hornbeampass/state/upstream/LeavingEvidence.java
@@ -5,17 +5,17 @@
  *
  * <p>Each kind is enough on its own to stop new work. Immutable; safe for use by any thread.
  */
-public enum Evidence {
+public enum LeavingEvidence {
     /** The platform's lagging list shows it as leaving, or shows it no more. */
-    LIST("the platform's list"),
+    PLATFORM_LIST("the platform's list"),
     /** The upstream said so itself, in a load report or in an answer. */
-    UPSTREAM_WORD("its own word"),
+    UPSTREAM_REPORT("its own word"),
     /** This VM saw it go, such as by a connection closed with notice. */
-    OWN("this VM's own connections");
+    OWN_OBSERVATION("this VM's own connections");
 
     private final String mDescription;
 
-    Evidence(String description) {
+    LeavingEvidence(String description) {
         mDescription = description;
     }
 
--- a/coordination/src/test/java/org/hornbeampass/coordination/config/ConfigStoreTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/config/ConfigStoreTest.java
@@ -63,10 +63,10 @@
         assertThat(propose(fleet, "vm-3", DESK, 0).get()).isEqualTo(1L);
 
         ConfigStore asked = fleet.router("vm-8").config();
-        asked.inForce(fleet.nowMs());
+        asked.vmRevisions(fleet.nowMs());
         fleet.runFor(4_000);
 
-        assertThat(asked.inForce(fleet.nowMs()))
+        assertThat(asked.vmRevisions(fleet.nowMs()))
                 .hasSize(12)
                 .allMatch(r -> r.revision().equals(OptionalLong.of(1)));
     }
--- a/coordination/src/test/java/org/hornbeampass/coordination/escrow/EscrowSimulation.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/escrow/EscrowSimulation.java
@@ -286,7 +286,7 @@
     }
 
     private void submit(long nowMs, PlatformCall call, BiConsumer<Long, PlatformReply> done) {
-        mCalls += call instanceof PlatformCall.Get get && get.mayBeOld() ? 0.1 : 1;
+        mCalls += call instanceof PlatformCall.Get get && get.allowsStale() ? 0.1 : 1;
         boolean cut = mFaults.cuts().stream().anyMatch(c -> nowMs >= c[0] && nowMs < c[1]);
         if (cut) {
             PlatformReply lost = new PlatformReply.Unavailable("cut off");
--- a/coordination/src/test/java/org/hornbeampass/coordination/escrow/RandomizedEscrowFleet.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/escrow/RandomizedEscrowFleet.java
@@ -102,7 +102,7 @@
     private final class Link implements Platform {
         @Override
         public void submit(long nowMs, PlatformCall call, BiConsumer<Long, PlatformReply> done) {
-            if (call instanceof PlatformCall.Get get && get.mayBeOld()) {
+            if (call instanceof PlatformCall.Get get && get.allowsStale()) {
                 peek(nowMs, get, done);
                 return;
             }
--- a/coordination/src/test/java/org/hornbeampass/coordination/fleet/FleetMutant.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/fleet/FleetMutant.java
@@ -90,7 +90,7 @@
         @Override
         PlatformCall call(MemoryPlatform store, PlatformCall call) {
             if (call instanceof PlatformCall.Watch watch) {
-                return new PlatformCall.Watch("nothing/", watch.afterVersion(), watch.atMost());
+                return new PlatformCall.Watch("nothing/", watch.afterVersion(), watch.maxWait());
             }
             return call instanceof PlatformCall.ListObjects
                     ? new PlatformCall.ListObjects("nothing/", "", 1)
--- a/coordination/src/test/java/org/hornbeampass/coordination/fleet/FleetRun.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/fleet/FleetRun.java
@@ -63,8 +63,8 @@
         mMutant = mutant;
         mFleet = new FakeFleet(seed, 2, 2, membership(mutant), config());
         mLog = new LogRecord(mFleet.platform().store());
-        mFleet.platform().rewrites(call -> mutant.call(mFleet.platform().store(), call));
-        mFleet.network().rewrites(m -> garble(mutant.message(m)));
+        mFleet.platform().setCallRewrite(call -> mutant.call(mFleet.platform().store(), call));
+        mFleet.network().setMessageRewrite(m -> garble(mutant.message(m)));
         for (int i = 0; i < VMS; i++) {
             mFleet.start(name(i));
         }
@@ -154,16 +154,16 @@
             case PAUSE -> mFleet.pause(vm);
             case RESUME -> resume(vm);
             case LEAVE -> leave(vm);
-            case CUT_REGION -> mFleet.cut(m -> m.region().value().equals("r0"));
-            case CUT_VM -> mFleet.cut(m -> m.name().equals(vm));
+            case CUT_REGION -> mFleet.isolate(m -> m.region().value().equals("r0"));
+            case CUT_VM -> mFleet.isolate(m -> m.name().equals(vm));
             case HEAL -> mFleet.network().healAll();
-            case PLATFORM_OUTAGE -> mFleet.platform().outage(true);
-            case PLATFORM_LOSSES -> mFleet.platform().loses(0.2, 0.3);
+            case PLATFORM_OUTAGE -> mFleet.platform().setOutage(true);
+            case PLATFORM_LOSSES -> mFleet.platform().setLossRates(0.2, 0.3);
             case PLATFORM_WELL -> platformWell();
             case PEER_LOSSES -> {
-                mFleet.network().drops(0.1);
-                mFleet.network().duplicates(0.2);
-                mFleet.network().takes(1, 300);
+                mFleet.network().setDropRate(0.1);
+                mFleet.network().setDuplicateRate(0.2);
+                mFleet.network().setLatency(1, 300);
             }
             case PEERS_WELL -> peersWell();
             case GARBLED_REPLIES -> mGarbled = true;
@@ -172,14 +172,14 @@
     }
 
     private void platformWell() {
-        mFleet.platform().outage(false);
-        mFleet.platform().loses(0, 0);
+        mFleet.platform().setOutage(false);
+        mFleet.platform().setLossRates(0, 0);
     }
 
     private void peersWell() {
-        mFleet.network().drops(0);
-        mFleet.network().duplicates(0);
-        mFleet.network().takes(1, 3);
+        mFleet.network().setDropRate(0);
+        mFleet.network().setDuplicateRate(0);
+        mFleet.network().setLatency(1, 3);
         mGarbled = false;
     }
 
@@ -191,7 +191,7 @@
     }
 
     private void resume(String vm) {
-        if (mFleet.paused(vm) && mMutant.resumeForgets()) {
+        if (mFleet.isPaused(vm) && mMutant.resumeForgets()) {
             mFleet.resume(vm);
             mFleet.startAs(mFleet.router(vm).vm());
             return;
@@ -201,7 +201,7 @@
 
     private void leave(String vm) {
         FakeRouter router = mFleet.router(vm);
-        if (mFleet.running().contains(router) && !mFleet.paused(vm)) {
+        if (mFleet.running().contains(router) && !mFleet.isPaused(vm)) {
             router.membership().leave(mFleet.nowMs());
             mLeftMs.putIfAbsent(router.vm(), mFleet.nowMs());
         }
@@ -209,7 +209,7 @@
 
     private void propose(String vm) {
         FakeRouter router = mFleet.router(vm);
-        if (!mFleet.running().contains(router) || mFleet.paused(vm)) {
+        if (!mFleet.running().contains(router) || mFleet.isPaused(vm)) {
             return;
         }
         Proposal proposal = new Proposal(LogRecord.numberedChange(mProposals.size()));
@@ -230,7 +230,7 @@
 
     /** Gives all VMs a list; an old one has a new version, since lists lag. */
     private void list(Set<VmId> listed) {
-        mFleet.list(++mListVersion, r -> listed.contains(r.vm()));
+        mFleet.deliverPlatformList(++mListVersion, r -> listed.contains(r.vm()));
     }
 
     private void check() {
@@ -244,7 +244,7 @@
         }
         if (mFleet.nowMs() - mFaultMs >= CALM_MS) {
             mFleet.running().stream()
-                    .filter(r -> !mFleet.paused(r.vm().name()))
+                    .filter(r -> !mFleet.isPaused(r.vm().name()))
                     .forEach(this::checkView);
         }
     }
--- a/coordination/src/test/java/org/hornbeampass/coordination/fleet/FleetSteps.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/fleet/FleetSteps.java
@@ -62,7 +62,7 @@
 
     @Given("the platform loses half of its replies")
     public void platformLosesReplies() {
-        mFleet.platform().loses(0, 0.5);
+        mFleet.platform().setLossRates(0, 0.5);
     }
 
     @Given("the VMs of region {string} are cut off from the platform")
@@ -75,17 +75,17 @@
     @Given("region {string} is cut off from the platform and from all other VMs")
     public void cutOff(String region) {
         cutOffFromPlatform(region);
-        mFleet.cut(m -> m.region().value().equals(region));
+        mFleet.isolate(m -> m.region().value().equals(region));
     }
 
     @Given("the platform is out of service")
     public void platformOut() {
-        mFleet.platform().outage(true);
+        mFleet.platform().setOutage(true);
     }
 
     @When("the platform is back in service")
     public void platformBack() {
-        mFleet.platform().outage(false);
+        mFleet.platform().setOutage(false);
     }
 
     @When(
@@ -147,7 +147,7 @@
 
     @When("the platform's list still shows all VMs")
     public void listShowsAll() {
-        mFleet.list(1, r -> true);
+        mFleet.deliverPlatformList(1, r -> true);
     }
 
     @Then("one of them is told that the change is accepted")
@@ -214,7 +214,7 @@
     public void noneReady() {
         assertThat(mFleet.running()).noneMatch(r -> r.config().ready());
         assertThat(mFleet.running())
-                .allMatch(r -> r.config().notReady().get().message().contains("platform"));
+                .allMatch(r -> r.config().readinessFailure().get().message().contains("platform"));
     }
 
     @Then("{string} is in no address answer within {int} s")
--- a/coordination/src/test/java/org/hornbeampass/coordination/membership/MembershipTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/membership/MembershipTest.java
@@ -74,7 +74,7 @@
     void regionsThatLostEachOther_findEachOtherAgain() {
         FakeFleet fleet = FakeFleet.started(6, 18, 3, 2);
 
-        fleet.cut(m -> m.region().value().equals("r0"));
+        fleet.isolate(m -> m.region().value().equals("r0"));
         fleet.runFor(600_000);
         assertThat(fleet.router("vm-0").membership().view().live()).hasSize(6);
         assertThat(fleet.router("vm-1").membership().view().live()).hasSize(12);
@@ -89,7 +89,7 @@
 
     private static void assertStateEverywhere(FakeFleet fleet, String name, MemberState state) {
         for (FakeRouter router : fleet.running()) {
-            if (!fleet.paused(router.vm().name())) {
+            if (!fleet.isPaused(router.vm().name())) {
                 assertThat(router.stateOf(name)).as("at " + router.vm()).isEqualTo(state);
             }
         }
--- a/coordination/src/test/java/org/hornbeampass/coordination/news/NewsExchangeTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/news/NewsExchangeTest.java
@@ -6,8 +6,8 @@
 
 import org.hornbeampass.coordination.peer.PeerMessage;
 import org.hornbeampass.coordination.peer.PeerNetwork;
+import org.hornbeampass.coordination.platform.CatchUpMode;
 import org.hornbeampass.coordination.platform.MemoryPlatform;
-import org.hornbeampass.coordination.platform.MissedChanges;
 import org.hornbeampass.coordination.platform.Platform;
 import org.hornbeampass.coordination.platform.PlatformCall;
 import org.hornbeampass.coordination.platform.PlatformReply;
@@ -62,7 +62,7 @@
                 PREFIX,
                 Duration.ofSeconds(1),
                 new RetryPolicy(10, 10, 100),
-                MissedChanges.SKIPPED,
+                CatchUpMode.NEWEST_VERSION,
                 1,
                 listener);
     }
@@ -214,7 +214,7 @@
         write("1", 0);
         write("2", 1);
         run(0, 1_000);
-        mView.offer(
+        mView.mergePeerState(
                 1_000,
                 Set.of("config/main"),
                 List.of(new PlatformReply.StoredObject("config/main", "1", 1)),
--- a/coordination/src/test/java/org/hornbeampass/coordination/platform/CallBudgetTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/platform/CallRateLimiterTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 
 /** Checks limits, order and the bound of the queue. */
-class CallBudgetTest {
+class CallRateLimiterTest {
     private static final CallLimits ONE_PER_SECOND = new CallLimits(1, 1, 1, 1, 2);
 
     private final List<String> mSent = new ArrayList<>();
@@ -21,7 +21,7 @@
                 mSent.add(((PlatformCall.Get) call).key());
                 done.accept(nowMs, new PlatformReply.Missing());
             };
-    private final CallBudget mBudget = new CallBudget(mPlatform, ONE_PER_SECOND, 0);
+    private final CallRateLimiter mBudget = new CallRateLimiter(mPlatform, ONE_PER_SECOND, 0);
 
     @Test
     void calls_above_the_rate_wait_and_the_urgent_goes_first() {
@@ -73,13 +73,14 @@
 
     @Test
     void background_calls_leave_part_of_the_burst_to_urgent_ones() {
-        CallBudget budget = new CallBudget(mPlatform, new CallLimits(10, 10, 10, 1, 100), 0);
+        CallRateLimiter budget =
+                new CallRateLimiter(mPlatform, new CallLimits(10, 10, 10, 1, 100), 0);
         for (int i = 0; i < 10; i++) {
-            budget.lane(BACKGROUND).submit(0, new PlatformCall.Get("b" + i), (t, r) -> {});
+            budget.withPriority(BACKGROUND).submit(0, new PlatformCall.Get("b" + i), (t, r) -> {});
         }
         assertThat(mSent).hasSize(7);
 
-        budget.lane(URGENT).submit(0, new PlatformCall.Get("urgent"), (t, r) -> {});
+        budget.withPriority(URGENT).submit(0, new PlatformCall.Get("urgent"), (t, r) -> {});
 
         assertThat(mSent).hasSize(8).endsWith("urgent");
     }
@@ -96,7 +97,7 @@
     }
 
     private void get(long nowMs, CallPriority priority, String key) {
-        mBudget.lane(priority)
+        mBudget.withPriority(priority)
                 .submit(nowMs, new PlatformCall.Get(key), (atMs, reply) -> mReplies.add(reply));
     }
 }
--- a/coordination/src/test/java/org/hornbeampass/coordination/platform/ConditionalWriterTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/platform/ConditionalWriterTest.java
@@ -47,7 +47,7 @@
 
     @Test
     void change_whose_reply_was_lost_is_applied_once() {
-        mPlatform.loses(0, 0.3);
+        mPlatform.setLossRates(0, 0.3);
         List<ConditionalWriter> writers = List.of(writer(A), writer(B));
         for (int i = 0; i < 20; i++) {
             writers.forEach(this::increment);
@@ -60,8 +60,8 @@
 
     @Test
     void write_that_lands_after_its_timeout_is_applied_once() {
-        mPlatform.takes(1, 400);
-        mPlatform.timesOutAfter(500);
+        mPlatform.setLatency(1, 400);
+        mPlatform.setTimeout(500);
         List<ConditionalWriter> writers = List.of(writer(A), writer(B));
         for (int i = 0; i < 20; i++) {
             writers.forEach(this::increment);
@@ -74,8 +74,8 @@
 
     @Test
     void change_that_gives_up_is_unknown_only_if_it_may_stand() {
-        mPlatform.takes(1, 900);
-        mPlatform.timesOutAfter(500);
+        mPlatform.setLatency(1, 900);
+        mPlatform.setTimeout(500);
         List<ConditionalWriter> writers = List.of(writer(A), writer(B));
         for (int i = 0; i < 50; i++) {
             writers.forEach(this::increment);
@@ -94,7 +94,7 @@
 
     @Test
     void outage_that_outlasts_all_attempts_leaves_the_outcome_open_or_untouched() {
-        mPlatform.outage(true);
+        mPlatform.setOutage(true);
         increment(writer(A));
         mTime.runFor(600_000);
 
--- a/coordination/src/test/java/org/hornbeampass/coordination/platform/LeaseTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/platform/LeaseTest.java
@@ -24,8 +24,8 @@
         assertThat(acquire(mFirst, 0).get()).isEqualTo(1L);
         assertThat(acquire(mFirst, 9_000).get()).isEqualTo(1L);
 
-        assertThat(mFirst.held(18_999)).hasValue(1L);
-        assertThat(mFirst.held(19_000)).isEmpty();
+        assertThat(mFirst.heldFencingNumber(18_999)).hasValue(1L);
+        assertThat(mFirst.heldFencingNumber(19_000)).isEmpty();
     }
 
     @Test
@@ -52,9 +52,9 @@
         acquire(mSecond, 1_000);
         acquire(mSecond, 11_001);
 
-        assertThat(mFirst.held(11_001)).isEmpty();
+        assertThat(mFirst.heldFencingNumber(11_001)).isEmpty();
         assertThat(acquire(mFirst, 11_002).getLeft().kind()).isEqualTo(ErrorKind.ALREADY_EXISTS);
-        assertThat(mSecond.held(11_002)).hasValue(2L);
+        assertThat(mSecond.heldFencingNumber(11_002)).hasValue(2L);
     }
 
     @Test
@@ -64,7 +64,7 @@
         mFirst.release(1_000, (atMs, r) -> released.set(r));
 
         assertThat(released.get().get()).isEqualTo(1L);
-        assertThat(mFirst.held(1_000)).isEmpty();
+        assertThat(mFirst.heldFencingNumber(1_000)).isEmpty();
         assertThat(acquire(mSecond, 1_001).get()).isEqualTo(2L);
     }
 
@@ -80,7 +80,7 @@
         Lease lease = new Lease(losing, "loads", new VmId("a", 1), DURATION_MS);
 
         assertThat(acquire(lease, 0).getLeft().kind()).isEqualTo(ErrorKind.PLATFORM_UNAVAILABLE);
-        assertThat(lease.held(0)).isEmpty();
+        assertThat(lease.heldFencingNumber(0)).isEmpty();
         lose[0] = false;
 
         assertThat(acquire(lease, 100).get()).isEqualTo(1L);
--- a/coordination/src/test/java/org/hornbeampass/coordination/platform/WatchedViewTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/platform/WatchedViewTest.java
@@ -148,7 +148,7 @@
                 "config/",
                 Duration.ofSeconds(30),
                 new RetryPolicy(10, 10, 100),
-                MissedChanges.SKIPPED,
+                CatchUpMode.NEWEST_VERSION,
                 1,
                 (atMs, change) -> mShown.add(change));
     }
--- a/coordination/src/test/java/org/hornbeampass/coordination/requests/BillReaderTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/requests/BillReaderTest.java
@@ -69,7 +69,7 @@
 
     @Test
     void platformThatDoesNotAnswer_failsTheRead() {
-        mFleet.mPlatform.outage(true);
+        mFleet.mPlatform.setOutage(true);
 
         assertThat(read(organisation(), Optional.empty(), 1).getLeft().kind())
                 .isEqualTo(ErrorKind.PLATFORM_UNAVAILABLE);
--- a/coordination/src/test/java/org/hornbeampass/coordination/requests/CheckpointTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/requests/CheckpointTest.java
@@ -95,7 +95,7 @@
 
     @Test
     void checkpoints_survive_lost_replies_and_two_owners() {
-        mFleet.mPlatform.loses(0.05, 0.05);
+        mFleet.mPlatform.setLossRates(0.05, 0.05);
         VmId b = mFleet.start("b", 1);
         mFleet.sees(mA, mA);
         mFleet.sees(b, b);
--- a/coordination/src/test/java/org/hornbeampass/coordination/requests/LedgerFleet.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/requests/LedgerFleet.java
@@ -94,7 +94,7 @@
         VmId vm = new VmId(name, incarnation);
         TreeSet<VmId> members = new TreeSet<>();
         for (VmId other : mLedgers.keySet()) {
-            if (!mVms.dead(other)) {
+            if (!mVms.isDead(other)) {
                 members.add(other);
                 mMembers.get(other).add(vm);
             }
@@ -108,7 +108,7 @@
                         mPeers.connect(vm),
                         vm,
                         ShardOwners.rendezvous(() -> mMembers.get(vm)),
-                        mVms::dead,
+                        mVms::isDead,
                         settings,
                         mSeed + mLedgers.size());
         mLedgers.put(vm, ledger);
--- a/coordination/src/test/java/org/hornbeampass/coordination/requests/LedgerSchedule.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/requests/LedgerSchedule.java
@@ -115,12 +115,12 @@
             case HEAL_PLATFORM -> mFleet.mPlatform.heal(vm);
             case CUT_PEERS -> mFleet.mPeers.cut(name, other);
             case HEAL_PEERS -> mFleet.mPeers.healAll();
-            case OUTAGE -> mFleet.mPlatform.outage(true);
-            case OUTAGE_ENDS -> mFleet.mPlatform.outage(false);
+            case OUTAGE -> mFleet.mPlatform.setOutage(true);
+            case OUTAGE_ENDS -> mFleet.mPlatform.setOutage(false);
             case LOSE -> lose(0.2);
             case LOSE_NOTHING -> lose(0);
-            case SLOW -> mFleet.mPlatform.takes(1, 900);
-            case FAST -> mFleet.mPlatform.takes(1, 3);
+            case SLOW -> mFleet.mPlatform.setLatency(1, 900);
+            case FAST -> mFleet.mPlatform.setLatency(1, 3);
             case SPLIT_VIEW -> mFleet.sees(vm, vm);
             case SAME_VIEW -> sameView();
             default -> mFleet.mTime.runFor(1);
@@ -128,8 +128,8 @@
     }
 
     private void lose(double share) {
-        mFleet.mPlatform.loses(share, share);
-        mFleet.mPeers.drops(share);
+        mFleet.mPlatform.setLossRates(share, share);
+        mFleet.mPeers.setDropRate(share);
     }
 
     private void sameView() {
@@ -255,8 +255,8 @@
 
     /** Ends all faults and gives what waits time to end. */
     private void settle() {
-        mFleet.mPlatform.outage(false);
-        mFleet.mPlatform.takes(1, 3);
+        mFleet.mPlatform.setOutage(false);
+        mFleet.mPlatform.setLatency(1, 3);
         lose(0);
         mFleet.mPeers.healAll();
         mFleet.vms().forEach(mFleet.mPlatform::heal);
@@ -264,7 +264,7 @@
         sameView();
         mFleet.mTime.runFor(SETTLE_MS);
         mBills.keySet().stream()
-                .filter(a -> !mFleet.mVms.dead(a.vm()) && !mBilled.containsKey(a))
+                .filter(a -> !mFleet.mVms.isDead(a.vm()) && !mBilled.containsKey(a))
                 .forEach(a -> mBroken.add(Rule.BILLS_END));
         checkSums();
         checkFreedCalls();
@@ -325,7 +325,7 @@
 
     private boolean toldNotRun(AttemptId attempt) {
         Either<Failure, ClaimOutcome> answer = mAnswers.get(attempt);
-        return !mFleet.mVms.dead(attempt.vm())
+        return !mFleet.mVms.isDead(attempt.vm())
                 && answer != null
                 && (answer.isLeft() || mGaveUp.contains(attempt));
     }
--- a/coordination/src/test/java/org/hornbeampass/coordination/requests/RequestAuditTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/requests/RequestAuditTest.java
@@ -67,7 +67,7 @@
 
     @Test
     void platform_that_does_not_answer_fails_the_audit() {
-        mFleet.mPlatform.outage(true);
+        mFleet.mPlatform.setOutage(true);
 
         assertThat(audit().getLeft().kind()).isEqualTo(ErrorKind.PLATFORM_UNAVAILABLE);
     }
--- a/coordination/src/test/java/org/hornbeampass/coordination/requests/RequestLedgerTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/requests/RequestLedgerTest.java
@@ -82,13 +82,13 @@
 
     @Test
     void bills_survive_a_platform_outage_in_memory() {
-        mFleet.mPlatform.outage(true);
+        mFleet.mPlatform.setOutage(true);
         AttemptId one = mFleet.bill(mA, "r1", 10);
         AttemptId two = mFleet.bill(mB, "r2", 10);
         mFleet.mTime.runFor(600_000);
         assertThat(mFleet.mBilled).isEmpty();
 
-        mFleet.mPlatform.outage(false);
+        mFleet.mPlatform.setOutage(false);
         mFleet.mTime.runFor(30_000);
 
         assertThat(mFleet.billed()).containsExactlyInAnyOrder(one, two);
@@ -171,13 +171,13 @@
 
     @Test
     void claim_told_not_run_in_an_outage_is_withdrawn_before_another_is_granted() {
-        mFleet.mPlatform.loses(0, 1.0);
+        mFleet.mPlatform.setLossRates(0, 1.0);
         AttemptId first = mFleet.claim(mA, "release-1", "mould 7");
         mFleet.mTime.runFor(10_000);
         assertThat(mFleet.mClaimed.get(first).getLeft().kind())
                 .isEqualTo(ErrorKind.PLATFORM_UNAVAILABLE);
 
-        mFleet.mPlatform.loses(0, 0);
+        mFleet.mPlatform.setLossRates(0, 0);
         mFleet.mTime.runFor(20_000);
         AttemptId retry = mFleet.claim(mB, "release-1", "mould 7");
         mFleet.mTime.runFor(5_000);
@@ -197,14 +197,14 @@
                         1_000);
         LedgerFleet fleet = new LedgerFleet(2, small);
         VmId vm = fleet.start("a", 1);
-        fleet.mPlatform.outage(true);
+        fleet.mPlatform.setOutage(true);
         for (int i = 0; i < 10; i++) {
             assertThat(fleet.ledger(vm).backlogFull()).isFalse();
             fleet.bill(vm, "r" + i, 1);
         }
         assertThat(fleet.ledger(vm).backlogFull()).isTrue();
 
-        fleet.mPlatform.outage(false);
+        fleet.mPlatform.setOutage(false);
         fleet.mTime.runFor(10_000);
 
         assertThat(fleet.ledger(vm).backlogFull()).isFalse();
--- a/coordination/src/test/java/org/hornbeampass/coordination/requests/RequestLoadTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/requests/RequestLoadTest.java
@@ -86,7 +86,7 @@
             fleet.start("vm" + i, 1);
         }
         fleet.mTime.runFor(5_000);
-        fleet.mPlatform.outage(true);
+        fleet.mPlatform.setOutage(true);
         List<VmId> vms = fleet.vms();
         for (int i = 0; i < 10_000; i++) {
             fleet.bill(vms.get(i % vms.size()), "r" + i, 1);
@@ -94,7 +94,7 @@
         }
         fleet.mTime.runFor(60_000);
         long before = fleet.mPlatform.calls(PlatformCall.Kind.WRITE);
-        fleet.mPlatform.outage(false);
+        fleet.mPlatform.setOutage(false);
         long startMs = fleet.mTime.nowMs();
         while (fleet.mBilled.size() < 10_000 && fleet.mTime.nowMs() < startMs + 120_000) {
             fleet.mTime.runFor(100);
--- a/coordination/src/test/java/org/hornbeampass/coordination/requests/RequestSteps.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/requests/RequestSteps.java
@@ -43,33 +43,33 @@
     /** Sets how much is lost. */
     @Given("the platform loses every reply")
     public void platform_loses_every_reply() {
-        mFleet.mPlatform.loses(0, 1);
+        mFleet.mPlatform.setLossRates(0, 1);
     }
 
     /** Sets how much is lost. */
     @Given("the platform and the network lose {int} of 10 messages")
     public void platform_and_network_lose(int tenths) {
-        mFleet.mPlatform.loses(tenths / 10.0, tenths / 10.0);
-        mFleet.mPeers.drops(tenths / 10.0);
+        mFleet.mPlatform.setLossRates(tenths / 10.0, tenths / 10.0);
+        mFleet.mPeers.setDropRate(tenths / 10.0);
     }
 
     /** Ends all loss. */
     @When("the platform answers again")
     public void platform_answers_again() {
-        mFleet.mPlatform.loses(0, 0);
-        mFleet.mPeers.drops(0);
+        mFleet.mPlatform.setLossRates(0, 0);
+        mFleet.mPeers.setDropRate(0);
     }
 
     /** Starts an outage. */
     @Given("the platform is down")
     public void platform_is_down() {
-        mFleet.mPlatform.outage(true);
+        mFleet.mPlatform.setOutage(true);
     }
 
     /** Ends an outage. */
     @When("the platform is back")
     public void platform_is_back() {
-        mFleet.mPlatform.outage(false);
+        mFleet.mPlatform.setOutage(false);
     }
 
     /** Cuts a router off. */
--- a/coordination/src/test/java/org/hornbeampass/coordination/requests/SettingsAgreementTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/requests/SettingsAgreementTest.java
@@ -84,7 +84,7 @@
 
     @Test
     void vm_whoseRepliesAreLost_asksAgain() {
-        mFleet.mPlatform.loses(0, 0.7);
+        mFleet.mPlatform.setLossRates(0, 0.7);
         VmId a = mFleet.start("a", 1);
         mFleet.mTime.runFor(300_000);
 
@@ -93,12 +93,12 @@
 
     @Test
     void vm_inAnOutage_becomesReadyAfterIt() {
-        mFleet.mPlatform.outage(true);
+        mFleet.mPlatform.setOutage(true);
         VmId a = mFleet.start("a", 1);
         mFleet.mTime.runFor(60_000);
         assertThat(reason(a).message()).contains("not read yet");
 
-        mFleet.mPlatform.outage(false);
+        mFleet.mPlatform.setOutage(false);
         mFleet.mTime.runFor(10_000);
 
         assertThat(mFleet.ledger(a).notReady()).isEmpty();
--- a/coordination/src/test/java/org/hornbeampass/coordination/routing/IncarnationProperties.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/routing/IncarnationProperties.java
@@ -7,7 +7,7 @@
 
 import org.hornbeampass.coordination.upstream.RoutingSettings;
 import org.hornbeampass.coordination.upstream.UpstreamTable;
-import org.hornbeampass.state.upstream.Evidence;
+import org.hornbeampass.state.upstream.LeavingEvidence;
 import org.hornbeampass.state.upstream.ListedUpstream;
 import org.hornbeampass.state.upstream.UpstreamList;
 import org.junit.jupiter.api.Test;
@@ -86,7 +86,10 @@
                 case 1 -> word(nowMs, runner, incarnation);
                 case 2 -> {
                     mTable.onLeaving(
-                            nowMs, UpstreamFixtures.runner(runner), Evidence.OWN, incarnation);
+                            nowMs,
+                            UpstreamFixtures.runner(runner),
+                            LeavingEvidence.OWN_OBSERVATION,
+                            incarnation);
                     end(runner, incarnation);
                 }
                 default -> list(nowMs);
--- a/coordination/src/test/java/org/hornbeampass/coordination/routing/UpstreamChooserTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/routing/UpstreamChooserTest.java
@@ -13,7 +13,7 @@
 import org.hornbeampass.state.ModelId;
 import org.hornbeampass.state.OrganisationId;
 import org.hornbeampass.state.UpstreamId;
-import org.hornbeampass.state.upstream.Evidence;
+import org.hornbeampass.state.upstream.LeavingEvidence;
 import org.hornbeampass.state.upstream.ListedUpstream;
 import org.hornbeampass.state.upstream.LoadReport;
 import org.hornbeampass.state.upstream.PrefixDigests;
@@ -112,7 +112,7 @@
     @Test
     void leaving_byEachEvidence_getsNoNewWork() {
         mTable.applyConfig(0, UpstreamFixtures.config(1, 4, 100));
-        mTable.onLeaving(1, UpstreamFixtures.runner(0), Evidence.OWN, 0);
+        mTable.onLeaving(1, UpstreamFixtures.runner(0), LeavingEvidence.OWN_OBSERVATION, 0);
         mTable.onLoadReport(1, UpstreamFixtures.runner(1), UpstreamFixtures.leaving(1, 7));
         mTable.onListed(
                 1,
--- a/coordination/src/test/java/org/hornbeampass/coordination/upstream/IncarnationTrackerTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/upstream/IncarnationTrackerTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import org.hornbeampass.state.upstream.Evidence;
+import org.hornbeampass.state.upstream.LeavingEvidence;
 import org.junit.jupiter.api.Test;
 
 /** Tests {@link IncarnationTracker}. */
@@ -18,16 +18,16 @@
     @Test
     void endedLife_isNotRevivedByListThatStillShowsIt() {
         mLife.listed(1, 4);
-        assertThat(mLife.ended(2, 4, Evidence.UPSTREAM_WORD)).isTrue();
+        assertThat(mLife.ended(2, 4, LeavingEvidence.UPSTREAM_REPORT)).isTrue();
         mLife.listed(3, 4);
 
         assertThat(mLife.live()).isFalse();
-        assertThat(mLife.endEvidence()).contains(Evidence.UPSTREAM_WORD);
+        assertThat(mLife.endEvidence()).contains(LeavingEvidence.UPSTREAM_REPORT);
     }
 
     @Test
     void greaterIncarnation_isLiveAgain() {
-        mLife.ended(2, 4, Evidence.OWN);
+        mLife.ended(2, 4, LeavingEvidence.OWN_OBSERVATION);
         assertThat(mLife.seen(3, 5)).isTrue();
 
         assertThat(mLife.live()).isTrue();
@@ -39,7 +39,7 @@
         mLife.seen(1, 5);
 
         assertThat(mLife.seen(2, 4)).isFalse();
-        assertThat(mLife.ended(3, 4, Evidence.OWN)).isFalse();
+        assertThat(mLife.ended(3, 4, LeavingEvidence.OWN_OBSERVATION)).isFalse();
         assertThat(mLife.live()).isTrue();
     }
 
--- a/coordination/src/test/java/org/hornbeampass/state/PromptTokensTest.java
+++ b/coordination/src/test/java/org/hornbeampass/state/PromptTokensTest.java
@@ -8,10 +8,10 @@
 class PromptTokensTest {
     @Test
     void of_roundsUp() {
-        assertThat(PromptTokens.of(0)).isEqualTo(1);
-        assertThat(PromptTokens.of(4)).isEqualTo(1);
-        assertThat(PromptTokens.of(5)).isEqualTo(2);
-        assertThat(PromptTokens.of(Long.MAX_VALUE - 10)).isEqualTo(Integer.MAX_VALUE);
+        assertThat(PromptTokens.count(0)).isEqualTo(1);
+        assertThat(PromptTokens.count(4)).isEqualTo(1);
+        assertThat(PromptTokens.count(5)).isEqualTo(2);
+        assertThat(PromptTokens.count(Long.MAX_VALUE - 10)).isEqualTo(Integer.MAX_VALUE);
     }
 
     @Test
--- a/coordination/src/test/java/org/hornbeampass/testing/FakeFleet.java
+++ b/coordination/src/test/java/org/hornbeampass/testing/FakeFleet.java
@@ -99,10 +99,10 @@
         mTime.after(
                 delayMs,
                 t -> {
-                    if (mVms.dead(router.vm()) || mRouters.get(router.vm().name()) != router) {
+                    if (mVms.isDead(router.vm()) || mRouters.get(router.vm().name()) != router) {
                         return;
                     }
-                    if (mVms.paused(router.vm())) {
+                    if (mVms.isPaused(router.vm())) {
                         tickAll(router, TICK_MS);
                         return;
                     }
@@ -152,7 +152,7 @@
     }
 
     /** Cuts all VMs that match off from all others. */
-    public void cut(Predicate<Member> side) {
+    public void isolate(Predicate<Member> side) {
         for (FakeRouter one : mRouters.values()) {
             for (FakeRouter other : mRouters.values()) {
                 if (side.test(one.self()) && !side.test(other.self())) {
@@ -189,16 +189,16 @@
 
     /** Returns the newest lives that are not dead, in the order of names. */
     public Collection<FakeRouter> running() {
-        return mRouters.values().stream().filter(r -> !mVms.dead(r.vm())).toList();
+        return mRouters.values().stream().filter(r -> !mVms.isDead(r.vm())).toList();
     }
 
     /** Returns whether the newest life of a VM is paused. */
-    public boolean paused(String name) {
-        return mVms.paused(router(name).vm());
+    public boolean isPaused(String name) {
+        return mVms.isPaused(router(name).vm());
     }
 
     /** Gives all VMs a list of the platform that shows the given VMs. */
-    public void list(long version, Predicate<FakeRouter> listed) {
+    public void deliverPlatformList(long version, Predicate<FakeRouter> listed) {
         List<ListedVm> list =
                 mRouters.values().stream()
                         .filter(listed)
--- a/coordination/src/test/java/org/hornbeampass/testing/FakePeerNetwork.java
+++ b/coordination/src/test/java/org/hornbeampass/testing/FakePeerNetwork.java
@@ -49,22 +49,22 @@
     }
 
     /** Sets how often a message is dropped, from 0 to 1. */
-    public void drops(double share) {
+    public void setDropRate(double share) {
         mDrop = share;
     }
 
     /** Sets how often a message is delivered twice, from 0 to 1. */
-    public void duplicates(double share) {
+    public void setDuplicateRate(double share) {
         mDuplicate = share;
     }
 
     /** Sets what is delivered in place of each message and each reply. */
-    public void rewrites(UnaryOperator<PeerMessage> rewrite) {
+    public void setMessageRewrite(UnaryOperator<PeerMessage> rewrite) {
         mRewrite = rewrite;
     }
 
     /** Sets how long one way takes, in milliseconds; a wide range reorders. */
-    public void takes(long minMs, long maxMs) {
+    public void setLatency(long minMs, long maxMs) {
         mMinMs = minMs;
         mMaxMs = maxMs;
     }
--- a/coordination/src/test/java/org/hornbeampass/testing/FakeVms.java
+++ b/coordination/src/test/java/org/hornbeampass/testing/FakeVms.java
@@ -59,12 +59,12 @@
     }
 
     /** Returns whether this life of a VM is over. */
-    public boolean dead(VmId vm) {
+    public boolean isDead(VmId vm) {
         return mDead.contains(vm);
     }
 
     /** Returns whether a VM is paused. */
-    public boolean paused(VmId vm) {
+    public boolean isPaused(VmId vm) {
         return mPaused.containsKey(vm);
     }
 }
--- a/coordination/src/test/java/org/hornbeampass/testing/FaultyPlatform.java
+++ b/coordination/src/test/java/org/hornbeampass/testing/FaultyPlatform.java
@@ -50,29 +50,29 @@
     /**
      * Sets how often a request is lost on its way, and a reply on its way back, each from 0 to 1.
      */
-    public void loses(double requests, double replies) {
+    public void setLossRates(double requests, double replies) {
         mLoseRequest = requests;
         mLoseReply = replies;
     }
 
     /** Sets how long one way takes, in milliseconds; above the timeout, writes land late. */
-    public void takes(long minLegMs, long maxLegMs) {
+    public void setLatency(long minLegMs, long maxLegMs) {
         mMinLegMs = minLegMs;
         mMaxLegMs = maxLegMs;
     }
 
     /** Sets after which time without a reply a caller is told {@code Unavailable}. */
-    public void timesOutAfter(long timeoutMs) {
+    public void setTimeout(long timeoutMs) {
         mTimeoutMs = timeoutMs;
     }
 
     /** Sets what is carried out in place of each call. */
-    public void rewrites(UnaryOperator<PlatformCall> rewrite) {
+    public void setCallRewrite(UnaryOperator<PlatformCall> rewrite) {
         mRewrite = rewrite;
     }
 
     /** Starts or ends an outage, in which nothing that arrives is carried out. */
-    public void outage(boolean outage) {
+    public void setOutage(boolean outage) {
         mOutage = outage;
     }
 
@@ -138,7 +138,7 @@
         Pending pending = new Pending(vm, done);
         long timeoutMs = mTimeoutMs;
         if (call instanceof PlatformCall.Watch watch) {
-            timeoutMs += watch.atMost().toMillis();
+            timeoutMs += watch.maxWait().toMillis();
         }
         mTime.after(timeoutMs, t -> pending.answer(new PlatformReply.Unavailable("no reply")));
         if (mCut.contains(vm) || mRandom.nextDouble() < mLoseRequest) {
@@ -153,7 +153,7 @@
         }
         count(call);
         if (call instanceof PlatformCall.Watch watch) {
-            mTime.after(watch.atMost().toMillis(), mStore::expireWatches);
+            mTime.after(watch.maxWait().toMillis(), mStore::expireWatches);
         }
         mStore.submit(
                 mTime.nowMs(),
--- a/experiment/src/main/java/org/hornbeampass/experiment/membership/CountingPlatform.java
+++ b/experiment/src/main/java/org/hornbeampass/experiment/membership/CountingPlatform.java
@@ -63,7 +63,7 @@
         boolean watch = call instanceof PlatformCall.Watch;
         if (call instanceof PlatformCall.Watch w) {
             mWaiting++;
-            mEvents.after(w.atMost().toMillis(), mStore::expireWatches);
+            mEvents.after(w.maxWait().toMillis(), mStore::expireWatches);
         }
         mStore.submit(
                 nowMs,
--- a/experiment/src/main/java/org/hornbeampass/experiment/routing/RequestRun.java
+++ b/experiment/src/main/java/org/hornbeampass/experiment/routing/RequestRun.java
@@ -13,7 +13,7 @@
 import org.hornbeampass.coordination.routing.UpstreamChoice;
 import org.hornbeampass.state.ErrorKind;
 import org.hornbeampass.state.Failure;
-import org.hornbeampass.state.upstream.Evidence;
+import org.hornbeampass.state.upstream.LeavingEvidence;
 
 import java.util.Optional;
 import java.util.OptionalLong;
@@ -164,7 +164,7 @@
                         .onLeaving(
                                 mClock.nowMs(),
                                 mChoice.upstream(),
-                                Evidence.UPSTREAM_WORD,
+                                LeavingEvidence.UPSTREAM_REPORT,
                                 mChoice.incarnation());
             }
             if (outcome == AttemptOutcome.SUCCEEDED) {
--- a/router/src/main/java/org/hornbeampass/router/admin/MemberFleet.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/MemberFleet.java
@@ -38,7 +38,8 @@
     @Override
     public RouterList routers(long nowMs) {
         Map<VmId, Long> revisions = new HashMap<>();
-        mStore.inForce(nowMs).forEach(r -> revisions.put(r.member().vm(), r.revision().orElse(0)));
+        mStore.vmRevisions(nowMs)
+                .forEach(r -> revisions.put(r.member().vm(), r.revision().orElse(0)));
         return new RouterList(
                 mMembership.view().self().vm(),
                 mMembership.view().members().stream()
@@ -49,8 +50,8 @@
     @Override
     public RevisionView revision(long nowMs) {
         List<RevisionView.RouterRevision> routers =
-                mStore.inForce(nowMs).stream().map(MemberFleet::revisionOf).toList();
-        long newest = Math.max(mStore.newestHeard(), mStore.snapshot().revision());
+                mStore.vmRevisions(nowMs).stream().map(MemberFleet::revisionOf).toList();
+        long newest = Math.max(mStore.newestKnownRevision(), mStore.snapshot().revision());
         long everywhere =
                 routers.stream()
                         .mapToLong(RevisionView.RouterRevision::revision)
--- a/router/src/main/java/org/hornbeampass/router/admin/StoredConfiguration.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/StoredConfiguration.java
@@ -37,7 +37,7 @@
 
     @Override
     public long ageMs(long nowMs) {
-        OptionalLong confirmedMs = mStore.confirmedMs();
+        OptionalLong confirmedMs = mStore.lastConfirmedMs();
         long ageMs = confirmedMs.isPresent() ? nowMs - confirmedMs.getAsLong() : 0;
         return ageMs <= mSilentMs ? 0 : ageMs;
     }
--- a/router/src/main/java/org/hornbeampass/router/admin/UpstreamEndpoints.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/UpstreamEndpoints.java
@@ -100,7 +100,7 @@
                 request,
                 ObjectKey.upstream(new UpstreamId(request.variable(0))),
                 expected.get(),
-                () -> existing(request).map(s -> new ConfigChange.PutUpstream(s.drained())),
+                () -> existing(request).map(s -> new ConfigChange.PutUpstream(s.asDraining())),
                 (atMs, result) -> reply.done(result));
     }
 
--- a/router/src/main/java/org/hornbeampass/router/daemon/Coordination.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/Coordination.java
@@ -12,8 +12,8 @@
 import org.hornbeampass.coordination.membership.Membership;
 import org.hornbeampass.coordination.membership.MembershipListener;
 import org.hornbeampass.coordination.membership.MembershipSettings;
-import org.hornbeampass.coordination.platform.CallBudget;
 import org.hornbeampass.coordination.platform.CallPriority;
+import org.hornbeampass.coordination.platform.CallRateLimiter;
 import org.hornbeampass.coordination.platform.Platform;
 import org.hornbeampass.coordination.requests.LedgerSettings;
 import org.hornbeampass.coordination.requests.RequestLedger;
@@ -53,7 +53,7 @@
     private final UpstreamChooser mChooser;
     private final OrganisationLimits mLimits;
     private final TargetQueues mQueues;
-    private final CallBudget mCalls;
+    private final CallRateLimiter mCalls;
     private final ConfigInForce mInForce = new ConfigInForce();
 
     /**
@@ -73,7 +73,7 @@
             long nowMs) {
         VmId vm = self.vm();
         Random random = new Random(vm.hashCode() * 31L + vm.incarnation());
-        mCalls = new CallBudget(platform, settings.calls(), nowMs);
+        mCalls = new CallRateLimiter(platform, settings.calls(), nowMs);
         mMembership =
                 new Membership(
                         self,
@@ -84,7 +84,7 @@
         mConfig =
                 new ConfigStore(
                         vm,
-                        mCalls.lane(CallPriority.NORMAL),
+                        mCalls.withPriority(CallPriority.NORMAL),
                         network.peerNetwork(),
                         mMembership,
                         ConfigSettings.defaults(),
@@ -98,16 +98,16 @@
         mBudgets =
                 new BudgetLedger(
                         vm,
-                        mCalls.lane(CallPriority.URGENT),
+                        mCalls.withPriority(CallPriority.URGENT),
                         network.peerNetwork(),
                         new MembershipHomes(mMembership, mAddresses),
                         BudgetSettings.defaults(),
                         GrantPolicy.DEMAND_HORIZON);
-        mAccounts = new BudgetAdmin(vm, mCalls.lane(CallPriority.URGENT));
+        mAccounts = new BudgetAdmin(vm, mCalls.withPriority(CallPriority.URGENT));
         mRequests =
                 new RequestLedger(
-                        mCalls.lane(CallPriority.URGENT),
-                        mCalls.lane(CallPriority.BACKGROUND),
+                        mCalls.withPriority(CallPriority.URGENT),
+                        mCalls.withPriority(CallPriority.BACKGROUND),
                         network.peerNetwork(),
                         vm,
                         ShardOwners.rendezvous(this::liveVms),
@@ -196,7 +196,7 @@
 
     /** Returns the platform for reads that can wait. */
     Platform backgroundPlatform() {
-        return mCalls.lane(CallPriority.BACKGROUND);
+        return mCalls.withPriority(CallPriority.BACKGROUND);
     }
 
     BudgetAdmin accounts() {
@@ -223,7 +223,7 @@
         return mQueues;
     }
 
-    CallBudget calls() {
+    CallRateLimiter calls() {
         return mCalls;
     }
 }
--- a/router/src/main/java/org/hornbeampass/router/daemon/RouterDaemon.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/RouterDaemon.java
@@ -185,7 +185,7 @@
                             "this router shuts down; send the request to another address",
                             0));
         }
-        return mParts.config().notReady().or(() -> mParts.requests().notReady());
+        return mParts.config().readinessFailure().or(() -> mParts.requests().notReady());
     }
 
     /**
--- a/router/src/main/java/org/hornbeampass/router/daemon/StoreViews.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/StoreViews.java
@@ -3,7 +3,7 @@
 import org.hornbeampass.coordination.membership.MembershipListener;
 import org.hornbeampass.coordination.news.NewsExchange;
 import org.hornbeampass.coordination.peer.PeerNetwork;
-import org.hornbeampass.coordination.platform.MissedChanges;
+import org.hornbeampass.coordination.platform.CatchUpMode;
 import org.hornbeampass.coordination.platform.Platform;
 import org.hornbeampass.coordination.platform.PlatformReply.Change;
 import org.hornbeampass.coordination.platform.RetryPolicy;
@@ -81,7 +81,7 @@
         mConfig =
                 view(
                         configPrefix,
-                        MissedChanges.SKIPPED,
+                        CatchUpMode.NEWEST_VERSION,
                         (nowMs, change) -> {
                             onConfig.accept(nowMs, change);
                             configNews().onChange(nowMs, change.version());
@@ -89,7 +89,7 @@
         mUpstreams =
                 view(
                         upstreamPrefix,
-                        MissedChanges.REPLAYED,
+                        CatchUpMode.ALL_VERSIONS,
                         (nowMs, change) -> {
                             onUpstream.accept(nowMs, change);
                             upstreamsNews().onChange(nowMs, change.version());
@@ -114,7 +114,7 @@
                         (nowMs, name) -> mNews.askNow(nowMs, upstreamPrefix, name));
     }
 
-    private WatchedView view(String prefix, MissedChanges missed, BiConsumer<Long, Change> taker) {
+    private WatchedView view(String prefix, CatchUpMode missed, BiConsumer<Long, Change> taker) {
         return new WatchedView(
                 mStore,
                 prefix,
@@ -147,7 +147,7 @@
      */
     boolean configMayBeBehind(long nowMs) {
         return mConfigNews.behind(nowMs)
-                || mConfig.receiving(nowMs)
+                || mConfig.isReceiving(nowMs)
                 || mConfig.failingForMs(nowMs) >= NewsExchange.SILENCE_MS;
     }
 
@@ -165,8 +165,8 @@
         }
         mWatchAnewAtMs = Long.MAX_VALUE;
         mWatchedAnewMs = nowMs;
-        mConfig.watchAnew(nowMs);
-        mUpstreams.watchAnew(nowMs);
+        mConfig.restartWatch(nowMs);
+        mUpstreams.restartWatch(nowMs);
     }
 
     /** Returns what answers other VMs' questions. */
--- a/router/src/main/java/org/hornbeampass/router/relay/RelayAttempts.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/RelayAttempts.java
@@ -335,7 +335,7 @@
     /** The caller is gone: what may not be repeated runs on, so that its outcome is known. */
     void onCallerGone(long nowMs) {
         boolean sent = mConnection.isPresent();
-        if (sent && !mPlan.route().kind().cancelsWithCaller()) {
+        if (sent && !mPlan.route().kind().cancelsOnCallerDisconnect()) {
             return;
         }
         dropConnection();
--- a/router/src/main/java/org/hornbeampass/router/relay/RelayCall.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/RelayCall.java
@@ -115,7 +115,7 @@
     }
 
     private Optional<Failure> authorise(long nowMs, RouteTable routes) {
-        if (mRoute.get().open() || !routes.checksKeys()) {
+        if (mRoute.get().allowsAnonymous() || !routes.checksKeys()) {
             return Optional.empty();
         }
         mOrganisation = mHead.apiKey().flatMap(routes::organisationOf);
--- a/router/src/main/java/org/hornbeampass/router/upstream/HttpAttempt.java
+++ b/router/src/main/java/org/hornbeampass/router/upstream/HttpAttempt.java
@@ -10,7 +10,7 @@
 import org.hornbeampass.router.flow.AttemptListener;
 import org.hornbeampass.router.flow.UpstreamAnswer;
 import org.hornbeampass.state.UpstreamId;
-import org.hornbeampass.state.upstream.Evidence;
+import org.hornbeampass.state.upstream.LeavingEvidence;
 import org.hornbeampass.transport.http.HttpClient;
 
 import java.io.ByteArrayOutputStream;
@@ -133,7 +133,7 @@
                     .onLeaving(
                             nowMs(),
                             mChoice.upstream(),
-                            Evidence.UPSTREAM_WORD,
+                            LeavingEvidence.UPSTREAM_REPORT,
                             mChoice.incarnation());
         }
     }
--- a/standins/src/main/java/org/hornbeampass/standin/engine/Completions.java
+++ b/standins/src/main/java/org/hornbeampass/standin/engine/Completions.java
@@ -139,7 +139,8 @@
                         exchange.header(EngineHeaders.ATTEMPT_ID).orElse(nameless),
                         priority.orElse(DEFAULT_PRIORITY),
                         new EngineJob.Prompt(
-                                PromptTokens.of(prompt.length()), PromptTokens.blockHashes(prompt)),
+                                PromptTokens.count(prompt.length()),
+                                PromptTokens.blockHashes(prompt)),
                         new EngineJob.Answer(
                                 AnswerText.tag(requestId, prompt),
                                 from.getAsInt(),
--- a/standins/src/test/java/org/hornbeampass/standin/engine/EngineModelTest.java
+++ b/standins/src/test/java/org/hornbeampass/standin/engine/EngineModelTest.java
@@ -202,7 +202,7 @@
                 attempt,
                 priority,
                 new EngineJob.Prompt(
-                        PromptTokens.of(prompt.length()), PromptTokens.blockHashes(prompt)),
+                        PromptTokens.count(prompt.length()), PromptTokens.blockHashes(prompt)),
                 new EngineJob.Answer(attempt, from, end, false));
     }
 }
--- a/transport/src/main/java/org/hornbeampass/transport/platform/HttpPlatform.java
+++ b/transport/src/main/java/org/hornbeampass/transport/platform/HttpPlatform.java
@@ -53,7 +53,7 @@
     }
 
     private HttpClient.Request request(PlatformCall call, URI address) {
-        long waitMs = call instanceof PlatformCall.Watch watch ? watch.atMost().toMillis() : 0;
+        long waitMs = call instanceof PlatformCall.Watch watch ? watch.maxWait().toMillis() : 0;
         return new HttpClient.Request(
                 PlatformCodec.method(call),
                 address.resolve(PlatformCodec.path(call)),
--- a/transport/src/main/java/org/hornbeampass/transport/platform/PlatformCodec.java
+++ b/transport/src/main/java/org/hornbeampass/transport/platform/PlatformCodec.java
@@ -50,7 +50,8 @@
             return PlatformPaths.objectAt(delete.key(), delete.expectedVersion());
         }
         PlatformCall.Watch watch = (PlatformCall.Watch) call;
-        return PlatformPaths.watch(watch.prefix(), watch.afterVersion(), watch.atMost().toMillis());
+        return PlatformPaths.watch(
+                watch.prefix(), watch.afterVersion(), watch.maxWait().toMillis());
     }
 
     static byte[] body(PlatformCall call) {
