--- a/coordination/src/main/java/org/hornbeampass/coordination/config/ConfigEntry.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/config/ConfigEntry.java
@@ -6,14 +6,14 @@
 import java.util.Objects;
 
 /**
- * One accepted change in its place in the log.
+ * One accepted configuration change with its position in the log.
  *
  * <p>Immutable; safe for use by any thread.
  *
- * @param revision its place in the one order, from 1
- * @param proposer the VM that wrote it
- * @param proposal the proposer's number of it, unique per proposer
- * @param previous the history's hash before it; empty before the first one
+ * @param revision the position in the log, from 1, which is the revision that the change produces
+ * @param proposer the VM that proposed the change
+ * @param proposal the proposer's sequence number for the change, unique per proposer
+ * @param previous the hash of the history before this entry; empty for the first entry
  * @param change the change
  */
 record ConfigEntry(
--- a/coordination/src/main/java/org/hornbeampass/coordination/config/ConfigHistory.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/config/ConfigHistory.java
@@ -16,37 +16,37 @@
 import java.util.TreeMap;
 
 /**
- * The changes that one VM has applied: the present configuration and the newest entries.
+ * The changes that one VM has applied: the current configuration and the most recent entries.
  *
- * <p>Invariants: the revision never falls; an entry is applied only as the next one and only if it
- * names the hash of this very history, so two histories that once differed never mix. Not
- * thread-safe: guarded by the lock of {@link ConfigStore}.
+ * <p>Invariants: the revision never decreases; an entry is applied only if its revision is the next
+ * one and it names the hash of this history, so entries of two histories that differ are never
+ * combined. Not thread-safe: guarded by the lock of {@link ConfigStore}.
  */
 final class ConfigHistory {
     private static final int HASH_CHARS = 32;
 
-    private final int mKeep;
-    private final TreeMap<Long, Kept> mKept = new TreeMap<>();
+    private final int mMaxEntries;
+    private final TreeMap<Long, AppliedEntry> mEntries = new TreeMap<>();
     private ConfigSnapshot mSnapshot = ConfigSnapshot.empty();
     private String mHash = "";
 
-    /** What came of an entry. */
+    /** The result of applying an entry. */
     enum Outcome {
-        /** It was the next one and is applied. */
+        /** The entry was the next one and has been applied. */
         APPLIED,
-        /** It was applied before. */
+        /** The entry had been applied before. */
         KNOWN,
-        /** Entries before it are missing. */
+        /** Entries between the current revision and this one are missing. */
         GAP,
-        /** It belongs to another history, or can't be read. */
+        /** The entry belongs to another history or can't be decoded. */
         FOREIGN
     }
 
-    /** One applied entry with its text as it stands on the platform. */
-    record Kept(ConfigEntry entry, String text, String hashAfter) {}
+    /** An applied entry with its text as stored on the platform. */
+    record AppliedEntry(ConfigEntry entry, String text, String hashAfter) {}
 
     ConfigHistory(int keep) {
-        mKeep = keep;
+        mMaxEntries = keep;
     }
 
     ConfigSnapshot snapshot() {
@@ -57,37 +57,37 @@
         return mSnapshot.revision();
     }
 
-    /** Returns the hash of the whole history up to now. */
+    /** Returns the hash of the history up to the current revision. */
     String hash() {
         return mHash;
     }
 
-    /** Returns an applied entry, where it is still kept. */
+    /** Returns an applied entry; empty if it is no longer kept. */
     Optional<ConfigEntry> entry(long revision) {
-        return Optional.ofNullable(mKept.get(revision)).map(Kept::entry);
+        return Optional.ofNullable(mEntries.get(revision)).map(AppliedEntry::entry);
     }
 
-    /** Returns the hash after a revision; empty where it is no longer known. */
+    /** Returns the hash of the history up to a revision; empty if it is no longer known. */
     Optional<String> hashAt(long revision) {
         if (revision == revision()) {
             return Optional.of(mHash);
         }
-        Kept kept = mKept.get(revision);
+        AppliedEntry kept = mEntries.get(revision);
         if (kept != null) {
             return Optional.of(kept.hashAfter());
         }
-        return Optional.ofNullable(mKept.get(revision + 1)).map(k -> k.entry().previous());
+        return Optional.ofNullable(mEntries.get(revision + 1)).map(k -> k.entry().previous());
     }
 
-    /** Tells what applying an entry would come to, without doing it. */
-    Outcome peek(String text) {
+    /** Returns the result that applying an entry would have, without applying it. */
+    Outcome classify(String text) {
         Either<Failure, ConfigEntry> decoded = Json.decode(text, ConfigEntry.class);
-        return decoded.isLeft() ? Outcome.FOREIGN : place(decoded.get(), text);
+        return decoded.isLeft() ? Outcome.FOREIGN : classifyDecoded(decoded.get(), text);
     }
 
-    private Outcome place(ConfigEntry entry, String text) {
+    private Outcome classifyDecoded(ConfigEntry entry, String text) {
         if (entry.revision() <= revision()) {
-            Kept kept = mKept.get(entry.revision());
+            AppliedEntry kept = mEntries.get(entry.revision());
             return kept == null || kept.text().equals(text) ? Outcome.KNOWN : Outcome.FOREIGN;
         }
         if (entry.revision() > revision() + 1) {
@@ -97,39 +97,42 @@
     }
 
     Outcome apply(String text) {
-        Outcome outcome = peek(text);
+        Outcome outcome = classify(text);
         if (outcome != Outcome.APPLIED) {
             return outcome;
         }
         ConfigEntry entry = Json.decode(text, ConfigEntry.class).get();
         mSnapshot = mSnapshot.with(entry.change());
         mHash = hash(mHash, text);
-        mKept.put(entry.revision(), new Kept(entry, text, mHash));
-        while (mKept.size() > mKeep) {
-            mKept.pollFirstEntry();
+        mEntries.put(entry.revision(), new AppliedEntry(entry, text, mHash));
+        while (mEntries.size() > mMaxEntries) {
+            mEntries.pollFirstEntry();
         }
         return Outcome.APPLIED;
     }
 
-    /** Starts from a snapshot; ignored unless it is newer than what is applied. */
+    /** Replaces the history by a snapshot; returns false if the snapshot is not newer. */
     boolean reset(ConfigSnapshot snapshot, String hash) {
         if (snapshot.revision() <= revision()) {
             return false;
         }
         mSnapshot = snapshot;
         mHash = hash;
-        mKept.clear();
+        mEntries.clear();
         return true;
     }
 
-    /** Returns the texts of the entries after a revision, the first in any case, within a size. */
+    /**
+     * Returns the texts of the entries after a revision up to a size, but at least one if any is
+     * kept.
+     */
     List<String> textsAfter(long revision, int maxBytes) {
         List<String> texts = new ArrayList<>();
         int bytes = 0;
-        if (!mKept.containsKey(revision + 1)) {
+        if (!mEntries.containsKey(revision + 1)) {
             return texts;
         }
-        for (Kept kept : mKept.tailMap(revision, false).values()) {
+        for (AppliedEntry kept : mEntries.tailMap(revision, false).values()) {
             bytes += kept.text().length();
             if (!texts.isEmpty() && bytes > maxBytes) {
                 break;
@@ -139,7 +142,7 @@
         return texts;
     }
 
-    /** Returns the hash of a history with one further entry. */
+    /** Returns the hash of a history with one more entry. */
     static String hash(String before, String text) {
         try {
             MessageDigest digest = MessageDigest.getInstance("SHA-256");
@@ -147,7 +150,7 @@
             byte[] hash = digest.digest(text.getBytes(StandardCharsets.UTF_8));
             return HexFormat.of().formatHex(hash).substring(0, HASH_CHARS);
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("this Java lacks SHA-256", e);
+            throw new IllegalStateException("this Java runtime does not provide SHA-256", e);
         }
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/config/ConfigListener.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/config/ConfigListener.java
@@ -3,15 +3,15 @@
 import org.hornbeampass.state.config.ConfigSnapshot;
 
 /**
- * Hears of newly applied configurations.
+ * Receives each newly applied configuration.
  *
- * <p>Called with no lock of the store held, on the thread that applied the change; calls may
- * overlap and come in either order, so a listener that keeps state compares revisions.
+ * <p>Called on the thread that applied the change, without a lock of the store held. Calls may be
+ * concurrent and out of order, so a listener that keeps state must compare revisions.
  */
 @FunctionalInterface
 public interface ConfigListener {
     /**
-     * A newer configuration is in force on this VM.
+     * Called when a newer configuration has been applied on this VM.
      *
      * @param nowMs the present time in milliseconds
      * @param snapshot the configuration
--- a/coordination/src/main/java/org/hornbeampass/coordination/config/ConfigRoles.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/config/ConfigRoles.java
@@ -14,12 +14,13 @@
 import java.util.stream.Collectors;
 
 /**
- * Decides by rendezvous hashing which VM of each failure domain watches the platform's log, which
- * one collects reports, and which one of the fleet writes snapshots.
+ * Chooses by rendezvous hashing, for each failure domain, the VM that watches the log on the
+ * platform and the VM that collects revision reports, and for the whole fleet the VM that writes
+ * snapshots.
  *
- * <p>A wrong choice, as two VMs with other views make it, costs calls and nothing else. Not
- * thread-safe: guarded by the lock of {@link ConfigStore}; the choice is kept for as long as the
- * view is the same.
+ * <p>VMs with different membership views may choose differently; this costs additional calls but no
+ * correctness. The choice is cached until the membership view changes. Not thread-safe: guarded by
+ * the lock of {@link ConfigStore}.
  */
 final class ConfigRoles {
     private static final String WATCHER = "config-watcher";
@@ -29,49 +30,53 @@
     private final VmId mSelf;
     private final Supplier<MembershipView> mView;
     private final Map<FailureDomain, VmId> mCollectors = new HashMap<>();
-    private MembershipView mChosenIn;
-    private boolean mWatches;
-    private boolean mWritesSnapshots;
+    private MembershipView mChosenForView;
+    private boolean mIsWatcher;
+    private boolean mIsSnapshotWriter;
 
     ConfigRoles(VmId self, Supplier<MembershipView> view) {
         mSelf = self;
         mView = view;
     }
 
-    boolean watches() {
-        choose();
-        return mWatches;
+    boolean isWatcher() {
+        chooseRoles();
+        return mIsWatcher;
     }
 
-    boolean writesSnapshots() {
-        choose();
-        return mWritesSnapshots;
+    boolean isSnapshotWriter() {
+        chooseRoles();
+        return mIsSnapshotWriter;
     }
 
-    /** Returns the collector of a failure domain; empty where no VM of it is live. */
+    /**
+     * Returns the VM that collects the reports of a failure domain; empty if none of its VMs is
+     * live.
+     */
     Optional<VmId> collector(FailureDomain domain) {
-        choose();
+        chooseRoles();
         return Optional.ofNullable(mCollectors.get(domain));
     }
 
-    private void choose() {
+    private void chooseRoles() {
         MembershipView view = mView.get();
-        if (view == mChosenIn) {
+        if (view == mChosenForView) {
             return;
         }
-        mChosenIn = view;
+        mChosenForView = view;
         Map<FailureDomain, List<Member>> domains =
                 view.live().stream().collect(Collectors.groupingBy(Member::domain));
-        List<Member> near = domains.getOrDefault(view.self().domain(), List.of());
-        mWatches = first(WATCHER, near).filter(mSelf::equals).isPresent();
-        mWritesSnapshots = first(SNAPSHOT_WRITER, view.live()).filter(mSelf::equals).isPresent();
+        List<Member> sameDomain = domains.getOrDefault(view.self().domain(), List.of());
+        mIsWatcher = chooseVm(WATCHER, sameDomain).filter(mSelf::equals).isPresent();
+        mIsSnapshotWriter =
+                chooseVm(SNAPSHOT_WRITER, view.live()).filter(mSelf::equals).isPresent();
         mCollectors.clear();
         domains.forEach(
                 (domain, members) ->
-                        first(COLLECTOR, members).ifPresent(vm -> mCollectors.put(domain, vm)));
+                        chooseVm(COLLECTOR, members).ifPresent(vm -> mCollectors.put(domain, vm)));
     }
 
-    private static Optional<VmId> first(String role, List<Member> members) {
+    private static Optional<VmId> chooseVm(String role, List<Member> members) {
         Optional<String> name =
                 RendezvousHash.choose(role, members.stream().map(Member::name).toList());
         return members.stream()
--- a/coordination/src/main/java/org/hornbeampass/coordination/config/ConfigSettings.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/config/ConfigSettings.java
@@ -3,21 +3,22 @@
 import java.time.Duration;
 
 /**
- * The intervals and bounds of the configuration's spread.
+ * Intervals and limits for distributing the configuration.
  *
  * <p>Times are in milliseconds unless typed. Immutable; safe for use by any thread.
  *
- * @param pullTimeoutMs how long a peer's reply may take
- * @param maxWatchWait how long one watch on the platform's log waits
- * @param retryDelayMs how long to wait before a failed platform call or pull is repeated
- * @param pollIntervalMs how often a VM that does not watch reads the platform's log
- * @param proposalTimeoutMs how long a proposal may stay open before it is answered as unknown
- * @param retainedEntries how many of the newest changes a VM keeps for its peers
- * @param maxPullBytes the largest size of the changes in one reply to a pull
- * @param changesPerSnapshot how many changes lie between two snapshots on the platform
- * @param reportIntervalMs how often a VM reports its revision even where it did not change
- * @param minStartPeers how many peers must answer before a VM that can't reach the platform is
- *     ready
+ * @param pullTimeoutMs how long to wait for a peer's reply
+ * @param maxWatchWait how long one watch on the platform's log waits for a change
+ * @param retryDelayMs how long to wait before a failed platform call or pull is retried
+ * @param pollIntervalMs how often a VM that does not watch the log reads it
+ * @param proposalTimeoutMs how long a proposal may be pending before it fails with {@code
+ *     OUTCOME_UNKNOWN}
+ * @param retainedEntries how many of the most recent changes a VM keeps for its peers
+ * @param maxPullBytes the maximum size of the changes in one reply to a pull, in bytes
+ * @param changesPerSnapshot how many changes there are between two snapshots on the platform
+ * @param reportIntervalMs how often a VM reports its revision when it has not changed
+ * @param minStartPeers how many ready peers must answer before a VM that can't reach the platform
+ *     becomes ready
  */
 public record ConfigSettings(
         long pullTimeoutMs,
--- a/coordination/src/main/java/org/hornbeampass/coordination/config/ConfigSnapshots.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/config/ConfigSnapshots.java
@@ -19,12 +19,13 @@
 import java.util.function.BiConsumer;
 
 /**
- * Reads and writes whole configurations on the platform, cut into parts below its largest value.
+ * Reads and writes configuration snapshots on the platform, split into parts that fit the
+ * platform's maximum value size.
  *
- * <p>Invariants: the parts of a snapshot are written under the writer's own prefix before the
- * manifest names them, so a reader never sees half of one; the manifest's revision only grows; the
- * parts of the manifest before the last one stay, for readers that are under way. Thread-safe:
- * holds no state.
+ * <p>Invariants: the parts of a snapshot are written under a prefix of the writer before the
+ * manifest refers to them, so a reader never sees an incomplete snapshot; the manifest's revision
+ * only increases; the parts of the previous snapshot are kept for readers that have read the
+ * previous manifest. Stateless and thread-safe.
  */
 final class ConfigSnapshots {
     static final String MANIFEST_KEY = "config/snapshot/latest";
@@ -38,24 +39,24 @@
         mSelf = self;
     }
 
-    /** A whole configuration with the hash of the history up to it. */
-    record Loaded(ConfigSnapshot snapshot, String hash) {}
+    /** A configuration with the hash of the history up to its revision. */
+    record HashedSnapshot(ConfigSnapshot snapshot, String hash) {}
 
-    /** Where the parts of one snapshot stand. */
+    /** The location of the parts of one snapshot. */
     record Parts(long revision, String prefix, int count) {
         String key(int part) {
             return prefix + "/" + part;
         }
     }
 
-    /** The newest snapshot, and the one before it, whose parts are still there. */
+    /** The newest snapshot and the previous one, whose parts are still stored. */
     record Manifest(Parts parts, String hash, Optional<Parts> previous) {}
 
     /** One part of a snapshot's JSON text. */
     record Part(String text) {}
 
-    /** Loads the newest snapshot; empty where none was written yet. */
-    void load(long nowMs, BiConsumer<Long, Either<Failure, Optional<Loaded>>> done) {
+    /** Loads the newest snapshot; empty if none has been written yet. */
+    void load(long nowMs, BiConsumer<Long, Either<Failure, Optional<HashedSnapshot>>> done) {
         mPlatform.submit(
                 nowMs,
                 new PlatformCall.Get(MANIFEST_KEY),
@@ -64,7 +65,7 @@
                         done.accept(atMs, Either.right(Optional.empty()));
                         return;
                     }
-                    Either<Failure, Manifest> manifest = found(reply, Manifest.class);
+                    Either<Failure, Manifest> manifest = decodeFound(reply, Manifest.class);
                     if (manifest.isLeft()) {
                         done.accept(atMs, Either.left(manifest.getLeft()));
                         return;
@@ -77,7 +78,7 @@
             long nowMs,
             Manifest manifest,
             List<String> texts,
-            BiConsumer<Long, Either<Failure, Optional<Loaded>>> done) {
+            BiConsumer<Long, Either<Failure, Optional<HashedSnapshot>>> done) {
         if (texts.size() == manifest.parts().count()) {
             done.accept(nowMs, decode(String.join("", texts), manifest.hash()).map(Optional::of));
             return;
@@ -86,7 +87,7 @@
                 nowMs,
                 new PlatformCall.Get(manifest.parts().key(texts.size())),
                 (atMs, reply) -> {
-                    Either<Failure, Part> part = found(reply, Part.class);
+                    Either<Failure, Part> part = decodeFound(reply, Part.class);
                     if (part.isLeft()) {
                         done.accept(atMs, Either.left(part.getLeft()));
                         return;
@@ -96,28 +97,31 @@
                 });
     }
 
-    static Either<Failure, Loaded> decode(String text, String hash) {
-        return Json.decode(text, ConfigSnapshot.class).map(s -> new Loaded(s, hash));
+    static Either<Failure, HashedSnapshot> decode(String text, String hash) {
+        return Json.decode(text, ConfigSnapshot.class).map(s -> new HashedSnapshot(s, hash));
     }
 
-    private static <T> Either<Failure, T> found(PlatformReply reply, Class<T> type) {
+    private static <T> Either<Failure, T> decodeFound(PlatformReply reply, Class<T> type) {
         if (reply instanceof PlatformReply.Found found) {
             return Json.decode(found.object().value(), type);
         }
         return Either.left(
                 Failure.of(
                         ErrorKind.PLATFORM_UNAVAILABLE,
-                        "the platform gave no snapshot: " + reply.getClass().getSimpleName()));
+                        "could not read a snapshot from the platform: "
+                                + reply.getClass().getSimpleName()));
     }
 
     /**
-     * Writes a snapshot unless a newer one is there.
+     * Writes a snapshot unless a newer one is stored.
      *
      * @param nowMs the present time in milliseconds
-     * @param loaded the configuration and its history's hash
-     * @param done takes the manifest that stood before, where this one took its place
+     * @param loaded the configuration and the hash of its history
+     * @param done receives the time in milliseconds and the manifest that is now stored: the new
+     *     one, or the stored one if it is at least as new
      */
-    void write(long nowMs, Loaded loaded, BiConsumer<Long, Either<Failure, Manifest>> done) {
+    void write(
+            long nowMs, HashedSnapshot loaded, BiConsumer<Long, Either<Failure, Manifest>> done) {
         long revision = loaded.snapshot().revision();
         List<String> texts = split(Json.encode(loaded.snapshot()));
         String prefix = String.format(Locale.ROOT, "config/snapshot/%012d-%s", revision, mSelf);
@@ -155,16 +159,16 @@
                 nowMs,
                 new PlatformCall.Create(parts.key(index), value),
                 (atMs, reply) -> {
-                    boolean stands =
+                    boolean isStored =
                             reply instanceof PlatformReply.Written
                                     || (reply instanceof PlatformReply.Conflict conflict
                                             && conflict.current()
                                                     .filter(o -> o.value().equals(value))
                                                     .isPresent());
-                    if (stands) {
+                    if (isStored) {
                         writePart(atMs, texts, index + 1, parts, hash, done);
                     } else {
-                        done.accept(atMs, Either.left(notWritten(reply)));
+                        done.accept(atMs, Either.left(writeFailure(reply)));
                     }
                 });
     }
@@ -182,10 +186,10 @@
                         Manifest first = new Manifest(parts, hash, Optional.empty());
                         PlatformCall create =
                                 new PlatformCall.Create(MANIFEST_KEY, Json.encode(first));
-                        putManifest(atMs, create, first, done);
+                        writeManifest(atMs, create, first, done);
                         return;
                     }
-                    Either<Failure, Manifest> stored = found(reply, Manifest.class);
+                    Either<Failure, Manifest> stored = decodeFound(reply, Manifest.class);
                     if (stored.isLeft()) {
                         done.accept(atMs, Either.left(stored.getLeft()));
                         return;
@@ -209,7 +213,7 @@
         Manifest next = new Manifest(parts, hash, Optional.of(stored.parts()));
         PlatformCall update =
                 new PlatformCall.Update(MANIFEST_KEY, Json.encode(next), object.version());
-        putManifest(
+        writeManifest(
                 nowMs,
                 update,
                 next,
@@ -221,7 +225,7 @@
                 });
     }
 
-    private void putManifest(
+    private void writeManifest(
             long nowMs,
             PlatformCall call,
             Manifest manifest,
@@ -234,7 +238,7 @@
                                 atMs,
                                 reply instanceof PlatformReply.Written
                                         ? Either.right(manifest)
-                                        : Either.left(notWritten(reply))));
+                                        : Either.left(writeFailure(reply))));
     }
 
     private void deleteParts(long nowMs, Parts parts, int index) {
@@ -254,7 +258,7 @@
                 });
     }
 
-    private static Failure notWritten(PlatformReply reply) {
+    private static Failure writeFailure(PlatformReply reply) {
         return Failure.of(
                 ErrorKind.PLATFORM_UNAVAILABLE,
                 "the snapshot was not written: " + reply.getClass().getSimpleName());
--- a/coordination/src/main/java/org/hornbeampass/coordination/config/ConfigCore.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/config/ConfigState.java
@@ -12,11 +12,12 @@
 import java.util.function.Supplier;
 
 /**
- * What the parts of the configuration store share.
+ * Holds the state that the parts of {@link ConfigStore} share: their collaborators, the applied
+ * history and the newest known revision.
  *
  * <p>Not thread-safe: guarded by the lock of {@link ConfigStore}.
  */
-final class ConfigCore {
+final class ConfigState {
     static final String LOG_PREFIX = "config/log";
 
     final VmId mSelf;
@@ -25,15 +26,15 @@
     final PeerNetwork mNetwork;
     final ConfigSettings mSettings;
     final Random mRandom;
-    final Outbox.Guard mGuard;
+    final Outbox.Guard mLockGuard;
     final Supplier<MembershipView> mView;
     final ConfigHistory mHistory;
-    private long mNewestHeard;
-    private long mForeign;
+    private long mNewestKnownRevision;
+    private long mForeignEntries;
     private boolean mChanged;
-    private boolean mSnapshotWanted = true;
+    private boolean mSnapshotNeeded = true;
 
-    ConfigCore(
+    ConfigState(
             VmId self,
             Platform platform,
             PeerNetwork network,
@@ -48,25 +49,25 @@
         mView = view;
         mSettings = settings;
         mRandom = random;
-        mGuard = guard;
+        mLockGuard = guard;
         mHistory = new ConfigHistory(settings.retainedEntries());
     }
 
-    long newestHeard() {
-        return Math.max(mNewestHeard, mHistory.revision());
+    long newestKnownRevision() {
+        return Math.max(mNewestKnownRevision, mHistory.revision());
     }
 
-    void heard(long revision) {
-        mNewestHeard = Math.max(mNewestHeard, revision);
+    void noteRevision(long revision) {
+        mNewestKnownRevision = Math.max(mNewestKnownRevision, revision);
     }
 
-    /** Returns how many entries of another history were refused. */
-    long foreign() {
-        return mForeign;
+    /** Returns how many entries were rejected because they belong to another history. */
+    long foreignEntries() {
+        return mForeignEntries;
     }
 
-    void sawForeign() {
-        mForeign++;
+    void countForeignEntry() {
+        mForeignEntries++;
     }
 
     ConfigHistory.Outcome apply(String text) {
@@ -74,38 +75,41 @@
         if (outcome == ConfigHistory.Outcome.APPLIED) {
             mChanged = true;
         } else if (outcome == ConfigHistory.Outcome.FOREIGN) {
-            mForeign++;
+            mForeignEntries++;
         }
         return outcome;
     }
 
-    /** Applies a batch of the platform's log, which holds one change. */
+    /** Applies a batch of the log on the platform, which holds exactly one change. */
     ConfigHistory.Outcome apply(LogBatch batch) {
-        heard(batch.sequence());
+        noteRevision(batch.sequence());
         return apply(batch.entries().isEmpty() ? "" : batch.entries().get(0));
     }
 
-    void reset(ConfigSnapshots.Loaded loaded) {
-        heard(loaded.snapshot().revision());
+    void reset(ConfigSnapshots.HashedSnapshot loaded) {
+        noteRevision(loaded.snapshot().revision());
         if (mHistory.reset(loaded.snapshot(), loaded.hash())) {
             mChanged = true;
         }
     }
 
-    /** Notes that the platform's log no longer reaches back to this VM's revision. */
-    void wantSnapshot() {
-        mSnapshotWanted = true;
+    /**
+     * Requires a snapshot: the log on the platform no longer holds the changes after this VM's
+     * revision.
+     */
+    void requireSnapshot() {
+        mSnapshotNeeded = true;
     }
 
-    boolean snapshotWanted() {
-        return mSnapshotWanted;
+    boolean isSnapshotNeeded() {
+        return mSnapshotNeeded;
     }
 
-    void snapshotLoaded() {
-        mSnapshotWanted = false;
+    void onSnapshotLoaded() {
+        mSnapshotNeeded = false;
     }
 
-    boolean takeChanged() {
+    boolean getAndClearChanged() {
         boolean changed = mChanged;
         mChanged = false;
         return changed;
--- a/coordination/src/main/java/org/hornbeampass/coordination/config/ConfigStore.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/config/ConfigStore.java
@@ -23,38 +23,39 @@
 import java.util.function.Consumer;
 
 /**
- * The configuration of one VM: takes operators' changes into the one order on the platform, and
- * follows that order by watch or by relay from peers.
+ * The configuration of one VM: appends operators' changes to the log on the platform, and follows
+ * that log by a watch or through peers.
  *
- * <p>Invariants: {@link #snapshot()} never goes back to an older revision; a change is answered as
- * accepted only once it stands on the platform, so it outlives every VM; two VMs at the same
- * revision hold the same configuration. Thread-safe: one lock guards all state, and it is released
- * before anything is sent or any callback is run, so no other lock is ever taken while it is held.
+ * <p>Invariants: {@link #snapshot()} never returns an older revision than before; a change is
+ * reported as accepted only after it has been stored on the platform, so it survives the loss of
+ * every VM; two VMs at the same revision have the same configuration. Thread-safe: one lock guards
+ * all state, and it is released before any message is sent or any callback is run, so no other lock
+ * is taken while it is held.
  */
 public final class ConfigStore {
     private final Object mLock = new Object();
     private final List<ConfigListener> mListeners = new CopyOnWriteArrayList<>();
     private final Membership mMembership;
-    private final ConfigCore mCore;
+    private final ConfigState mState;
     private final ConfigRoles mRoles;
     private final ConfigSnapshots mSnapshots;
     private final LogFollower mLogFollower;
     private final PeerFollower mPeerFollower;
-    private final Proposals mProposals;
-    private final RevisionBoard mBoard;
+    private final ProposalQueue mProposals;
+    private final RevisionTracker mRevisionTracker;
     private final SnapshotWriter mSnapshotWriter;
     private volatile ConfigSnapshot mSnapshot = ConfigSnapshot.empty();
     private volatile boolean mReady;
 
     /**
-     * Makes the store of one VM; call {@link #tick} every 100 to 200 ms from then on.
+     * Creates the store of one VM. {@link #tick} must then be called every 100 to 200 ms.
      *
      * @param self this VM
-     * @param platform keeps the order of changes
+     * @param platform stores the log of changes and the snapshots
      * @param network sends messages to other VMs
-     * @param membership tells who is up, and carries the newest revision between VMs
-     * @param settings intervals and bounds
-     * @param random chooses peers and spreads the VMs' timers
+     * @param membership provides the live VMs and announces the newest revision between them
+     * @param settings intervals and limits
+     * @param random chooses peers and adds jitter to timers
      */
     public ConfigStore(
             VmId self,
@@ -64,51 +65,59 @@
             ConfigSettings settings,
             Random random) {
         mMembership = membership;
-        mCore =
-                new ConfigCore(
-                        self, platform, network, membership::view, settings, random, this::locked);
+        mState =
+                new ConfigState(
+                        self,
+                        platform,
+                        network,
+                        membership::view,
+                        settings,
+                        random,
+                        this::runLocked);
         mRoles = new ConfigRoles(self, membership::view);
         mSnapshots = new ConfigSnapshots(platform, self);
-        mLogFollower = new LogFollower(mCore, mRoles, mSnapshots);
-        mPeerFollower = new PeerFollower(mCore);
-        mProposals = new Proposals(mCore);
-        mBoard = new RevisionBoard(mCore, mRoles);
-        mSnapshotWriter = new SnapshotWriter(mCore, mRoles, mSnapshots);
+        mLogFollower = new LogFollower(mState, mRoles, mSnapshots);
+        mPeerFollower = new PeerFollower(mState);
+        mProposals = new ProposalQueue(mState);
+        mRevisionTracker = new RevisionTracker(mState, mRoles);
+        mSnapshotWriter = new SnapshotWriter(mState, mRoles, mSnapshots);
         membership.addListener(
                 new MembershipListener() {
                     @Override
                     public void onRevisionHeard(long nowMs, VmId from, long revision) {
-                        locked(nowMs, o -> mPeerFollower.heard(nowMs, from, revision, o));
+                        runLocked(
+                                nowMs,
+                                o -> mPeerFollower.onRevisionAnnounced(nowMs, from, revision, o));
                     }
                 });
     }
 
-    /** Returns the configuration in force on this VM; never waits. */
+    /** Returns the configuration applied on this VM. Never blocks. */
     public ConfigSnapshot snapshot() {
         return mSnapshot;
     }
 
-    /** Adds a listener, which hears of what is applied from now on. */
+    /** Adds a listener, which receives configurations applied from now on. */
     public void addListener(ConfigListener listener) {
         mListeners.add(listener);
     }
 
-    /** Returns the newest revision that this VM has heard of, applied or not. */
+    /** Returns the newest revision that this VM knows to exist, applied or not. */
     public long newestKnownRevision() {
         synchronized (mLock) {
-            return mCore.newestHeard();
+            return mState.newestKnownRevision();
         }
     }
 
     /**
-     * Returns whether this VM has a configuration that it may serve by: the platform's newest, or
-     * in a platform outage the newest of several peers. Once true it stays true.
+     * Returns whether this VM has a configuration that it may serve requests with: the platform's
+     * newest or, during a platform outage, the newest of several peers. Never becomes false again.
      */
     public boolean ready() {
         return mReady;
     }
 
-    /** Returns why this VM is not ready; empty where it is. */
+    /** Returns why this VM is not ready; empty if it is ready. */
     public Optional<Failure> readinessFailure() {
         if (mReady) {
             return Optional.empty();
@@ -120,24 +129,27 @@
                                 + " check the platform's address and the seeds"));
     }
 
-    /** Returns how many changes of another history were refused; more than 0 needs an operator. */
+    /**
+     * Returns how many changes of another history were rejected; an operator must act if it is
+     * above 0.
+     */
     public long foreignEntries() {
         synchronized (mLock) {
-            return mCore.foreign();
+            return mState.foreignEntries();
         }
     }
 
-    /** Returns whether this VM holds a watch on the platform's log. */
+    /** Returns whether this VM watches the log on the platform. */
     public boolean watching() {
         synchronized (mLock) {
             return mLogFollower.watching();
         }
     }
 
-    /** Returns when the platform last told this VM how far the log goes, in milliseconds. */
+    /** Returns when this VM last received the end of the log from the platform, in milliseconds. */
     public OptionalLong lastConfirmedMs() {
         synchronized (mLock) {
-            return mLogFollower.confirmedMs();
+            return mLogFollower.lastConfirmedMs();
         }
     }
 
@@ -146,19 +158,20 @@
      *
      * @param nowMs the present time in milliseconds
      * @param change the change
-     * @param expectedObjectRevision the revision of the object's last change that the operator saw,
-     *     0 for an object that must not exist; where it is empty, what this VM has in force
-     * @param done takes the time in milliseconds and the change's revision, or: {@code
-     *     REVISION_CONFLICT} naming the revision that won, {@code FIELD_INVALID} or {@code
-     *     NOT_FOUND} saying how to mend it, {@code NOT_READY}, {@code OVERLOADED}, or {@code
-     *     OUTCOME_UNKNOWN} where the platform did not tell in time
+     * @param expectedObjectRevision the revision of the object's last change that the operator
+     *     read, or 0 if the object must not exist; if empty, the object's revision on this VM
+     * @param done receives the time in milliseconds and the change's revision, or one of these
+     *     failures: {@code REVISION_CONFLICT}, naming the object's newer revision; {@code
+     *     FIELD_INVALID} or {@code NOT_FOUND}, saying how to correct the change; {@code NOT_READY};
+     *     {@code OVERLOADED}; or {@code OUTCOME_UNKNOWN} if the platform did not confirm the change
+     *     in time
      */
     public void propose(
             long nowMs,
             ConfigChange change,
             OptionalLong expectedObjectRevision,
             BiConsumer<Long, Either<Failure, Long>> done) {
-        locked(
+        runLocked(
                 nowMs,
                 out -> {
                     Optional<Failure> notReady = readinessFailure();
@@ -169,7 +182,7 @@
                     long expected =
                             expectedObjectRevision.orElseGet(
                                     () ->
-                                            mCore.mHistory
+                                            mState.mHistory
                                                     .snapshot()
                                                     .objectRevision(change.object()));
                     mProposals.add(nowMs, change, expected, done, out);
@@ -177,30 +190,31 @@
     }
 
     /**
-     * Returns which revision each VM that is not gone runs, as far as is known. The first call
-     * starts to ask; call again each second or so while waiting for a revision to be everywhere.
+     * Returns the last reported revision of each VM that is not gone. A call starts querying the
+     * collectors for some seconds, so call it about once a second while waiting for a revision to
+     * reach every VM.
      *
      * @param nowMs the present time in milliseconds
      */
     public List<VmRevision> vmRevisions(long nowMs) {
         synchronized (mLock) {
-            return mBoard.inForce(nowMs);
+            return mRevisionTracker.vmRevisions(nowMs);
         }
     }
 
     /**
-     * Does what is due: platform and peer calls, proposals, reports, snapshots.
+     * Runs what is due: platform and peer calls, proposals, reports and snapshots.
      *
      * @param nowMs the present time in milliseconds
      */
     public void tick(long nowMs) {
-        locked(
+        runLocked(
                 nowMs,
                 out -> {
                     mLogFollower.tick(nowMs, out);
                     mPeerFollower.tick(nowMs, mReady, out);
                     mProposals.tick(nowMs, out);
-                    mBoard.tick(nowMs, out);
+                    mRevisionTracker.tick(nowMs, out);
                     mSnapshotWriter.tick(nowMs, out);
                 });
     }
@@ -208,10 +222,10 @@
     /** Handles {@link PullRequest}; a {@code PeerHandler}. */
     public void onPullRequest(
             long nowMs, VmId from, PullRequest request, Consumer<PeerMessage> reply) {
-        locked(
+        runLocked(
                 nowMs,
                 out -> {
-                    PullReply answer = mPeerFollower.answer(request, mReady);
+                    PullReply answer = mPeerFollower.handlePull(request, mReady);
                     out.add(() -> reply.accept(answer));
                 });
     }
@@ -219,28 +233,32 @@
     /** Handles {@link SnapshotRequest}; a {@code PeerHandler}. */
     public void onSnapshotRequest(
             long nowMs, VmId from, SnapshotRequest request, Consumer<PeerMessage> reply) {
-        locked(nowMs, out -> mPeerFollower.answerSnapshot(nowMs, request, mReady, reply, out));
+        runLocked(
+                nowMs,
+                out -> mPeerFollower.handleSnapshotRequest(nowMs, request, mReady, reply, out));
     }
 
     /** Handles {@link RevisionReport}, which has no reply; a {@code PeerHandler}. */
     public void onRevisionReport(
             long nowMs, VmId from, RevisionReport report, Consumer<PeerMessage> reply) {
-        locked(nowMs, out -> mBoard.take(nowMs, from, report.revision()));
+        runLocked(nowMs, out -> mRevisionTracker.addReport(nowMs, from, report.revision()));
     }
 
     /** Handles {@link RevisionsRequest}; a {@code PeerHandler}. */
     public void onRevisionsRequest(
             long nowMs, VmId from, RevisionsRequest request, Consumer<PeerMessage> reply) {
-        locked(
+        runLocked(
                 nowMs,
                 out -> {
-                    RevisionsReply answer = mBoard.answer(nowMs, request);
+                    RevisionsReply answer = mRevisionTracker.handleRequest(nowMs, request);
                     out.add(() -> reply.accept(answer));
                 });
     }
 
-    /** Runs one step under the lock, and what it leads to after the lock is released. */
-    private void locked(long nowMs, Consumer<Outbox> step) {
+    /**
+     * Runs a step under the lock, and the sends and callbacks that it queued after releasing it.
+     */
+    private void runLocked(long nowMs, Consumer<Outbox> step) {
         Outbox out = new Outbox();
         synchronized (mLock) {
             step.accept(out);
@@ -250,20 +268,20 @@
     }
 
     private void publish(long nowMs, Outbox out) {
-        if (mCore.takeChanged()) {
-            ConfigSnapshot snapshot = mCore.mHistory.snapshot();
+        if (mState.getAndClearChanged()) {
+            ConfigSnapshot snapshot = mState.mHistory.snapshot();
             mSnapshot = snapshot;
-            mBoard.forgetOld();
+            mRevisionTracker.dropFormerIncarnations();
             out.add(() -> mMembership.announceRevision(nowMs, snapshot.revision()));
             out.add(() -> mListeners.forEach(l -> l.onChange(nowMs, snapshot)));
         }
-        mReady |= mLogFollower.reachedEnd() || enoughPeers();
+        mReady |= mLogFollower.reachedEnd() || hasEnoughPeers();
     }
 
-    private boolean enoughPeers() {
+    private boolean hasEnoughPeers() {
         int peers = mMembership.view().members().size() - 1;
-        int wanted = Math.max(1, Math.min(mCore.mSettings.minStartPeers(), peers));
-        return mPeerFollower.answered() >= wanted
-                && mCore.mHistory.revision() >= mCore.newestHeard();
+        int required = Math.max(1, Math.min(mState.mSettings.minStartPeers(), peers));
+        return mPeerFollower.readyPeerCount() >= required
+                && mState.mHistory.revision() >= mState.newestKnownRevision();
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/config/LogFollower.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/config/LogFollower.java
@@ -15,192 +15,198 @@
 import java.util.OptionalLong;
 
 /**
- * Follows the platform's log: by a waiting watch where this VM is chosen to, otherwise by a slow
- * poll; begins with the newest snapshot.
+ * Follows the log on the platform, starting from the newest snapshot: by a watch if this VM is the
+ * watcher of its failure domain, otherwise by polling at long intervals.
  *
- * <p>Invariant: at most one call is under way. Not thread-safe: guarded by the lock of {@link
+ * <p>Invariant: at most one call is in progress. Not thread-safe: guarded by the lock of {@link
  * ConfigStore}.
  */
 final class LogFollower {
     private static final int READ_LIMIT = 32;
-    private static final long NO_POSITION = -1;
-    private static final String PAST_ALL_KEYS = ConfigCore.LOG_PREFIX + "/~~";
+    private static final long NO_VERSION = -1;
+    private static final String PAST_ALL_KEYS = ConfigState.LOG_PREFIX + "/~~";
 
-    private final ConfigCore mCore;
+    private final ConfigState mState;
     private final ConfigRoles mRoles;
     private final ConfigSnapshots mSnapshots;
-    private boolean mBusy;
+    private boolean mCallInProgress;
     private boolean mReadDue = true;
     private boolean mReachedEnd;
-    private long mWatchFrom = NO_POSITION;
-    private long mNotBeforeMs;
+    private long mWatchVersion = NO_VERSION;
+    private long mNextCallMs;
     private long mNextPollMs;
-    private OptionalLong mConfirmedMs = OptionalLong.empty();
+    private OptionalLong mLastConfirmedMs = OptionalLong.empty();
 
-    LogFollower(ConfigCore core, ConfigRoles roles, ConfigSnapshots snapshots) {
-        mCore = core;
+    LogFollower(ConfigState state, ConfigRoles roles, ConfigSnapshots snapshots) {
+        mState = state;
         mRoles = roles;
         mSnapshots = snapshots;
     }
 
-    /** Returns whether the log was once read up to its end. */
+    /** Returns whether the log has been read up to its end at least once. */
     boolean reachedEnd() {
         return mReachedEnd;
     }
 
-    /** Returns when the platform last told how far the log goes, in milliseconds. */
-    OptionalLong confirmedMs() {
-        return mConfirmedMs;
+    /** Returns when the platform last answered with the end of the log, in milliseconds. */
+    OptionalLong lastConfirmedMs() {
+        return mLastConfirmedMs;
     }
 
     boolean watching() {
-        return mWatchFrom != NO_POSITION;
+        return mWatchVersion != NO_VERSION;
     }
 
     void tick(long nowMs, Outbox out) {
-        if (mBusy || nowMs < mNotBeforeMs) {
+        if (mCallInProgress || nowMs < mNextCallMs) {
             return;
         }
-        if (mCore.snapshotWanted()) {
+        if (mState.isSnapshotNeeded()) {
             loadSnapshot(nowMs, out);
         } else if (mReadDue) {
             read(nowMs, out);
-        } else if (!mRoles.watches()) {
-            mWatchFrom = NO_POSITION;
-            poll(nowMs);
-        } else if (mWatchFrom == NO_POSITION) {
-            findPosition(nowMs, out);
+        } else if (!mRoles.isWatcher()) {
+            mWatchVersion = NO_VERSION;
+            scheduleRead(nowMs);
+        } else if (mWatchVersion == NO_VERSION) {
+            findWatchVersion(nowMs, out);
         } else {
             watch(nowMs, out);
         }
     }
 
-    private void poll(long nowMs) {
+    private void scheduleRead(long nowMs) {
         if (nowMs >= mNextPollMs) {
-            long pollMs = mCore.mSettings.pollIntervalMs();
-            mNextPollMs = nowMs + pollMs / 2 + mCore.mRandom.nextInt((int) pollMs);
+            long pollMs = mState.mSettings.pollIntervalMs();
+            mNextPollMs = nowMs + pollMs / 2 + mState.mRandom.nextInt((int) pollMs);
             mReadDue = true;
         }
     }
 
-    private void failed(long nowMs) {
-        long retryMs = mCore.mSettings.retryDelayMs();
-        mNotBeforeMs = nowMs + retryMs / 2 + mCore.mRandom.nextInt((int) retryMs);
+    private void scheduleRetry(long nowMs) {
+        long retryMs = mState.mSettings.retryDelayMs();
+        mNextCallMs = nowMs + retryMs / 2 + mState.mRandom.nextInt((int) retryMs);
     }
 
     private void loadSnapshot(long nowMs, Outbox out) {
-        mBusy = true;
+        mCallInProgress = true;
         out.add(
                 () ->
                         mSnapshots.load(
                                 nowMs,
                                 (atMs, loaded) ->
-                                        mCore.mGuard.run(atMs, o -> snapshotLoaded(atMs, loaded))));
+                                        mState.mLockGuard.run(
+                                                atMs, o -> onSnapshotLoaded(atMs, loaded))));
     }
 
-    private void snapshotLoaded(
-            long nowMs, Either<Failure, Optional<ConfigSnapshots.Loaded>> loaded) {
-        mBusy = false;
+    private void onSnapshotLoaded(
+            long nowMs, Either<Failure, Optional<ConfigSnapshots.HashedSnapshot>> loaded) {
+        mCallInProgress = false;
         if (loaded.isLeft()) {
-            failed(nowMs);
+            scheduleRetry(nowMs);
             return;
         }
-        loaded.get().ifPresent(mCore::reset);
-        mCore.snapshotLoaded();
+        loaded.get().ifPresent(mState::reset);
+        mState.onSnapshotLoaded();
         mReadDue = true;
     }
 
     private void read(long nowMs, Outbox out) {
-        mBusy = true;
-        long from = mCore.mHistory.revision() + 1;
+        mCallInProgress = true;
+        long from = mState.mHistory.revision() + 1;
         out.add(
                 () ->
-                        mCore.mLog.read(
+                        mState.mLog.read(
                                 nowMs,
                                 from,
                                 READ_LIMIT,
                                 (atMs, batches) ->
-                                        mCore.mGuard.run(atMs, o -> haveRead(atMs, batches))));
+                                        mState.mLockGuard.run(
+                                                atMs, o -> onLogRead(atMs, batches))));
     }
 
-    private void haveRead(long nowMs, Either<Failure, List<LogBatch>> batches) {
-        mBusy = false;
+    private void onLogRead(long nowMs, Either<Failure, List<LogBatch>> batches) {
+        mCallInProgress = false;
         if (batches.isLeft()) {
             if (batches.getLeft().kind() == ErrorKind.REVISION_CONFLICT) {
-                mCore.wantSnapshot();
+                mState.requireSnapshot();
             }
-            failed(nowMs);
+            scheduleRetry(nowMs);
             return;
         }
-        batches.get().forEach(mCore::apply);
+        batches.get().forEach(mState::apply);
         mReadDue = batches.get().size() >= READ_LIMIT;
         mReachedEnd |= !mReadDue;
-        mConfirmedMs = OptionalLong.of(nowMs);
+        mLastConfirmedMs = OptionalLong.of(nowMs);
     }
 
-    private void findPosition(long nowMs, Outbox out) {
-        mBusy = true;
+    private void findWatchVersion(long nowMs, Outbox out) {
+        mCallInProgress = true;
         PlatformCall call =
-                new PlatformCall.ListObjects(ConfigCore.LOG_PREFIX + "/", PAST_ALL_KEYS, 1);
+                new PlatformCall.ListObjects(ConfigState.LOG_PREFIX + "/", PAST_ALL_KEYS, 1);
         out.add(
                 () ->
-                        mCore.mPlatform.submit(
+                        mState.mPlatform.submit(
                                 nowMs,
                                 call,
                                 (atMs, reply) ->
-                                        mCore.mGuard.run(atMs, o -> positionFound(atMs, reply))));
+                                        mState.mLockGuard.run(
+                                                atMs, o -> onWatchVersionFound(atMs, reply))));
     }
 
-    private void positionFound(long nowMs, PlatformReply reply) {
-        mBusy = false;
+    private void onWatchVersionFound(long nowMs, PlatformReply reply) {
+        mCallInProgress = false;
         if (!(reply instanceof PlatformReply.Listed listed)) {
-            failed(nowMs);
+            scheduleRetry(nowMs);
             return;
         }
-        mWatchFrom = listed.storeVersion();
+        mWatchVersion = listed.storeVersion();
         mReadDue = true;
     }
 
     private void watch(long nowMs, Outbox out) {
-        mBusy = true;
+        mCallInProgress = true;
         PlatformCall call =
                 new PlatformCall.Watch(
-                        ConfigCore.LOG_PREFIX + "/", mWatchFrom, mCore.mSettings.maxWatchWait());
+                        ConfigState.LOG_PREFIX + "/",
+                        mWatchVersion,
+                        mState.mSettings.maxWatchWait());
         out.add(
                 () ->
-                        mCore.mPlatform.submit(
+                        mState.mPlatform.submit(
                                 nowMs,
                                 call,
                                 (atMs, reply) ->
-                                        mCore.mGuard.run(atMs, o -> watched(atMs, reply, o))));
+                                        mState.mLockGuard.run(
+                                                atMs, o -> onWatchReply(atMs, reply, o))));
     }
 
-    private void watched(long nowMs, PlatformReply reply, Outbox out) {
-        mBusy = false;
+    private void onWatchReply(long nowMs, PlatformReply reply, Outbox out) {
+        mCallInProgress = false;
         if (reply instanceof PlatformReply.Changed changed) {
-            mWatchFrom = Math.max(mWatchFrom, changed.upToVersion());
-            mConfirmedMs = OptionalLong.of(nowMs);
+            mWatchVersion = Math.max(mWatchVersion, changed.upToVersion());
+            mLastConfirmedMs = OptionalLong.of(nowMs);
             changed.changes().forEach(this::applyChange);
             tick(nowMs, out);
             return;
         }
         if (reply instanceof PlatformReply.WatchGap) {
-            mWatchFrom = NO_POSITION;
+            mWatchVersion = NO_VERSION;
         }
-        failed(nowMs);
+        scheduleRetry(nowMs);
     }
 
     private void applyChange(PlatformReply.Change change) {
-        if (change.value().isEmpty() || !isBatch(change.key())) {
+        if (change.value().isEmpty() || !isBatchKey(change.key())) {
             return;
         }
         Either<Failure, LogBatch> batch = Json.decode(change.value().get(), LogBatch.class);
-        if (batch.isLeft() || mCore.apply(batch.get()) == ConfigHistory.Outcome.GAP) {
+        if (batch.isLeft() || mState.apply(batch.get()) == ConfigHistory.Outcome.GAP) {
             mReadDue = true;
         }
     }
 
-    private static boolean isBatch(String key) {
+    private static boolean isBatchKey(String key) {
         return Character.isDigit(key.charAt(key.length() - 1));
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/config/PeerFollower.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/config/PeerFollower.java
@@ -20,208 +20,218 @@
 import java.util.function.Consumer;
 
 /**
- * Fetches from peers the changes that this VM heard of but lacks, and serves its own to peers.
+ * Fetches from peers the changes that this VM knows to exist but has not applied, and serves its
+ * own changes to peers.
  *
- * <p>Invariants: at most one request is under way; a change is applied only where it continues this
- * VM's own history, hash by hash, so a peer with another history can't make this one differ. Not
- * thread-safe: guarded by the lock of {@link ConfigStore}.
+ * <p>Invariants: at most one request is in progress; a change is applied only if the chain of
+ * hashes shows that it continues this VM's history, so a peer with another history can't corrupt
+ * it. Not thread-safe: guarded by the lock of {@link ConfigStore}.
  */
 final class PeerFollower {
     private static final int SNAPSHOT_PART_CHARS = 32_768;
-    private static final long SERVED_MS = 30_000;
+    private static final long SERVED_SNAPSHOT_TTL_MS = 30_000;
 
-    private final ConfigCore mCore;
-    private final Map<String, Long> mSources = new TreeMap<>();
-    private final Set<String> mAnswered = new HashSet<>();
-    private boolean mBusy;
-    private long mNotBeforeMs;
-    private ConfigSnapshots.Loaded mServed;
-    private String mServedText = "";
-    private long mServedMs;
+    private final ConfigState mState;
+    private final Map<String, Long> mRevisionsByPeer = new TreeMap<>();
+    private final Set<String> mReadyPeers = new HashSet<>();
+    private boolean mRequestInProgress;
+    private long mNextRequestMs;
+    private ConfigSnapshots.HashedSnapshot mServedSnapshot;
+    private String mServedSnapshotText = "";
+    private long mServedSnapshotMs;
 
-    PeerFollower(ConfigCore core) {
-        mCore = core;
+    PeerFollower(ConfigState state) {
+        mState = state;
     }
 
-    /** Returns how many peers that are ready themselves have answered since the start. */
-    int answered() {
-        return mAnswered.size();
+    /**
+     * Returns how many peers that are ready have answered with a revision that this VM has reached.
+     */
+    int readyPeerCount() {
+        return mReadyPeers.size();
     }
 
-    void heard(long nowMs, VmId from, long revision, Outbox out) {
-        mCore.heard(revision);
-        mSources.put(from.name(), revision);
-        fetchNews(nowMs, out);
+    void onRevisionAnnounced(long nowMs, VmId from, long revision, Outbox out) {
+        mState.noteRevision(revision);
+        mRevisionsByPeer.put(from.name(), revision);
+        fetchMissingChanges(nowMs, out);
     }
 
     void tick(long nowMs, boolean ready, Outbox out) {
-        fetchNews(nowMs, out);
-        if (!ready && !mBusy && nowMs >= mNotBeforeMs) {
-            anyPeer(p -> !mAnswered.contains(p)).ifPresent(p -> pull(nowMs, p, out));
+        fetchMissingChanges(nowMs, out);
+        if (!ready && !mRequestInProgress && nowMs >= mNextRequestMs) {
+            chooseLivePeer(p -> !mReadyPeers.contains(p)).ifPresent(p -> pull(nowMs, p, out));
         }
     }
 
-    private void fetchNews(long nowMs, Outbox out) {
-        long revision = mCore.mHistory.revision();
-        if (mBusy || nowMs < mNotBeforeMs || mCore.newestHeard() <= revision) {
+    private void fetchMissingChanges(long nowMs, Outbox out) {
+        long revision = mState.mHistory.revision();
+        if (mRequestInProgress
+                || nowMs < mNextRequestMs
+                || mState.newestKnownRevision() <= revision) {
             return;
         }
-        mSources.values().removeIf(r -> r <= revision);
+        mRevisionsByPeer.values().removeIf(r -> r <= revision);
         Optional<String> source =
-                mSources.isEmpty() ? anyPeer(p -> true) : pick(new ArrayList<>(mSources.keySet()));
+                mRevisionsByPeer.isEmpty()
+                        ? chooseLivePeer(p -> true)
+                        : chooseRandom(new ArrayList<>(mRevisionsByPeer.keySet()));
         source.ifPresent(p -> pull(nowMs, p, out));
     }
 
-    private Optional<String> anyPeer(java.util.function.Predicate<String> wanted) {
+    private Optional<String> chooseLivePeer(java.util.function.Predicate<String> condition) {
         List<String> live =
-                mCore.mView.get().members().stream()
+                mState.mView.get().members().stream()
                         .filter(m -> m.state() != MemberState.GONE)
                         .map(Member::name)
-                        .filter(name -> !name.equals(mCore.mSelf.name()))
-                        .filter(wanted)
+                        .filter(name -> !name.equals(mState.mSelf.name()))
+                        .filter(condition)
                         .toList();
-        return pick(live);
+        return chooseRandom(live);
     }
 
-    private Optional<String> pick(List<String> names) {
+    private Optional<String> chooseRandom(List<String> names) {
         return names.isEmpty()
                 ? Optional.empty()
-                : Optional.of(names.get(mCore.mRandom.nextInt(names.size())));
+                : Optional.of(names.get(mState.mRandom.nextInt(names.size())));
     }
 
     private void pull(long nowMs, String peer, Outbox out) {
-        PullRequest request = new PullRequest(mCore.mHistory.revision(), mCore.mHistory.hash());
-        ask(nowMs, peer, request, out, (atMs, reply, o) -> pulled(atMs, peer, reply, o));
+        PullRequest request = new PullRequest(mState.mHistory.revision(), mState.mHistory.hash());
+        sendRequest(
+                nowMs, peer, request, out, (atMs, reply, o) -> onPullReply(atMs, peer, reply, o));
     }
 
-    /** Takes a reply with the lock held. */
+    /** Handles a reply with the lock held. */
     @FunctionalInterface
     private interface ReplyHandler {
         void handle(long nowMs, PeerMessage reply, Outbox out);
     }
 
-    private void ask(
+    private void sendRequest(
             long nowMs, String peer, PeerMessage request, Outbox out, ReplyHandler handler) {
-        mBusy = true;
+        mRequestInProgress = true;
         out.add(
                 () ->
-                        mCore.mNetwork.request(
+                        mState.mNetwork.request(
                                 nowMs,
                                 peer,
                                 request,
-                                mCore.mSettings.pullTimeoutMs(),
+                                mState.mSettings.pullTimeoutMs(),
                                 (atMs, reply) ->
-                                        mCore.mGuard.run(
+                                        mState.mLockGuard.run(
                                                 atMs,
-                                                o -> replied(atMs, peer, reply, handler, o))));
+                                                o -> onReply(atMs, peer, reply, handler, o))));
     }
 
-    private void replied(
+    private void onReply(
             long nowMs,
             String peer,
             Either<Failure, PeerMessage> reply,
             ReplyHandler handler,
             Outbox out) {
-        mBusy = false;
+        mRequestInProgress = false;
         if (reply.isLeft()) {
-            failed(nowMs, peer);
+            onPeerFailed(nowMs, peer);
             return;
         }
         handler.handle(nowMs, reply.get(), out);
     }
 
-    private void failed(long nowMs, String peer) {
-        mSources.remove(peer);
-        long retryMs = mCore.mSettings.retryDelayMs();
-        mNotBeforeMs = nowMs + 1 + mCore.mRandom.nextInt((int) retryMs);
+    private void onPeerFailed(long nowMs, String peer) {
+        mRevisionsByPeer.remove(peer);
+        long retryMs = mState.mSettings.retryDelayMs();
+        mNextRequestMs = nowMs + 1 + mState.mRandom.nextInt((int) retryMs);
     }
 
-    private void pulled(long nowMs, String peer, PeerMessage message, Outbox out) {
+    private void onPullReply(long nowMs, String peer, PeerMessage message, Outbox out) {
         if (!(message instanceof PullReply reply)) {
-            failed(nowMs, peer);
+            onPeerFailed(nowMs, peer);
             return;
         }
         if (reply.problem() == PullProblem.FOREIGN) {
-            mCore.sawForeign();
-            failed(nowMs, peer);
+            mState.countForeignEntry();
+            onPeerFailed(nowMs, peer);
             return;
         }
-        mCore.heard(reply.newest());
+        mState.noteRevision(reply.newest());
         if (reply.problem() == PullProblem.TOO_OLD) {
-            askSnapshot(nowMs, peer, 0, new ArrayList<>(), out);
+            requestSnapshotPart(nowMs, peer, 0, new ArrayList<>(), out);
             return;
         }
         if (!applyAll(reply)) {
-            failed(nowMs, peer);
+            onPeerFailed(nowMs, peer);
             return;
         }
-        if (reply.ready() && mCore.mHistory.revision() >= reply.newest()) {
-            mAnswered.add(peer);
+        if (reply.ready() && mState.mHistory.revision() >= reply.newest()) {
+            mReadyPeers.add(peer);
         }
-        fetchNews(nowMs, out);
+        fetchMissingChanges(nowMs, out);
     }
 
-    /** Applies a reply's changes; refuses them all where they don't lead to the hash given. */
+    /**
+     * Applies the changes of a reply; rejects all of them if they don't produce the stated hash.
+     */
     private boolean applyAll(PullReply reply) {
         List<String> texts = new ArrayList<>(reply.entries());
         while (!texts.isEmpty()
-                && mCore.mHistory.peek(texts.get(0)) == ConfigHistory.Outcome.KNOWN) {
+                && mState.mHistory.classify(texts.get(0)) == ConfigHistory.Outcome.KNOWN) {
             texts.remove(0);
         }
         if (texts.isEmpty()) {
-            return reply.newest() <= mCore.mHistory.revision();
+            return reply.newest() <= mState.mHistory.revision();
         }
-        String hash = mCore.mHistory.hash();
+        String hash = mState.mHistory.hash();
         for (String text : texts) {
             hash = ConfigHistory.hash(hash, text);
         }
         if (!hash.equals(reply.hashAfter())) {
-            mCore.sawForeign();
+            mState.countForeignEntry();
             return false;
         }
         for (String text : texts) {
-            if (mCore.apply(text) != ConfigHistory.Outcome.APPLIED) {
+            if (mState.apply(text) != ConfigHistory.Outcome.APPLIED) {
                 return false;
             }
         }
         return true;
     }
 
-    private void askSnapshot(
+    private void requestSnapshotPart(
             long nowMs, String peer, long revision, List<String> texts, Outbox out) {
         SnapshotRequest request = new SnapshotRequest(revision, texts.size());
-        ask(
+        sendRequest(
                 nowMs,
                 peer,
                 request,
                 out,
-                (atMs, reply, o) -> snapshotPart(atMs, peer, reply, texts, o));
+                (atMs, reply, o) -> onSnapshotPart(atMs, peer, reply, texts, o));
     }
 
-    private void snapshotPart(
+    private void onSnapshotPart(
             long nowMs, String peer, PeerMessage message, List<String> texts, Outbox out) {
         if (!(message instanceof SnapshotPart part) || part.parts() == 0) {
-            failed(nowMs, peer);
+            onPeerFailed(nowMs, peer);
             return;
         }
         texts.add(part.text());
         if (texts.size() < part.parts()) {
-            askSnapshot(nowMs, peer, part.revision(), texts, out);
+            requestSnapshotPart(nowMs, peer, part.revision(), texts, out);
             return;
         }
-        Either<Failure, ConfigSnapshots.Loaded> loaded =
+        Either<Failure, ConfigSnapshots.HashedSnapshot> loaded =
                 ConfigSnapshots.decode(String.join("", texts), part.hash());
         if (loaded.isLeft() || loaded.get().snapshot().revision() != part.revision()) {
-            failed(nowMs, peer);
+            onPeerFailed(nowMs, peer);
             return;
         }
-        mCore.reset(loaded.get());
-        fetchNews(nowMs, out);
+        mState.reset(loaded.get());
+        fetchMissingChanges(nowMs, out);
     }
 
-    /** Answers a peer's pull. */
-    PullReply answer(PullRequest request, boolean ready) {
-        ConfigHistory history = mCore.mHistory;
+    /** Returns the reply to a peer's pull. */
+    PullReply handlePull(PullRequest request, boolean ready) {
+        ConfigHistory history = mState.mHistory;
         long newest = history.revision();
         if (request.after() >= newest) {
             boolean foreign = request.after() == newest && !request.hash().equals(history.hash());
@@ -235,36 +245,43 @@
         if (!known.get().equals(request.hash())) {
             return new PullReply(ready, newest, PullProblem.FOREIGN, "", List.of());
         }
-        List<String> texts = history.textsAfter(request.after(), mCore.mSettings.maxPullBytes());
+        List<String> texts = history.textsAfter(request.after(), mState.mSettings.maxPullBytes());
         String hashAfter = history.hashAt(request.after() + texts.size()).orElse("");
         return new PullReply(ready, newest, PullProblem.NONE, hashAfter, texts);
     }
 
-    /** Gives one part of the present configuration; later parts are of the same revision. */
-    void answerSnapshot(
+    /** Replies with one part of a snapshot; later parts are of the revision of the first part. */
+    void handleSnapshotRequest(
             long nowMs,
             SnapshotRequest request,
             boolean ready,
             Consumer<PeerMessage> reply,
             Outbox out) {
-        boolean stale = mServed == null || nowMs - mServedMs > SERVED_MS;
-        if (request.revision() == 0 && stale) {
-            mServed = new ConfigSnapshots.Loaded(mCore.mHistory.snapshot(), mCore.mHistory.hash());
-            mServedText = Json.encode(mServed.snapshot());
-            mServedMs = nowMs;
+        boolean isExpired =
+                mServedSnapshot == null || nowMs - mServedSnapshotMs > SERVED_SNAPSHOT_TTL_MS;
+        if (request.revision() == 0 && isExpired) {
+            mServedSnapshot =
+                    new ConfigSnapshots.HashedSnapshot(
+                            mState.mHistory.snapshot(), mState.mHistory.hash());
+            mServedSnapshotText = Json.encode(mServedSnapshot.snapshot());
+            mServedSnapshotMs = nowMs;
         }
-        long revision = mServed == null ? -1 : mServed.snapshot().revision();
-        boolean there = request.revision() == 0 || request.revision() == revision;
-        int parts = (mServedText.length() + SNAPSHOT_PART_CHARS - 1) / SNAPSHOT_PART_CHARS;
-        if (!there || request.part() < 0 || request.part() >= parts) {
+        long revision = mServedSnapshot == null ? -1 : mServedSnapshot.snapshot().revision();
+        boolean isAvailable = request.revision() == 0 || request.revision() == revision;
+        int parts = (mServedSnapshotText.length() + SNAPSHOT_PART_CHARS - 1) / SNAPSHOT_PART_CHARS;
+        if (!isAvailable || request.part() < 0 || request.part() >= parts) {
             out.add(() -> reply.accept(new SnapshotPart(ready, revision, "", 0, "")));
             return;
         }
         int start = request.part() * SNAPSHOT_PART_CHARS;
-        int end = Math.min(mServedText.length(), start + SNAPSHOT_PART_CHARS);
+        int end = Math.min(mServedSnapshotText.length(), start + SNAPSHOT_PART_CHARS);
         SnapshotPart part =
                 new SnapshotPart(
-                        ready, revision, mServed.hash(), parts, mServedText.substring(start, end));
+                        ready,
+                        revision,
+                        mServedSnapshot.hash(),
+                        parts,
+                        mServedSnapshotText.substring(start, end));
         out.add(() -> reply.accept(part));
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/config/Proposals.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/config/ProposalQueue.java
@@ -20,37 +20,37 @@
 import java.util.function.BiConsumer;
 
 /**
- * Writes this VM's proposals to the platform's log, one at a time.
+ * Appends the changes proposed on this VM to the log on the platform, one at a time.
  *
- * <p>Invariants: a change is checked against the configuration right before the place that it is
- * written to, since a place is only won where that was the newest; a place whose result is open is
- * tried again with the same entry until it is decided, so a lost reply never leads to a second
- * entry; a proposal is answered once, with success only when its entry stands in the log, and with
- * a failure other than {@code OUTCOME_UNKNOWN} only when it never will. Not thread-safe: guarded by
- * the lock of {@link ConfigStore}.
+ * <p>Invariants: a change is validated against the configuration directly before its position in
+ * the log, since an append succeeds only at the end of the log; an append whose result is unknown
+ * is retried with the same entry at the same position until the result is known, so a lost reply
+ * never causes a second entry; each proposal is completed once, with success only if its entry is
+ * in the log, and with a failure other than {@code OUTCOME_UNKNOWN} only if it never will be. Not
+ * thread-safe: guarded by the lock of {@link ConfigStore}.
  */
-final class Proposals {
+final class ProposalQueue {
     private static final int MAX_QUEUED = 256;
 
-    private final ConfigCore mCore;
+    private final ConfigState mState;
     private final Deque<Proposal> mQueue = new ArrayDeque<>();
     private Optional<Attempt> mAttempt = Optional.empty();
     private long mNextNumber = 1;
-    private long mNotBeforeMs;
+    private long mNextAppendMs;
 
-    /** One proposal that is not answered yet. */
+    /** A proposal that has not been completed yet. */
     private record Proposal(
             ConfigChange change,
             long expectedRevision,
             long deadlineMs,
             BiConsumer<Long, Either<Failure, Long>> done) {}
 
-    /** The present try of the first proposal: an entry for one place. */
+    /** The current attempt of the first proposal: an entry for one position of the log. */
     private static final class Attempt {
         private final Proposal mProposal;
         private final ConfigEntry mEntry;
         private final String mText;
-        private boolean mBusy;
+        private boolean mAppendInProgress;
 
         Attempt(Proposal proposal, ConfigEntry entry) {
             mProposal = proposal;
@@ -59,8 +59,8 @@
         }
     }
 
-    Proposals(ConfigCore core) {
-        mCore = core;
+    ProposalQueue(ConfigState state) {
+        mState = state;
     }
 
     void add(
@@ -73,45 +73,45 @@
             Failure failure =
                     Failure.of(
                             ErrorKind.OVERLOADED,
-                            mQueue.size() + " changes wait at this VM; try again later");
+                            mQueue.size() + " changes are queued on this VM; try again later");
             out.add(() -> done.accept(nowMs, Either.left(failure)));
             return;
         }
-        long deadlineMs = nowMs + mCore.mSettings.proposalTimeoutMs();
+        long deadlineMs = nowMs + mState.mSettings.proposalTimeoutMs();
         mQueue.add(new Proposal(change, expectedRevision, deadlineMs, done));
         tick(nowMs, out);
     }
 
     void tick(long nowMs, Outbox out) {
-        mAttempt.ifPresent(a -> settleByHistory(nowMs, a, out));
+        mAttempt.ifPresent(a -> resolveFromHistory(nowMs, a, out));
         mAttempt.filter(a -> nowMs >= a.mProposal.deadlineMs())
-                .ifPresent(a -> giveUp(nowMs, a, out));
+                .ifPresent(a -> failAsUnknown(nowMs, a, out));
         while (mAttempt.isEmpty() && !mQueue.isEmpty()) {
-            begin(nowMs, mQueue.poll(), out);
+            startAttempt(nowMs, mQueue.poll(), out);
         }
-        mAttempt.filter(a -> !a.mBusy && nowMs >= mNotBeforeMs)
+        mAttempt.filter(a -> !a.mAppendInProgress && nowMs >= mNextAppendMs)
                 .ifPresent(a -> append(nowMs, a, out));
     }
 
-    private void begin(long nowMs, Proposal proposal, Outbox out) {
-        Optional<Failure> refusal = refusal(proposal);
+    private void startAttempt(long nowMs, Proposal proposal, Outbox out) {
+        Optional<Failure> refusal = validate(proposal);
         if (refusal.isPresent()) {
             answer(nowMs, proposal, Either.left(refusal.get()), out);
             return;
         }
-        ConfigHistory history = mCore.mHistory;
+        ConfigHistory history = mState.mHistory;
         ConfigEntry entry =
                 new ConfigEntry(
                         history.revision() + 1,
-                        mCore.mSelf,
+                        mState.mSelf,
                         mNextNumber++,
                         history.hash(),
                         proposal.change());
         mAttempt = Optional.of(new Attempt(proposal, entry));
     }
 
-    private Optional<Failure> refusal(Proposal proposal) {
-        ConfigSnapshot now = mCore.mHistory.snapshot();
+    private Optional<Failure> validate(Proposal proposal) {
+        ConfigSnapshot now = mState.mHistory.snapshot();
         long revision = now.objectRevision(proposal.change().object());
         if (revision != proposal.expectedRevision()) {
             return Optional.of(conflict(proposal, revision));
@@ -122,50 +122,49 @@
 
     private static Failure conflict(Proposal proposal, long revision) {
         String winner =
-                revision == 0
-                        ? " does not exist any more"
-                        : " was last changed at revision " + revision;
+                revision == 0 ? " no longer exists" : " was last changed at revision " + revision;
         return Failure.of(
                 ErrorKind.REVISION_CONFLICT,
                 proposal.change().object()
                         + winner
                         + ", not at "
                         + proposal.expectedRevision()
-                        + "; read it again and repeat the change on top of that");
+                        + "; read it again and apply the change to that revision");
     }
 
     private void append(long nowMs, Attempt attempt, Outbox out) {
-        attempt.mBusy = true;
+        attempt.mAppendInProgress = true;
         ConfigEntry entry = attempt.mEntry;
         LogBatch batch =
                 new LogBatch(
-                        entry.revision(), mCore.mSelf, entry.proposal(), List.of(attempt.mText));
+                        entry.revision(), mState.mSelf, entry.proposal(), List.of(attempt.mText));
         out.add(
                 () ->
-                        mCore.mLog.tryAppend(
+                        mState.mLog.tryAppend(
                                 nowMs,
                                 entry.revision(),
                                 batch,
                                 (atMs, result) ->
-                                        mCore.mGuard.run(
-                                                atMs, o -> appended(atMs, attempt, result, o))));
+                                        mState.mLockGuard.run(
+                                                atMs,
+                                                o -> onAppendResult(atMs, attempt, result, o))));
     }
 
-    private void appended(
+    private void onAppendResult(
             long nowMs, Attempt attempt, Either<Failure, AppendResult> result, Outbox out) {
-        attempt.mBusy = false;
+        attempt.mAppendInProgress = false;
         if (result.isRight()) {
             if (result.get() instanceof AppendResult.Lost lost) {
-                mCore.apply(lost.winner());
+                mState.apply(lost.winner());
             } else {
-                mCore.apply(attempt.mText);
+                mState.apply(attempt.mText);
             }
         } else if (isCurrent(attempt)) {
-            long retryMs = mCore.mSettings.retryDelayMs();
-            mNotBeforeMs = nowMs + retryMs / 2 + mCore.mRandom.nextInt((int) retryMs);
+            long retryMs = mState.mSettings.retryDelayMs();
+            mNextAppendMs = nowMs + retryMs / 2 + mState.mRandom.nextInt((int) retryMs);
             if (result.getLeft().kind() == ErrorKind.REVISION_CONFLICT) {
-                mCore.wantSnapshot();
-                giveUp(nowMs, attempt, out);
+                mState.requireSnapshot();
+                failAsUnknown(nowMs, attempt, out);
             }
         }
         tick(nowMs, out);
@@ -175,35 +174,35 @@
         return mAttempt.filter(a -> a == attempt).isPresent();
     }
 
-    /** Answers or repeats an attempt whose place is decided, however this VM learned of it. */
-    private void settleByHistory(long nowMs, Attempt attempt, Outbox out) {
+    /** Completes or restarts an attempt once the entry at its position is known from any source. */
+    private void resolveFromHistory(long nowMs, Attempt attempt, Outbox out) {
         long revision = attempt.mEntry.revision();
-        if (mCore.mHistory.revision() < revision) {
+        if (mState.mHistory.revision() < revision) {
             return;
         }
-        Optional<ConfigEntry> winner = mCore.mHistory.entry(revision);
+        Optional<ConfigEntry> winner = mState.mHistory.entry(revision);
         if (winner.isEmpty()) {
-            giveUp(nowMs, attempt, out);
+            failAsUnknown(nowMs, attempt, out);
             return;
         }
         mAttempt = Optional.empty();
         if (winner.get().equals(attempt.mEntry)) {
             answer(nowMs, attempt.mProposal, Either.right(revision), out);
         } else {
-            begin(nowMs, attempt.mProposal, out);
+            startAttempt(nowMs, attempt.mProposal, out);
         }
     }
 
-    private void giveUp(long nowMs, Attempt attempt, Outbox out) {
+    private void failAsUnknown(long nowMs, Attempt attempt, Outbox out) {
         mAttempt = Optional.empty();
         Failure failure =
                 Failure.of(
                         ErrorKind.OUTCOME_UNKNOWN,
-                        "the platform did not tell in time whether the change of "
+                        "the platform did not confirm in time whether the change of "
                                 + attempt.mProposal.change().object()
                                 + " became revision "
                                 + attempt.mEntry.revision()
-                                + "; read the object before you repeat the change");
+                                + "; read the object before you retry the change");
         answer(nowMs, attempt.mProposal, Either.left(failure), out);
     }
 
--- a/coordination/src/main/java/org/hornbeampass/coordination/config/PullProblem.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/config/PullProblem.java
@@ -1,15 +1,15 @@
 package org.hornbeampass.coordination.config;
 
 /**
- * Why a peer gives no changes.
+ * The reason why a peer returns no changes.
  *
  * <p>Immutable; safe for use by any thread.
  */
 public enum PullProblem {
-    /** None; it gives all that it has, or a first part. */
+    /** No problem: the reply contains all newer changes or the first of them. */
     NONE,
-    /** It no longer keeps changes that are so old; start from a snapshot. */
+    /** The peer no longer keeps the requested changes; load a snapshot instead. */
     TOO_OLD,
-    /** The two histories differ. */
+    /** The histories of the two VMs differ. */
     FOREIGN
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/config/PullReply.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/config/PullReply.java
@@ -7,15 +7,15 @@
 import java.util.List;
 
 /**
- * Gives changes in their order, or tells why it can't.
+ * Returns changes in order, or the reason why there are none.
  *
  * <p>Immutable; safe for use by any thread.
  *
- * @param ready whether the sender's configuration is complete as far as it knows
+ * @param ready whether the sender is ready to serve requests with its configuration
  * @param newest the sender's revision
- * @param problem why there are no changes
- * @param hashAfter the hash of the history after the last change given
- * @param entries the changes' texts as they stand on the platform
+ * @param problem the reason why there are no changes
+ * @param hashAfter the hash of the history after the last change of the reply
+ * @param entries the texts of the changes as stored on the platform
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record PullReply(
--- a/coordination/src/main/java/org/hornbeampass/coordination/config/PullRequest.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/config/PullRequest.java
@@ -5,7 +5,7 @@
 import org.hornbeampass.coordination.peer.PeerMessage;
 
 /**
- * Asks for the changes after a revision; answered by {@link PullReply}.
+ * Requests the changes after a revision; answered by {@link PullReply}.
  *
  * <p>Immutable; safe for use by any thread.
  *
--- a/coordination/src/main/java/org/hornbeampass/coordination/config/RevisionsReply.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/config/RevisionsReply.java
@@ -8,7 +8,7 @@
 import java.util.List;
 
 /**
- * Gives the revisions reported to the sender.
+ * Returns the revisions that were reported to the sender.
  *
  * <p>Immutable; safe for use by any thread.
  *
@@ -25,8 +25,8 @@
      * One VM's report.
      *
      * @param vm the VM
-     * @param revision the revision that it ran
-     * @param ageMs how long ago it said so, in milliseconds
+     * @param revision the revision that it had applied
+     * @param ageMs the age of the report, in milliseconds
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     public record Reported(VmId vm, long revision, long ageMs) {}
--- a/coordination/src/main/java/org/hornbeampass/coordination/config/RevisionsRequest.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/config/RevisionsRequest.java
@@ -6,11 +6,11 @@
 import org.hornbeampass.state.FailureDomain;
 
 /**
- * Asks a collector for the revisions reported to it; answered by {@link RevisionsReply}.
+ * Requests the revisions that were reported to a collector; answered by {@link RevisionsReply}.
  *
  * <p>Immutable; safe for use by any thread.
  *
- * @param domain the failure domain whose VMs are asked for
+ * @param domain the failure domain whose reports are requested
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record RevisionsRequest(FailureDomain domain) implements PeerMessage {}
--- a/coordination/src/main/java/org/hornbeampass/coordination/config/SnapshotWriter.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/config/SnapshotWriter.java
@@ -6,68 +6,70 @@
 import org.hornbeampass.state.Failure;
 
 /**
- * Writes a snapshot to the platform every so many changes, on the one VM that is chosen for it, and
- * truncates the log below the snapshot before.
+ * Writes a snapshot to the platform after a number of changes, on the VM chosen for it, and then
+ * truncates the log below the previous snapshot.
  *
- * <p>Invariant: the log is truncated only below a snapshot that stands on the platform. Not
+ * <p>Invariant: the log is truncated only below a snapshot that is stored on the platform. Not
  * thread-safe: guarded by the lock of {@link ConfigStore}.
  */
 final class SnapshotWriter {
-    private static final long RETRY_MS = 10_000;
+    private static final long RETRY_DELAY_MS = 10_000;
 
-    private final ConfigCore mCore;
+    private final ConfigState mState;
     private final ConfigRoles mRoles;
     private final ConfigSnapshots mSnapshots;
-    private long mWritten;
-    private boolean mBusy;
-    private long mNotBeforeMs;
+    private long mWrittenRevision;
+    private boolean mWriteInProgress;
+    private long mNextWriteMs;
 
-    SnapshotWriter(ConfigCore core, ConfigRoles roles, ConfigSnapshots snapshots) {
-        mCore = core;
+    SnapshotWriter(ConfigState state, ConfigRoles roles, ConfigSnapshots snapshots) {
+        mState = state;
         mRoles = roles;
         mSnapshots = snapshots;
     }
 
     void tick(long nowMs, Outbox out) {
-        long due = mWritten + mCore.mSettings.changesPerSnapshot();
-        boolean writes =
-                !mBusy
-                        && nowMs >= mNotBeforeMs
-                        && mCore.mHistory.revision() >= due
-                        && mRoles.writesSnapshots();
-        if (!writes) {
+        long due = mWrittenRevision + mState.mSettings.changesPerSnapshot();
+        boolean isDue =
+                !mWriteInProgress
+                        && nowMs >= mNextWriteMs
+                        && mState.mHistory.revision() >= due
+                        && mRoles.isSnapshotWriter();
+        if (!isDue) {
             return;
         }
-        mBusy = true;
-        ConfigSnapshots.Loaded loaded =
-                new ConfigSnapshots.Loaded(mCore.mHistory.snapshot(), mCore.mHistory.hash());
+        mWriteInProgress = true;
+        ConfigSnapshots.HashedSnapshot loaded =
+                new ConfigSnapshots.HashedSnapshot(
+                        mState.mHistory.snapshot(), mState.mHistory.hash());
         out.add(
                 () ->
                         mSnapshots.write(
                                 nowMs,
                                 loaded,
                                 (atMs, manifest) ->
-                                        mCore.mGuard.run(atMs, o -> written(atMs, manifest, o))));
+                                        mState.mLockGuard.run(
+                                                atMs, o -> onWritten(atMs, manifest, o))));
     }
 
-    private void written(
+    private void onWritten(
             long nowMs, Either<Failure, ConfigSnapshots.Manifest> manifest, Outbox out) {
-        mBusy = false;
+        mWriteInProgress = false;
         if (manifest.isLeft()) {
-            mNotBeforeMs = nowMs + RETRY_MS;
+            mNextWriteMs = nowMs + RETRY_DELAY_MS;
             return;
         }
-        mWritten = manifest.get().parts().revision();
+        mWrittenRevision = manifest.get().parts().revision();
         manifest.get()
                 .previous()
                 .ifPresent(
                         p ->
                                 out.add(
                                         () ->
-                                                mCore.mLog.truncate(
+                                                mState.mLog.truncate(
                                                         nowMs,
                                                         p.revision(),
-                                                        2 * mCore.mSettings.changesPerSnapshot(),
+                                                        2 * mState.mSettings.changesPerSnapshot(),
                                                         (atMs, deleted) -> {})));
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/config/VmRevision.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/config/VmRevision.java
@@ -5,12 +5,12 @@
 import java.util.OptionalLong;
 
 /**
- * Which revision one VM runs, as far as is known.
+ * The last known revision of one VM.
  *
  * <p>Immutable; safe for use by any thread.
  *
  * @param member the VM
- * @param revision the revision; empty where nothing was heard of it
- * @param reportedAtMs when the VM said so, in milliseconds; empty where nothing was heard of it
+ * @param revision the revision that it last reported; empty if no report was received
+ * @param reportedAtMs when the VM reported it, in milliseconds; empty if no report was received
  */
 public record VmRevision(Member member, OptionalLong revision, OptionalLong reportedAtMs) {}
--- a/coordination/src/main/java/org/hornbeampass/coordination/config/package-info.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/config/package-info.java
@@ -1,2 +1,2 @@
-/** The configuration's one order of changes on the platform, and its spread to every router. */
+/** The log of configuration changes on the platform, and its distribution to every router. */
 package org.hornbeampass.coordination.config;
--- a/coordination/src/main/java/org/hornbeampass/coordination/config/rule/ChangeSizeBounded.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/config/rule/ChangeSizeBounded.java
@@ -8,7 +8,7 @@
 import java.util.List;
 
 /**
- * Requires that a change is small enough to be relayed between routers.
+ * Requires that a change is small enough to be sent between routers.
  *
  * <p>Stateless; thread-safe.
  */
@@ -24,7 +24,7 @@
         }
         return List.of(
                 Finding.invalid(
-                        change.object() + " takes " + bytes + " bytes",
+                        change.object() + " has a size of " + bytes + " bytes",
                         "keep it within " + MAX_BYTES + " bytes"));
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/config/rule/ChangedParameters.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/config/rule/ChangedParameters.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 
 /**
- * Finds the terms that a change sets, in a template or in an organisation.
+ * Extracts the parameters that a change sets in a template or an organisation.
  *
  * <p>Stateless; thread-safe.
  */
--- a/coordination/src/main/java/org/hornbeampass/coordination/config/rule/ConfigRule.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/config/rule/ConfigRule.java
@@ -13,7 +13,8 @@
 @FunctionalInterface
 interface ConfigRule {
     /**
-     * Returns what is wrong with a change; empty where the rule is kept or does not apply.
+     * Returns the problems of a change; empty if the change complies with the rule or the rule does
+     * not apply.
      *
      * @param before the configuration that the change would be applied to
      * @param change the change
--- a/coordination/src/main/java/org/hornbeampass/coordination/config/rule/ConfigRules.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/config/rule/ConfigRules.java
@@ -6,7 +6,7 @@
 import java.util.List;
 
 /**
- * All rules that a configuration change has to keep.
+ * The rules that every configuration change must comply with.
  *
  * <p>Stateless; thread-safe.
  */
@@ -23,12 +23,12 @@
                     new KeyHashesUnique(),
                     new UpstreamUriWellFormed(),
                     new UpstreamLimitPositive(),
-                    new OperatorKeyRemains(),
+                    new OperatorKeyRequired(),
                     new ChangeSizeBounded());
 
     private ConfigRules() {}
 
-    /** Returns the findings of all rules; empty where the change may be accepted. */
+    /** Returns the findings of all rules; empty if the change may be accepted. */
     public static List<Finding> check(ConfigSnapshot before, ConfigChange change) {
         return ALL.stream().flatMap(rule -> rule.check(before, change).stream()).toList();
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/config/rule/DeletedObjectExists.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/config/rule/DeletedObjectExists.java
@@ -7,7 +7,7 @@
 import java.util.List;
 
 /**
- * Requires that an object exists that is to be deleted.
+ * Requires that an object to be deleted exists.
  *
  * <p>Stateless; thread-safe.
  */
@@ -22,6 +22,6 @@
                 new Finding(
                         ErrorKind.NOT_FOUND,
                         change.object() + " does not exist at revision " + before.revision(),
-                        "list the objects and name one of them"));
+                        "list the objects to find the name of an existing one"));
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/config/rule/Finding.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/config/rule/Finding.java
@@ -7,20 +7,20 @@
 import java.util.stream.Collectors;
 
 /**
- * One thing that is wrong with a configuration change, and what mends it.
+ * A problem of a configuration change and how to correct it.
  *
  * <p>Immutable; safe for use by any thread.
  *
- * @param kind the error kind that it is answered with
- * @param problem what is wrong
- * @param remedy how to mend it
+ * @param kind the error kind to report
+ * @param problem the problem
+ * @param remedy how to correct the change
  */
 public record Finding(ErrorKind kind, String problem, String remedy) {
     static Finding invalid(String problem, String remedy) {
         return new Finding(ErrorKind.FIELD_INVALID, problem, remedy);
     }
 
-    /** Returns one failure that tells of all findings; its kind is that of the first. */
+    /** Returns one failure with the messages of all findings and the kind of the first one. */
     public static Failure toFailure(List<Finding> findings) {
         String message =
                 findings.stream()
--- a/coordination/src/main/java/org/hornbeampass/coordination/config/rule/KeyHashesUnique.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/config/rule/KeyHashesUnique.java
@@ -8,7 +8,7 @@
 import java.util.List;
 
 /**
- * Requires that no key belongs to two organisations.
+ * Requires that no two organisations share a key.
  *
  * <p>Stateless; thread-safe.
  */
@@ -27,7 +27,7 @@
                         o ->
                                 Finding.invalid(
                                         "organisation " + o.id() + " has one of these keys",
-                                        "make a new key for " + put.organisation().id()))
+                                        "create a new key for " + put.organisation().id()))
                 .toList();
     }
 
--- a/coordination/src/main/java/org/hornbeampass/coordination/config/rule/KeyHashesWellFormed.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/config/rule/KeyHashesWellFormed.java
@@ -8,7 +8,7 @@
 import java.util.regex.Pattern;
 
 /**
- * Requires that keys are given as SHA-256 in lower-case hex, never in clear.
+ * Requires that keys are given as SHA-256 hashes in lower-case hex, never as plain text.
  *
  * <p>Stateless; thread-safe.
  */
--- a/coordination/src/main/java/org/hornbeampass/coordination/config/rule/LimitsPositive.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/config/rule/LimitsPositive.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 
 /**
- * Requires that each limit that is set is at least 1.
+ * Requires that each limit that a change sets is at least 1.
  *
  * <p>Stateless; thread-safe.
  */
--- a/coordination/src/main/java/org/hornbeampass/coordination/config/rule/NamesWellFormed.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/config/rule/NamesWellFormed.java
@@ -8,7 +8,7 @@
 import java.util.regex.Pattern;
 
 /**
- * Requires names that can stand in a platform key and in a header.
+ * Requires that names can be used in a platform key and in an HTTP header.
  *
  * <p>Stateless; thread-safe.
  */
--- a/coordination/src/main/java/org/hornbeampass/coordination/config/rule/OperatorKeyRemains.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/config/rule/OperatorKeyRequired.java
@@ -6,11 +6,11 @@
 import java.util.List;
 
 /**
- * Requires that an operator's key is left, so that operators can't lock themselves out.
+ * Requires that at least one operator key remains, so that operators can't lock themselves out.
  *
  * <p>Stateless; thread-safe.
  */
-final class OperatorKeyRemains implements ConfigRule {
+final class OperatorKeyRequired implements ConfigRule {
 
     @Override
     public List<Finding> check(ConfigSnapshot before, ConfigChange change) {
@@ -24,6 +24,6 @@
         return List.of(
                 Finding.invalid(
                         change.object() + " is the last operator key",
-                        "set another operator key first"));
+                        "add another operator key first"));
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/config/rule/TemplateNotInUse.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/config/rule/TemplateNotInUse.java
@@ -7,13 +7,13 @@
 import java.util.List;
 
 /**
- * Requires that no organisation uses a template that is to be deleted.
+ * Requires that a template to be deleted is not used by any organisation.
  *
  * <p>Stateless; thread-safe.
  */
 final class TemplateNotInUse implements ConfigRule {
 
-    private static final int MAX_NAMED = 5;
+    private static final int MAX_LISTED = 5;
 
     @Override
     public List<Finding> check(ConfigSnapshot before, ConfigChange change) {
@@ -37,7 +37,7 @@
                                 + "\" is used by "
                                 + users.size()
                                 + " organisations, such as "
-                                + users.stream().limit(MAX_NAMED).toList(),
-                        "give them another template first"));
+                                + users.stream().limit(MAX_LISTED).toList(),
+                        "assign another template to them first"));
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/config/rule/UpstreamLimitPositive.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/config/rule/UpstreamLimitPositive.java
@@ -6,7 +6,7 @@
 import java.util.List;
 
 /**
- * Requires that an upstream may have at least one request in progress.
+ * Requires that the concurrency limit of an upstream is at least 1.
  *
  * <p>Stateless; thread-safe.
  */
--- a/coordination/src/main/java/org/hornbeampass/coordination/config/rule/UpstreamUriWellFormed.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/config/rule/UpstreamUriWellFormed.java
@@ -7,7 +7,7 @@
 import java.util.regex.Pattern;
 
 /**
- * Requires a base URI with a scheme, a host and at most a port.
+ * Requires that a base URI has a scheme, a host and optionally a port, and nothing else.
  *
  * <p>Stateless; thread-safe.
  */
@@ -25,6 +25,6 @@
         return List.of(
                 Finding.invalid(
                         "baseUri \"" + put.upstream().baseUri() + "\" is not well formed",
-                        "write it as http://10.0.0.1:9001"));
+                        "use a form such as http://10.0.0.1:9001"));
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/config/rule/package-info.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/config/rule/package-info.java
@@ -1,2 +1,2 @@
-/** The rules that a configuration change is checked against, one class each. */
+/** The validation rules for configuration changes, one class each. */
 package org.hornbeampass.coordination.config.rule;
--- a/coordination/src/main/java/org/hornbeampass/coordination/platform/AnswerProgress.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/platform/AnswerProgress.java
@@ -1,9 +1,9 @@
 package org.hornbeampass.coordination.platform;
 
 /**
- * Hears that an answer of the platform is on its way, before it is whole.
+ * Receives the progress of an answer of the platform that is still being received.
  *
- * <p>Called on the thread that later runs the reply, never after it.
+ * <p>Called on the thread that later runs the reply callback, and never after that callback.
  */
 @FunctionalInterface
 public interface AnswerProgress {
@@ -11,10 +11,10 @@
     AnswerProgress IGNORED = (nowMs, bytes) -> {};
 
     /**
-     * Some bytes of the answer's body came.
+     * Called when bytes of the answer's body have arrived.
      *
      * @param nowMs the present time in milliseconds
-     * @param bytes how many
+     * @param bytes the number of bytes
      */
     void onBytes(long nowMs, int bytes);
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/platform/CallPriority.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/platform/CallPriority.java
@@ -1,16 +1,17 @@
 package org.hornbeampass.coordination.platform;
 
 /**
- * How urgent a platform call is, and how much of the rate limit it must leave to more urgent ones.
+ * The priority of a platform call, with the share of the burst that it must leave to calls of
+ * higher priority.
  *
  * <p>Declared from the most to the least urgent. Immutable; safe for use by any thread.
  */
 public enum CallPriority {
-    /** A caller waits for it, such as a claim or a grant for an empty budget. */
+    /** A caller waits for the result, such as a claim or a grant for an empty budget. */
     URGENT(0.0),
-    /** It must be done soon, such as a bill or a change of configuration. */
+    /** Must be done soon, such as a bill or a configuration change. */
     NORMAL(0.1),
-    /** It can wait, such as a checkpoint, a truncation or an audit. */
+    /** May be delayed, such as a checkpoint, a truncation or an audit. */
     BACKGROUND(0.3);
 
     private final double mReservedShare;
--- a/coordination/src/main/java/org/hornbeampass/coordination/platform/CallRateLimiter.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/platform/CallRateLimiter.java
@@ -12,36 +12,38 @@
 import java.util.function.BiConsumer;
 
 /**
- * Caps one VM's platform calls per second by kind, queues within a bound, and serves the more
- * urgent first.
+ * Limits the rate of one VM's platform calls by kind, and queues calls above the rate by priority.
  *
- * <p>A call that finds the queue of its kind full pushes out the newest call of the least urgent
- * priority below its own, or is itself answered {@code Throttled} at once; neither had any effect.
- * Within a kind, an urgent call never waits for a less urgent one; calls of one kind and priority
- * are sent in order. Reads, writes and watches don't wait for each other.
+ * <p>Each kind has a bounded queue. A call that finds the queue full evicts the newest call of the
+ * least urgent priority below its own; if there is none, the call itself is rejected. The evicted
+ * or rejected call is answered {@code Throttled} at once and had no effect. Within a kind, an
+ * urgent call never waits for a less urgent one, and calls of the same priority are sent in order.
+ * Reads, writes and watches don't wait for each other.
  *
- * <p>Thread-safe: one lock guards all state; calls and replies are run after it is released. {@link
- * #tick} must be called often, since it alone sends what waits.
+ * <p>Thread-safe: one lock guards all state; calls and callbacks are run after it is released.
+ * {@link #tick} must be called regularly to send queued calls.
  */
 public final class CallRateLimiter {
     private final Platform mPlatform;
     private final CallLimits mLimits;
     private final Object mLock = new Object();
-    private final Map<PlatformCall.Kind, Lane> mLanes = new EnumMap<>(PlatformCall.Kind.class);
+    private final Map<PlatformCall.Kind, KindQueue> mQueuesByKind =
+            new EnumMap<>(PlatformCall.Kind.class);
 
-    /** A call that waits to be sent. */
-    private record Waiting(
+    /** A call that waits until it may be sent. */
+    private record QueuedCall(
             CallPriority priority, PlatformCall call, BiConsumer<Long, PlatformReply> done) {}
 
-    /** What one kind of call holds; guarded by the lock. */
-    private static final class Lane {
+    /** The queue, token bucket and counters of one kind of call; guarded by the lock. */
+    private static final class KindQueue {
         private final TokenBucket mBucket;
-        private final Map<CallPriority, Deque<Waiting>> mQueues = new EnumMap<>(CallPriority.class);
+        private final Map<CallPriority, Deque<QueuedCall>> mQueues =
+                new EnumMap<>(CallPriority.class);
         private final Map<CallPriority, Long> mSent = new EnumMap<>(CallPriority.class);
         private final Map<CallPriority, Long> mRefused = new EnumMap<>(CallPriority.class);
         private int mQueued;
 
-        private Lane(TokenBucket bucket) {
+        private KindQueue(TokenBucket bucket) {
             mBucket = bucket;
             for (CallPriority priority : CallPriority.values()) {
                 mQueues.put(priority, new ArrayDeque<>());
@@ -50,27 +52,27 @@
             }
         }
 
-        /** Queues a call; returns the call, this one or another, that is refused for it. */
-        private Optional<Waiting> admit(Waiting waiting, int maxQueued) {
-            Optional<Waiting> pushedOut = Optional.empty();
+        /** Queues a call; returns the call that is rejected instead, which may be this one. */
+        private Optional<QueuedCall> enqueue(QueuedCall queued, int maxQueued) {
+            Optional<QueuedCall> evicted = Optional.empty();
             if (mQueued >= maxQueued) {
-                pushedOut = pushOut(waiting.priority());
-                if (pushedOut.isEmpty()) {
-                    mRefused.merge(waiting.priority(), 1L, Long::sum);
-                    return Optional.of(waiting);
+                evicted = evictLessUrgent(queued.priority());
+                if (evicted.isEmpty()) {
+                    mRefused.merge(queued.priority(), 1L, Long::sum);
+                    return Optional.of(queued);
                 }
-                mRefused.merge(pushedOut.get().priority(), 1L, Long::sum);
+                mRefused.merge(evicted.get().priority(), 1L, Long::sum);
             }
-            mQueues.get(waiting.priority()).addLast(waiting);
+            mQueues.get(queued.priority()).addLast(queued);
             mQueued++;
-            return pushedOut;
+            return evicted;
         }
 
-        /** Takes every call that may be sent now, the most urgent first. */
-        private List<Waiting> takeReady(long nowMs) {
-            List<Waiting> ready = new ArrayList<>();
+        /** Removes and returns the calls that may be sent now, the most urgent first. */
+        private List<QueuedCall> pollReady(long nowMs) {
+            List<QueuedCall> ready = new ArrayList<>();
             for (CallPriority priority : CallPriority.values()) {
-                Deque<Waiting> queue = mQueues.get(priority);
+                Deque<QueuedCall> queue = mQueues.get(priority);
                 while (!queue.isEmpty()) {
                     if (!mBucket.tryTake(nowMs, priority.reservedShare())) {
                         return ready;
@@ -83,11 +85,11 @@
             return ready;
         }
 
-        /** Removes the newest waiting call of the least urgent priority below a given one. */
-        private Optional<Waiting> pushOut(CallPriority arriving) {
+        /** Removes and returns the newest call of the least urgent priority below a given one. */
+        private Optional<QueuedCall> evictLessUrgent(CallPriority arriving) {
             CallPriority[] all = CallPriority.values();
             for (int i = all.length - 1; all[i] != arriving; i--) {
-                Waiting newest = mQueues.get(all[i]).pollLast();
+                QueuedCall newest = mQueues.get(all[i]).pollLast();
                 if (newest != null) {
                     mQueued--;
                     return Optional.of(newest);
@@ -98,10 +100,10 @@
     }
 
     /**
-     * Creates a budget with full bursts.
+     * Creates a limiter whose full burst is available at once.
      *
-     * @param platform the platform that is called
-     * @param limits this VM's share of the platform's limits
+     * @param platform the platform to call
+     * @param limits this VM's share of the platform's rate limits
      * @param nowMs the present time in milliseconds
      */
     public CallRateLimiter(Platform platform, CallLimits limits, long nowMs) {
@@ -110,62 +112,62 @@
         for (PlatformCall.Kind kind : PlatformCall.Kind.values()) {
             double perSecond = limits.perSecond(kind);
             double burst = perSecond * limits.burstSeconds();
-            mLanes.put(kind, new Lane(TokenBucket.full(perSecond, burst, nowMs)));
+            mQueuesByKind.put(kind, new KindQueue(TokenBucket.full(perSecond, burst, nowMs)));
         }
     }
 
-    /** Returns the platform as seen by calls of one priority. */
+    /** Returns a view of the platform whose calls have the given priority. */
     public Platform withPriority(CallPriority priority) {
-        return (nowMs, call, done) -> submit(nowMs, new Waiting(priority, call, done));
+        return (nowMs, call, done) -> submit(nowMs, new QueuedCall(priority, call, done));
     }
 
-    private void submit(long nowMs, Waiting waiting) {
-        List<Waiting> ready;
-        Optional<Waiting> refused;
+    private void submit(long nowMs, QueuedCall queued) {
+        List<QueuedCall> ready;
+        Optional<QueuedCall> refused;
         synchronized (mLock) {
-            Lane lane = mLanes.get(waiting.call().kind());
-            refused = lane.admit(waiting, mLimits.maxQueued());
-            ready = lane.takeReady(nowMs);
+            KindQueue queueOfKind = mQueuesByKind.get(queued.call().kind());
+            refused = queueOfKind.enqueue(queued, mLimits.maxQueued());
+            ready = queueOfKind.pollReady(nowMs);
         }
         refused.ifPresent(r -> r.done().accept(nowMs, new PlatformReply.Throttled()));
         send(nowMs, ready);
     }
 
     /**
-     * Sends the waiting calls that the limits now allow.
+     * Sends the queued calls that the limits now allow.
      *
      * @param nowMs the present time in milliseconds
      */
     public void tick(long nowMs) {
-        List<Waiting> ready = new ArrayList<>();
+        List<QueuedCall> ready = new ArrayList<>();
         synchronized (mLock) {
-            mLanes.values().forEach(l -> ready.addAll(l.takeReady(nowMs)));
+            mQueuesByKind.values().forEach(l -> ready.addAll(l.pollReady(nowMs)));
         }
         send(nowMs, ready);
     }
 
-    private void send(long nowMs, List<Waiting> ready) {
+    private void send(long nowMs, List<QueuedCall> ready) {
         ready.forEach(w -> mPlatform.submit(nowMs, w.call(), w.done()));
     }
 
-    /** Returns how many calls of a kind and priority were sent so far. */
+    /** Returns the number of calls of a kind and priority sent since creation. */
     public long sent(PlatformCall.Kind kind, CallPriority priority) {
         synchronized (mLock) {
-            return mLanes.get(kind).mSent.get(priority);
+            return mQueuesByKind.get(kind).mSent.get(priority);
         }
     }
 
-    /** Returns how many calls of a kind and priority were refused for a full queue so far. */
+    /** Returns the number of calls of a kind and priority rejected or evicted since creation. */
     public long refused(PlatformCall.Kind kind, CallPriority priority) {
         synchronized (mLock) {
-            return mLanes.get(kind).mRefused.get(priority);
+            return mQueuesByKind.get(kind).mRefused.get(priority);
         }
     }
 
-    /** Returns how many calls of a kind wait now. */
+    /** Returns the number of queued calls of a kind. */
     public int queued(PlatformCall.Kind kind) {
         synchronized (mLock) {
-            return mLanes.get(kind).mQueued;
+            return mQueuesByKind.get(kind).mQueued;
         }
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/platform/CatchUpMode.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/platform/CatchUpMode.java
@@ -7,40 +7,40 @@
 import java.util.Map;
 
 /**
- * What a view reads and shows of the changes that it has missed.
+ * Selects which of the changes that a view has missed are read and reported.
  *
  * <p>Stateless; safe for use by any thread.
  */
 public enum CatchUpMode {
-    /** Each one, in order: for small objects, of which each change may tell something. */
+    /** Every change, in order: for small objects of which each change may be relevant. */
     ALL_VERSIONS {
         @Override
-        boolean listsAfterFailure() {
+        boolean relistsAfterFailure() {
             return false;
         }
 
         @Override
-        List<Change> shown(List<Change> changes) {
+        List<Change> select(List<Change> changes) {
             return changes;
         }
     },
 
     /**
-     * Only how things stand: for large objects, each version of which replaces the one before.
+     * Only the newest version: for large objects of which each version replaces the one before.
      *
-     * <p>A watch is answered with every version since the last one seen. After eight seconds
-     * without the store, sixteen versions of 60 KB and three of 500 KB came to VMs with links of 7
-     * Mbit/s (875 bytes in a millisecond) that needed one of them: 2.8 s of such a link by their
-     * sizes, in place of 0.6.
+     * <p>A watch is answered with every version since the last one received. After eight seconds
+     * without the store, VMs received sixteen versions of 60 KB and three of 500 KB, although they
+     * needed only one of each: by their sizes 2.8 s of a link of 7 Mbit/s (875 bytes per
+     * millisecond), in place of 0.6 s.
      */
     NEWEST_VERSION {
         @Override
-        boolean listsAfterFailure() {
+        boolean relistsAfterFailure() {
             return true;
         }
 
         @Override
-        List<Change> shown(List<Change> changes) {
+        List<Change> select(List<Change> changes) {
             Map<String, Long> newest = new HashMap<>();
             changes.forEach(c -> newest.merge(c.key(), c.version(), Math::max));
             return changes.stream().filter(c -> newest.get(c.key()) == c.version()).toList();
@@ -48,11 +48,11 @@
     };
 
     /**
-     * Returns whether a listing follows a failed watch, rather than another watch that would be
-     * answered with all that happened meanwhile.
+     * Returns whether a failed watch is followed by a listing instead of another watch, which would
+     * be answered with every change since.
      */
-    abstract boolean listsAfterFailure();
+    abstract boolean relistsAfterFailure();
 
-    /** Returns those of an answer's changes that are shown. */
-    abstract List<Change> shown(List<Change> changes);
+    /** Returns those of the changes in an answer that are reported. */
+    abstract List<Change> select(List<Change> changes);
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/platform/ConditionalWriter.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/platform/ConditionalWriter.java
@@ -21,21 +21,23 @@
 import java.util.function.Function;
 
 /**
- * Changes records on the platform by reading, changing and writing conditionally, each change
- * applied at most once, also when replies are lost.
+ * Changes records on the platform by a read, a change and a conditional update. Each change is
+ * applied at most once, even if replies are lost.
  *
- * <p>A record is stored with the last write of each recent writer, so a change whose reply was lost
- * is recognised when the record is read again, even if others wrote after it. Conflicts and open
- * replies are retried with jittered backoff, by {@link #tick}, up to the policy's attempts. The
- * write itself carries the condition (the version that was read), so a pause between reading and
- * writing costs a conflict and nothing else; no decision is taken from what was read except through
- * that write.
+ * <p>A record is stored with a mark of the last write of each recent writer, so a change whose
+ * reply was lost is recognised when the record is read again, even if other VMs wrote after it.
+ * Conflicts and writes without a reply are retried by {@link #tick} with backoff and jitter, up to
+ * the policy's number of attempts. The write is conditional on the version that was read, so a
+ * pause between the read and the write can only cause a conflict; nothing is decided from the read
+ * except through that write.
  *
- * <p>Failures: what the change itself returned; {@code REVISION_CONFLICT} and {@code
- * PLATFORM_UNAVAILABLE}: surely not applied; {@code OUTCOME_UNKNOWN}: may be applied, also later.
+ * <p>A change fails with the failure that the change function returned; with {@code
+ * REVISION_CONFLICT} or {@code PLATFORM_UNAVAILABLE} if it was certainly not applied; or with
+ * {@code OUTCOME_UNKNOWN} if it may have been applied or may still be.
  *
- * <p>Changes of one key by one writer are made one after the other. One VM must use one writer for
- * a key. Thread-safe: one lock guards the queues; calls, changes and callbacks run without it.
+ * <p>Changes of the same key are made one after the other. A VM must use a single writer for each
+ * key. Thread-safe: one lock guards the queues; calls, change functions and callbacks run without
+ * it.
  */
 public final class ConditionalWriter {
     private static final int MAX_QUEUED_PER_KEY = 1_000;
@@ -45,21 +47,21 @@
     private final RetryPolicy mPolicy;
     private final Object mLock = new Object();
     private final SplittableRandom mRandom;
-    private final Map<String, Deque<RecordChange<?>>> mByKey = new HashMap<>();
+    private final Map<String, Deque<RecordChange<?>>> mPendingByKey = new HashMap<>();
     private final PriorityQueue<Retry> mRetries =
             new PriorityQueue<>(Comparator.comparingLong(Retry::dueMs));
     private long mSequence;
 
-    /** A change that waits for its next attempt. */
+    /** A change that waits for its next attempt, and when that is due. */
     private record Retry(long dueMs, RecordChange<?> change) {}
 
     /**
      * Creates a writer.
      *
-     * @param platform the platform that is written to
+     * @param platform the platform to write to
      * @param writer this VM
-     * @param policy how conflicts and open replies are retried
-     * @param seed seeds the jitter
+     * @param policy the backoff and number of attempts after conflicts and missing replies
+     * @param seed the seed of the jitter
      */
     public ConditionalWriter(Platform platform, VmId writer, RetryPolicy policy, long seed) {
         mPlatform = platform;
@@ -74,10 +76,10 @@
      * @param nowMs the present time in milliseconds
      * @param key the record's key
      * @param type the record's type
-     * @param change gives the new record for the present one (empty where there is none), or why it
-     *     must not be changed; may be run more than once, so it must depend on its argument only; a
-     *     result equal to the present record is not written
-     * @param done takes the time in milliseconds and the record after the change
+     * @param change returns the new record for the current one (empty if there is none), or a
+     *     failure if the record must not be changed; may be run more than once, so it must depend
+     *     on its argument only; a result equal to the current record is not written
+     * @param done receives the time in milliseconds and the record after the change
      * @param <T> the record's type
      */
     public <T> void change(
@@ -88,7 +90,8 @@
             BiConsumer<Long, Either<Failure, T>> done) {
         RecordChange<T> next;
         synchronized (mLock) {
-            Deque<RecordChange<?>> queue = mByKey.computeIfAbsent(key, k -> new ArrayDeque<>());
+            Deque<RecordChange<?>> queue =
+                    mPendingByKey.computeIfAbsent(key, k -> new ArrayDeque<>());
             if (queue.size() >= MAX_QUEUED_PER_KEY) {
                 next = null;
             } else {
@@ -101,7 +104,7 @@
             }
         }
         if (next == null) {
-            String message = "too many changes of " + key + " wait on this VM; retry later";
+            String message = "too many changes of " + key + " are queued on this VM; retry later";
             done.accept(nowMs, Either.left(Failure.of(ErrorKind.OVERLOADED, message)));
             return;
         }
@@ -109,12 +112,12 @@
     }
 
     /**
-     * Reads one record as this writer stores it.
+     * Reads one record that a conditional writer stored.
      *
      * @param nowMs the present time in milliseconds
      * @param key the record's key
      * @param type the record's type
-     * @param done takes the time in milliseconds and the record, empty where there is none
+     * @param done receives the time in milliseconds and the record, empty if there is none
      * @param <T> the record's type
      */
     public <T> void read(
@@ -125,10 +128,11 @@
         mPlatform.submit(
                 nowMs,
                 new PlatformCall.Get(key),
-                (atMs, reply) -> done.accept(atMs, bodyOf(reply, type)));
+                (atMs, reply) -> done.accept(atMs, decodeReply(reply, type)));
     }
 
-    private static <T> Either<Failure, Optional<T>> bodyOf(PlatformReply reply, Class<T> type) {
+    private static <T> Either<Failure, Optional<T>> decodeReply(
+            PlatformReply reply, Class<T> type) {
         if (reply instanceof PlatformReply.Missing) {
             return Either.right(Optional.empty());
         }
@@ -140,7 +144,7 @@
     }
 
     /**
-     * Returns the record in a stored text, as it is seen in a listing or a watch.
+     * Decodes a record from its stored text, which is the value in a listing or a watch.
      *
      * @param text the stored text
      * @param type the record's type
@@ -152,7 +156,7 @@
     }
 
     /**
-     * Starts the attempts whose backoff has ended.
+     * Starts the retries that are due.
      *
      * @param nowMs the present time in milliseconds
      */
@@ -166,15 +170,15 @@
         due.forEach(c -> c.attempt(nowMs));
     }
 
-    /** Returns how many changes are not done yet. */
+    /** Returns the number of changes that have not been completed. */
     public int pending() {
         synchronized (mLock) {
-            return mByKey.values().stream().mapToInt(Deque::size).sum();
+            return mPendingByKey.values().stream().mapToInt(Deque::size).sum();
         }
     }
 
-    /** Plans a change's next attempt; returns false where its attempts are used up. */
-    boolean retryLater(long nowMs, RecordChange<?> change, int attempts) {
+    /** Schedules the next attempt of a change; returns false if no attempts are left. */
+    boolean scheduleRetry(long nowMs, RecordChange<?> change, int attempts) {
         if (attempts >= mPolicy.maxAttempts()) {
             return false;
         }
@@ -184,15 +188,15 @@
         return true;
     }
 
-    /** Removes a change that is done and starts the next one of its key. */
-    void finished(long nowMs, String key) {
+    /** Removes the completed change of a key and starts the next one. */
+    void onFinished(long nowMs, String key) {
         RecordChange<?> next;
         synchronized (mLock) {
-            Deque<RecordChange<?>> queue = mByKey.get(key);
+            Deque<RecordChange<?>> queue = mPendingByKey.get(key);
             queue.removeFirst();
             next = queue.peekFirst();
             if (next == null) {
-                mByKey.remove(key);
+                mPendingByKey.remove(key);
             }
         }
         if (next != null) {
--- a/coordination/src/main/java/org/hornbeampass/coordination/platform/Lease.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/platform/Lease.java
@@ -13,19 +13,19 @@
 import java.util.function.BiConsumer;
 
 /**
- * A named lease with a fencing number that only grows.
+ * A named lease with a fencing number that only increases.
  *
- * <p>No clocks are compared: a VM takes over only after it has itself seen the lease's record
- * unchanged for the lease's whole duration, and a holder counts its own time from before it sent
- * the write. Still, a holder that is paused may believe that it holds a lease which another has
- * taken. That is harmless: the lease is not what makes an effect safe. Every effect under it is
- * either a conditional write, which fails for the deposed holder, or an order that carries the
- * fencing number, which the receiver or the order's own record checks. The lease only keeps two VMs
- * from doing the same work.
+ * <p>Clocks of different VMs are not compared: a VM takes over only after it has observed the
+ * lease's record unchanged for the whole duration of the lease, and a holder measures the duration
+ * from before it sent the write. A holder that is paused may still believe that it holds a lease
+ * that another VM has taken. The lease is therefore not what makes an effect safe: every effect
+ * under it is either a conditional write, which fails for a former holder, or an order that carries
+ * the fencing number, which is checked by the receiver or against the record of the order. The
+ * lease only keeps two VMs from doing the same work.
  *
  * <p>Invariants: {@link #heldFencingNumber} is empty once the duration has passed since the last
- * renewal was sent; fencing numbers of one name never repeat. Thread-safe: one lock guards the
- * state; calls and callbacks run without it.
+ * renewal was sent; a fencing number is never given to two holders of the same lease. Thread-safe:
+ * one lock guards the state; calls and callbacks run without it.
  */
 public final class Lease {
     private static final String PREFIX = "leases/";
@@ -36,32 +36,32 @@
     private final long mDurationMs;
     private final Object mLock = new Object();
 
-    private long mSeenVersion = -1;
-    private long mSeenSinceMs;
+    private long mObservedVersion = -1;
+    private long mObservedSinceMs;
     private long mFencing;
     private long mHeldUntilMs = Long.MIN_VALUE;
 
     /**
-     * The stored lease.
+     * The lease as stored on the platform.
      *
-     * @param holder who holds it; empty where it was released
-     * @param fencing grows with each new holder
-     * @param renewal grows with each renewal, so that the record changes
+     * @param holder the VM that holds the lease; empty if it was released
+     * @param fencing increases with each new holder
+     * @param renewal increases with each renewal, so that the record changes
      */
     record LeaseRecord(Optional<VmId> holder, long fencing, long renewal) {}
 
     /**
-     * Creates a lease that is not held yet.
+     * Creates a lease that this VM does not hold yet.
      *
-     * @param platform the platform that keeps it
+     * @param platform the platform that stores the lease
      * @param name the lease's name
      * @param vm this VM
-     * @param durationMs for how long it is held without a renewal, in milliseconds; the same on
-     *     every VM
+     * @param durationMs how long the lease is held without a renewal, in milliseconds; must be the
+     *     same on every VM
      */
     public Lease(Platform platform, String name, VmId vm, long durationMs) {
         if (durationMs <= 0) {
-            throw new IllegalArgumentException("a lease's duration must be positive");
+            throw new IllegalArgumentException("lease duration must be positive");
         }
         mPlatform = platform;
         mKey = PREFIX + name;
@@ -69,7 +69,7 @@
         mDurationMs = durationMs;
     }
 
-    /** Returns the fencing number while this VM may believe that it holds the lease. */
+    /** Returns the fencing number if this VM holds the lease by its own clock; otherwise empty. */
     public OptionalLong heldFencingNumber(long nowMs) {
         synchronized (mLock) {
             return nowMs < mHeldUntilMs ? OptionalLong.of(mFencing) : OptionalLong.empty();
@@ -77,12 +77,13 @@
     }
 
     /**
-     * Takes the lease where it is free or has lapsed, or keeps it where this VM holds it. Call it
-     * again from time to time: a lapse is only noticed by looking twice.
+     * Acquires the lease if it is free or has expired, or renews it if this VM holds it. An expiry
+     * is only detected by comparing two calls, so a VM that wants the lease must call this method
+     * repeatedly.
      *
      * @param nowMs the present time in milliseconds
-     * @param done takes the time in milliseconds and the fencing number, or {@code ALREADY_EXISTS}
-     *     where another VM holds it
+     * @param done receives the time in milliseconds and the fencing number, or {@code
+     *     ALREADY_EXISTS} if another VM holds the lease
      */
     public void acquire(long nowMs, BiConsumer<Long, Either<Failure, Long>> done) {
         mPlatform.submit(
@@ -90,21 +91,21 @@
                 new PlatformCall.Get(mKey),
                 (atMs, reply) -> {
                     if (reply instanceof PlatformReply.Missing) {
-                        take(atMs, 0, new LeaseRecord(Optional.of(mVm), 1, 0), done);
+                        writeHolder(atMs, 0, new LeaseRecord(Optional.of(mVm), 1, 0), done);
                     } else if (reply instanceof PlatformReply.Found found) {
-                        consider(atMs, found.object(), done);
+                        takeIfAvailable(atMs, found.object(), done);
                     } else {
-                        done.accept(atMs, Either.left(open()));
+                        done.accept(atMs, Either.left(noAnswer()));
                     }
                 });
     }
 
-    /** Extends the lease; the same as {@link #acquire}. */
+    /** Renews the lease; equivalent to {@link #acquire}. */
     public void renew(long nowMs, BiConsumer<Long, Either<Failure, Long>> done) {
         acquire(nowMs, done);
     }
 
-    private void consider(
+    private void takeIfAvailable(
             long nowMs, StoredObject object, BiConsumer<Long, Either<Failure, Long>> done) {
         Either<Failure, LeaseRecord> decoded = Json.decode(object.value(), LeaseRecord.class);
         if (decoded.isLeft()) {
@@ -113,55 +114,55 @@
         }
         LeaseRecord lease = decoded.get();
         boolean own = lease.holder().equals(Optional.of(mVm));
-        if (!own && lease.holder().isPresent() && !lapsed(nowMs, object.version())) {
+        if (!own && lease.holder().isPresent() && !hasExpired(nowMs, object.version())) {
             String message = "the lease is held by " + lease.holder().get() + "; try again later";
             done.accept(nowMs, Either.left(Failure.of(ErrorKind.ALREADY_EXISTS, message)));
             return;
         }
         long fencing = own ? lease.fencing() : lease.fencing() + 1;
         LeaseRecord next = new LeaseRecord(Optional.of(mVm), fencing, lease.renewal() + 1);
-        take(nowMs, object.version(), next, done);
+        writeHolder(nowMs, object.version(), next, done);
     }
 
-    /** Returns whether this VM has seen one version for the whole duration. */
-    private boolean lapsed(long nowMs, long version) {
+    /** Returns whether this VM has observed the same version for longer than the duration. */
+    private boolean hasExpired(long nowMs, long version) {
         synchronized (mLock) {
-            if (version != mSeenVersion) {
-                mSeenVersion = version;
-                mSeenSinceMs = nowMs;
+            if (version != mObservedVersion) {
+                mObservedVersion = version;
+                mObservedSinceMs = nowMs;
             }
-            return nowMs - mSeenSinceMs > mDurationMs;
+            return nowMs - mObservedSinceMs > mDurationMs;
         }
     }
 
-    private void take(
+    private void writeHolder(
             long nowMs,
             long version,
             LeaseRecord next,
             BiConsumer<Long, Either<Failure, Long>> done) {
         mPlatform.submit(
                 nowMs,
-                write(version, next),
+                toWriteCall(version, next),
                 (atMs, reply) -> {
                     if (reply instanceof PlatformReply.Written) {
-                        hold(nowMs, next.fencing());
+                        onTaken(nowMs, next.fencing());
                         done.accept(atMs, Either.right(next.fencing()));
                     } else if (reply instanceof PlatformReply.Conflict) {
-                        done.accept(atMs, Either.left(lostRace()));
+                        done.accept(atMs, Either.left(takenByOther()));
                     } else {
-                        done.accept(atMs, Either.left(open()));
+                        done.accept(atMs, Either.left(noAnswer()));
                     }
                 });
     }
 
-    private PlatformCall write(long version, LeaseRecord next) {
+    private PlatformCall toWriteCall(long version, LeaseRecord next) {
         String value = Json.encode(next);
         return version == 0
                 ? new PlatformCall.Create(mKey, value)
                 : new PlatformCall.Update(mKey, value, version);
     }
 
-    private void hold(long sentMs, long fencing) {
+    private void onTaken(long sentMs, long fencing) {
         synchronized (mLock) {
             mFencing = fencing;
             mHeldUntilMs = sentMs + mDurationMs;
@@ -169,11 +170,11 @@
     }
 
     /**
-     * Gives the lease up, from now on also in this VM's own eyes.
+     * Releases the lease. This VM stops considering itself the holder at once.
      *
      * @param nowMs the present time in milliseconds
-     * @param done takes the time in milliseconds and the last fencing number; a failure is
-     *     harmless, since the lease then lapses
+     * @param done receives the time in milliseconds and the last fencing number; a failure is
+     *     harmless, since the lease then expires
      */
     public void release(long nowMs, BiConsumer<Long, Either<Failure, Long>> done) {
         synchronized (mLock) {
@@ -186,7 +187,7 @@
                     if (reply instanceof PlatformReply.Found found) {
                         releaseIfOwn(atMs, found.object(), done);
                     } else {
-                        done.accept(atMs, Either.left(open()));
+                        done.accept(atMs, Either.left(noAnswer()));
                     }
                 });
     }
@@ -195,28 +196,28 @@
             long nowMs, StoredObject object, BiConsumer<Long, Either<Failure, Long>> done) {
         Either<Failure, LeaseRecord> decoded = Json.decode(object.value(), LeaseRecord.class);
         if (decoded.isLeft() || !decoded.get().holder().equals(Optional.of(mVm))) {
-            done.accept(nowMs, Either.left(decoded.fold(f -> f, lease -> lostRace())));
+            done.accept(nowMs, Either.left(decoded.fold(f -> f, lease -> takenByOther())));
             return;
         }
         LeaseRecord lease = decoded.get();
         LeaseRecord free = new LeaseRecord(Optional.empty(), lease.fencing(), lease.renewal() + 1);
         mPlatform.submit(
                 nowMs,
-                write(object.version(), free),
+                toWriteCall(object.version(), free),
                 (atMs, reply) ->
                         done.accept(
                                 atMs,
                                 reply instanceof PlatformReply.Written
                                         ? Either.right(lease.fencing())
-                                        : Either.left(open())));
+                                        : Either.left(noAnswer())));
     }
 
-    private Failure lostRace() {
+    private Failure takenByOther() {
         return Failure.of(
                 ErrorKind.ALREADY_EXISTS, "another VM took " + mKey + "; try again later");
     }
 
-    private Failure open() {
+    private Failure noAnswer() {
         return Failure.of(
                 ErrorKind.PLATFORM_UNAVAILABLE, "the platform did not answer for " + mKey);
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/platform/MemoryPlatform.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/platform/MemoryPlatform.java
@@ -14,12 +14,12 @@
 import java.util.function.BiConsumer;
 
 /**
- * A platform held in memory, for embedding, stand-ins and tests.
+ * An in-memory platform for embedding, stand-ins and tests.
  *
- * <p>Invariants: versions grow by one with each write; at most {@value #MAX_HISTORY} changes are
- * kept for watches. A watch is answered at once, or held until a write below its prefix or until
- * {@link #expireWatches} finds it overdue. Thread-safe: one lock guards all state, and replies are
- * run after it is released.
+ * <p>Invariants: versions increase by one with each write; at most {@value #MAX_HISTORY} changes
+ * are kept for watches. A watch is answered at once if there are changes; otherwise it is held
+ * until a write below its prefix or until {@link #expireWatches} is called after its time.
+ * Thread-safe: one lock guards all state, and callbacks are run after it is released.
  */
 public final class MemoryPlatform implements Platform {
     private static final int MAX_HISTORY = 100_000;
@@ -29,36 +29,36 @@
     private final Deque<Change> mHistory = new ArrayDeque<>();
     private final List<PendingWatch> mWatches = new ArrayList<>();
     private long mVersion;
-    private long mForgottenUpTo;
+    private long mDiscardedUpToVersion;
 
-    /** A watch that waits for its first change. */
+    /** A watch that waits for a change. */
     private record PendingWatch(
             PlatformCall.Watch call, long deadlineMs, BiConsumer<Long, PlatformReply> done) {}
 
-    /** A reply that is ready to be run once the lock is released. */
-    private record Ready(BiConsumer<Long, PlatformReply> done, PlatformReply reply) {}
+    /** A reply to deliver once the lock is released. */
+    private record PendingReply(BiConsumer<Long, PlatformReply> done, PlatformReply reply) {}
 
     @Override
     public void submit(long nowMs, PlatformCall call, BiConsumer<Long, PlatformReply> done) {
-        List<Ready> ready = new ArrayList<>();
+        List<PendingReply> ready = new ArrayList<>();
         synchronized (mLock) {
             if (call instanceof PlatformCall.Watch watch) {
                 startWatch(nowMs, watch, done, ready);
             } else {
-                ready.add(new Ready(done, apply(call)));
-                collectWatches(ready);
+                ready.add(new PendingReply(done, apply(call)));
+                completeWatches(ready);
             }
         }
         ready.forEach(r -> r.done().accept(nowMs, r.reply()));
     }
 
     /**
-     * Answers each watch that has waited for its whole time, with no changes.
+     * Answers each watch whose time has passed, without changes.
      *
      * @param nowMs the present time in milliseconds
      */
     public void expireWatches(long nowMs) {
-        List<Ready> ready = new ArrayList<>();
+        List<PendingReply> ready = new ArrayList<>();
         synchronized (mLock) {
             Iterator<PendingWatch> each = mWatches.iterator();
             while (each.hasNext()) {
@@ -66,7 +66,7 @@
                 if (watch.deadlineMs() <= nowMs) {
                     each.remove();
                     ready.add(
-                            new Ready(
+                            new PendingReply(
                                     watch.done(), new PlatformReply.Changed(List.of(), mVersion)));
                 }
             }
@@ -125,7 +125,7 @@
         }
         mHistory.addLast(new Change(key, value, mVersion));
         if (mHistory.size() > MAX_HISTORY) {
-            mForgottenUpTo = mHistory.removeFirst().version();
+            mDiscardedUpToVersion = mHistory.removeFirst().version();
         }
         return new PlatformReply.Written(mVersion);
     }
@@ -134,29 +134,29 @@
             long nowMs,
             PlatformCall.Watch watch,
             BiConsumer<Long, PlatformReply> done,
-            List<Ready> ready) {
+            List<PendingReply> ready) {
         Optional<PlatformReply> reply = changesSince(watch);
         if (reply.isPresent()) {
-            ready.add(new Ready(done, reply.get()));
+            ready.add(new PendingReply(done, reply.get()));
             return;
         }
         mWatches.add(new PendingWatch(watch, nowMs + watch.maxWait().toMillis(), done));
     }
 
-    private void collectWatches(List<Ready> ready) {
+    private void completeWatches(List<PendingReply> ready) {
         Iterator<PendingWatch> each = mWatches.iterator();
         while (each.hasNext()) {
             PendingWatch watch = each.next();
             Optional<PlatformReply> reply = changesSince(watch.call());
             if (reply.isPresent()) {
                 each.remove();
-                ready.add(new Ready(watch.done(), reply.get()));
+                ready.add(new PendingReply(watch.done(), reply.get()));
             }
         }
     }
 
     private Optional<PlatformReply> changesSince(PlatformCall.Watch watch) {
-        if (watch.afterVersion() < mForgottenUpTo) {
+        if (watch.afterVersion() < mDiscardedUpToVersion) {
             return Optional.of(new PlatformReply.WatchGap());
         }
         List<Change> changes = new ArrayList<>();
--- a/coordination/src/main/java/org/hornbeampass/coordination/platform/PlatformCall.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/platform/PlatformCall.java
@@ -9,13 +9,13 @@
  * for use by any thread.
  */
 public sealed interface PlatformCall {
-    /** The largest value that the platform holds, in UTF-8 bytes. */
+    /** The maximum size of a value, in UTF-8 bytes. */
     int MAX_VALUE_BYTES = 1 << 20;
 
-    /** How the platform counts the call. */
+    /** Returns the kind by which the platform counts and limits the call. */
     Kind kind();
 
-    /** The kinds in which calls are counted. */
+    /** The kinds by which calls are counted and limited. */
     enum Kind {
         READ,
         WRITE,
@@ -26,11 +26,11 @@
      * Reads one object; answered {@code Found} or {@code Missing}.
      *
      * @param key the object's key
-     * @param allowsStale whether an answer will do that is some seconds old, which costs the
-     *     platform less; such an answer proves nothing about the present
+     * @param allowsStale whether the answer may be some seconds old, which costs the platform less;
+     *     such an answer may differ from the current object
      */
     record Get(String key, boolean allowsStale) implements PlatformCall {
-        /** Reads an object as it is now. */
+        /** Reads the current object. */
         public Get(String key) {
             this(key, false);
         }
@@ -44,9 +44,9 @@
     /**
      * Lists objects in the order of their keys; answered {@code Listed}.
      *
-     * @param prefix the prefix that the keys share
-     * @param afterKey only keys greater than this one; empty for all
-     * @param limit the largest number of objects in the answer
+     * @param prefix the common prefix of the keys
+     * @param afterKey only keys greater than this one are listed; empty for all
+     * @param limit the maximum number of objects in the answer
      */
     record ListObjects(String prefix, String afterKey, int limit) implements PlatformCall {
         @Override
@@ -69,7 +69,7 @@
     }
 
     /**
-     * Replaces an object at a given version; answered {@code Written} or {@code Conflict}.
+     * Replaces an object if it has a given version; answered {@code Written} or {@code Conflict}.
      *
      * @param key the object's key
      * @param value its new JSON text
@@ -83,7 +83,7 @@
     }
 
     /**
-     * Deletes an object at a given version; answered {@code Written} or {@code Conflict}.
+     * Deletes an object if it has a given version; answered {@code Written} or {@code Conflict}.
      *
      * @param key the object's key
      * @param expectedVersion the version that it must have
@@ -96,11 +96,11 @@
     }
 
     /**
-     * Waits for changes below a prefix; answered {@code Changed}, or {@code WatchGap} where the
-     * platform no longer holds the changes since {@code afterVersion}.
+     * Waits for changes below a prefix; answered {@code Changed}, or {@code WatchGap} if the
+     * platform no longer keeps the changes since {@code afterVersion}.
      *
-     * @param prefix the prefix that the keys share
-     * @param afterVersion only changes with a greater version
+     * @param prefix the common prefix of the keys
+     * @param afterVersion only changes with a greater version are reported
      * @param maxWait how long to wait for the first change
      */
     record Watch(String prefix, long afterVersion, Duration maxWait) implements PlatformCall {
--- a/coordination/src/main/java/org/hornbeampass/coordination/platform/PlatformReply.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/platform/PlatformReply.java
@@ -6,7 +6,7 @@
 /**
  * The platform's reply to one {@link PlatformCall}.
  *
- * <p>Versions are positive, grow with each write and are unique across the platform's store.
+ * <p>Versions are positive, increase with each write and are unique across the platform's store.
  * Immutable; safe for use by any thread.
  */
 public sealed interface PlatformReply {
@@ -23,7 +23,7 @@
      * One change that a watch reports.
      *
      * @param key the changed object's key
-     * @param value its new JSON text; empty where it was deleted
+     * @param value its new JSON text; empty if it was deleted
      * @param version the version of the change
      */
     record Change(String key, Optional<String> value, long version) {}
@@ -43,7 +43,7 @@
      *
      * @param objects the objects in the order of their keys
      * @param more whether further objects follow the last one
-     * @param storeVersion the store's version at the time of the listing, from which to watch
+     * @param storeVersion the store's version at the time of the listing; a watch may start from it
      */
     record Listed(List<StoredObject> objects, boolean more, long storeVersion)
             implements PlatformReply {
@@ -61,9 +61,9 @@
     record Written(long version) implements PlatformReply {}
 
     /**
-     * The write did not take effect, since the object was not as expected.
+     * The write did not take effect, since the object did not have the expected version.
      *
-     * @param current the object as it is; empty where it does not exist
+     * @param current the current object; empty if it does not exist
      */
     record Conflict(Optional<StoredObject> current) implements PlatformReply {}
 
@@ -80,16 +80,16 @@
         }
     }
 
-    /** The changes asked for are gone; list anew. */
+    /** The requested changes are no longer kept; the objects must be listed again. */
     record WatchGap() implements PlatformReply {}
 
-    /** The platform refused the call for its rate limit; it had no effect. */
+    /** The call was rejected because of a rate limit and had no effect. */
     record Throttled() implements PlatformReply {}
 
     /**
-     * No reply came; a write may have taken effect.
+     * No reply was received; a write may have taken effect.
      *
-     * @param reason what happened, for logs
+     * @param reason the reason, for logs
      */
     record Unavailable(String reason) implements PlatformReply {}
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/platform/RecordChange.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/platform/RecordChange.java
@@ -16,14 +16,14 @@
 import java.util.function.Function;
 
 /**
- * One change of one record on its way through reads, writes and retries.
+ * One change of one record, with its reads, writes and retries.
  *
- * <p>Invariant: at most one write is open, so once a record of another version was read without
- * this change's mark, no earlier write of it can take effect any more. Not thread-safe: each step
- * follows the reply of the last one or the writer's tick.
+ * <p>Invariant: at most one write is unconfirmed. Once the record has been read at another version
+ * without this change's mark, an earlier write of the change can no longer take effect. Not
+ * thread-safe: each step follows the reply to the previous one or a tick of the writer.
  */
 final class RecordChange<T> {
-    private final ConditionalWriter mOwner;
+    private final ConditionalWriter mWriter;
     private final Platform mPlatform;
     private final String mKey;
     private final Class<T> mType;
@@ -32,8 +32,8 @@
     private final BiConsumer<Long, Either<Failure, T>> mDone;
 
     private int mAttempts;
-    private boolean mOpen;
-    private long mOpenVersion;
+    private boolean mWriteUnconfirmed;
+    private long mUnconfirmedBaseVersion;
     private Optional<T> mWritten = Optional.empty();
 
     RecordChange(
@@ -44,7 +44,7 @@
             StoredValue.Mark mark,
             Function<Optional<T>, Either<Failure, T>> change,
             BiConsumer<Long, Either<Failure, T>> done) {
-        mOwner = owner;
+        mWriter = owner;
         mPlatform = platform;
         mKey = key;
         mType = type;
@@ -53,7 +53,7 @@
         mDone = done;
     }
 
-    /** Reads the record and goes on from what it finds. */
+    /** Reads the record and then applies and writes the change. */
     void attempt(long nowMs) {
         mAttempts++;
         mPlatform.submit(
@@ -61,23 +61,23 @@
                 new PlatformCall.Get(mKey),
                 (atMs, reply) -> {
                     if (reply instanceof PlatformReply.Missing) {
-                        found(atMs, Optional.empty());
+                        onRead(atMs, Optional.empty());
                     } else if (reply instanceof PlatformReply.Found found) {
-                        found(atMs, Optional.of(found.object()));
+                        onRead(atMs, Optional.of(found.object()));
                     } else {
                         retry(atMs, ErrorKind.PLATFORM_UNAVAILABLE);
                     }
                 });
     }
 
-    private void found(long nowMs, Optional<StoredObject> object) {
+    private void onRead(long nowMs, Optional<StoredObject> object) {
         long version = object.map(StoredObject::version).orElse(0L);
-        if (object.isEmpty() && mOpen && mOpenVersion != 0) {
-            finish(nowMs, Either.left(forgotten()));
+        if (object.isEmpty() && mWriteUnconfirmed && mUnconfirmedBaseVersion != 0) {
+            finish(nowMs, Either.left(unknownOutcome()));
             return;
         }
         if (object.isEmpty()) {
-            propose(nowMs, version, Optional.empty(), List.of());
+            applyChange(nowMs, version, Optional.empty(), List.of());
             return;
         }
         Either<Failure, StoredValue> decoded = Json.decode(object.get().value(), StoredValue.class);
@@ -86,7 +86,9 @@
             return;
         }
         StoredValue stored = decoded.get();
-        if (mOpen && version != mOpenVersion && !resolveOpenWrite(nowMs, stored)) {
+        if (mWriteUnconfirmed
+                && version != mUnconfirmedBaseVersion
+                && !resolveUnconfirmedWrite(nowMs, stored)) {
             return;
         }
         Either<Failure, T> body = Json.decode(stored.body().toString(), mType);
@@ -94,46 +96,47 @@
             finish(nowMs, Either.left(body.getLeft()));
             return;
         }
-        propose(nowMs, version, Optional.of(body.get()), stored.marks());
+        applyChange(nowMs, version, Optional.of(body.get()), stored.marks());
     }
 
-    /** Finds whether the open write took effect; returns whether the change is still to be made. */
-    private boolean resolveOpenWrite(long nowMs, StoredValue stored) {
+    /** Determines whether the unconfirmed write took effect; returns true if it did not. */
+    private boolean resolveUnconfirmedWrite(long nowMs, StoredValue stored) {
         StoredValue.Presence presence = stored.presence(mMark);
         if (presence == StoredValue.Presence.NOT_APPLIED) {
-            mOpen = false;
+            mWriteUnconfirmed = false;
             return true;
         }
         if (presence == StoredValue.Presence.APPLIED) {
             finish(nowMs, Either.right(mWritten.orElseThrow()));
         } else {
-            finish(nowMs, Either.left(forgotten()));
+            finish(nowMs, Either.left(unknownOutcome()));
         }
         return false;
     }
 
-    private Failure forgotten() {
+    private Failure unknownOutcome() {
         return Failure.of(
-                ErrorKind.OUTCOME_UNKNOWN, mKey + " was changed by too many others since");
+                ErrorKind.OUTCOME_UNKNOWN, mKey + " was changed by too many other writers since");
     }
 
-    private void propose(
+    private void applyChange(
             long nowMs, long version, Optional<T> current, List<StoredValue.Mark> marks) {
-        Either<Failure, T> wanted = mChange.apply(current);
-        if (wanted.isLeft() || wanted.get().equals(current.orElse(null))) {
-            if (mOpen) {
+        Either<Failure, T> changed = mChange.apply(current);
+        if (changed.isLeft() || changed.get().equals(current.orElse(null))) {
+            if (mWriteUnconfirmed) {
                 retry(nowMs, ErrorKind.OUTCOME_UNKNOWN);
             } else {
-                finish(nowMs, wanted);
+                finish(nowMs, changed);
             }
             return;
         }
-        mWritten = Optional.of(wanted.get());
-        JsonNode body = Json.decode(Json.encode(wanted.get()), JsonNode.class).get();
+        mWritten = Optional.of(changed.get());
+        JsonNode body = Json.decode(Json.encode(changed.get()), JsonNode.class).get();
         String value = Json.encode(StoredValue.after(marks, body, mMark));
         int bytes = value.getBytes(StandardCharsets.UTF_8).length;
         if (bytes > PlatformCall.MAX_VALUE_BYTES) {
-            String message = mKey + " would take " + bytes + " bytes; the platform holds less";
+            String message =
+                    mKey + " would take " + bytes + " bytes, more than the platform stores";
             finish(nowMs, Either.left(Failure.of(ErrorKind.REQUEST_TOO_LARGE, message)));
             return;
         }
@@ -145,15 +148,15 @@
                 version == 0
                         ? new PlatformCall.Create(mKey, value)
                         : new PlatformCall.Update(mKey, value, version);
-        mPlatform.submit(nowMs, call, (atMs, reply) -> written(atMs, version, reply));
+        mPlatform.submit(nowMs, call, (atMs, reply) -> onWriteReply(atMs, version, reply));
     }
 
-    private void written(long nowMs, long version, PlatformReply reply) {
+    private void onWriteReply(long nowMs, long version, PlatformReply reply) {
         if (reply instanceof PlatformReply.Written) {
             finish(nowMs, Either.right(mWritten.orElseThrow()));
         } else if (reply instanceof PlatformReply.Unavailable) {
-            mOpen = true;
-            mOpenVersion = version;
+            mWriteUnconfirmed = true;
+            mUnconfirmedBaseVersion = version;
             retry(nowMs, ErrorKind.OUTCOME_UNKNOWN);
         } else if (reply instanceof PlatformReply.Conflict) {
             retry(nowMs, ErrorKind.REVISION_CONFLICT);
@@ -163,16 +166,16 @@
     }
 
     private void retry(long nowMs, ErrorKind reason) {
-        if (mOwner.retryLater(nowMs, this, mAttempts)) {
+        if (mWriter.scheduleRetry(nowMs, this, mAttempts)) {
             return;
         }
-        ErrorKind kind = mOpen ? ErrorKind.OUTCOME_UNKNOWN : reason;
+        ErrorKind kind = mWriteUnconfirmed ? ErrorKind.OUTCOME_UNKNOWN : reason;
         String message = mKey + " was not changed in " + mAttempts + " attempts; retry later";
         finish(nowMs, Either.left(Failure.of(kind, message)));
     }
 
     private void finish(long nowMs, Either<Failure, T> result) {
         mDone.accept(nowMs, result);
-        mOwner.finished(nowMs, mKey);
+        mWriter.onFinished(nowMs, mKey);
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/platform/StoredValue.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/platform/StoredValue.java
@@ -9,33 +9,34 @@
 import java.util.Objects;
 
 /**
- * What {@link ConditionalWriter} stores: the body, who wrote it, and the last write of each writer
- * before that.
+ * The value that {@link ConditionalWriter} stores: a record and marks of the last write of each
+ * recent writer.
  *
- * <p>Invariants: at most one mark for each writer, the newest first, at most {@value #MAX_MARKS};
- * the first mark is that of the writer of this body. Immutable; safe for use by any thread.
+ * <p>Invariants: there is at most one mark for each writer and at most {@value #MAX_MARKS} marks,
+ * the newest first; the first mark is that of the write that stored this body. Immutable; safe for
+ * use by any thread.
  *
  * @param body the stored record
- * @param marks the last write of each recent writer
+ * @param marks the last write of each recent writer, the newest first
  */
 record StoredValue(JsonNode body, List<Mark> marks) {
-    /** How many writers are remembered. */
+    /** The maximum number of writers whose last write is kept. */
     static final int MAX_MARKS = 64;
 
     /**
-     * One writer's last write of the object.
+     * Identifies one writer's last write of the object.
      *
      * @param writer the VM that wrote
-     * @param sequence the number that it gave the change
+     * @param sequence the sequence number that the writer gave the change
      */
     record Mark(VmId writer, long sequence) {}
 
-    /** Whether a change is in a stored value. */
+    /** Whether a stored value includes a change. */
     enum Presence {
         APPLIED,
         NOT_APPLIED,
-        /** So many others wrote since that it can't be told any more. */
-        FORGOTTEN
+        /** Can't be determined: too many other writers have written since. */
+        UNKNOWN
     }
 
     /** Copies the list. */
@@ -44,7 +45,7 @@
         marks = List.copyOf(marks);
     }
 
-    /** Returns the value after a writer's change. */
+    /** Returns the value after a write, with the marks of the value before it. */
     static StoredValue after(List<Mark> before, JsonNode newBody, Mark mark) {
         List<Mark> marks = new ArrayList<>();
         marks.add(mark);
@@ -55,13 +56,13 @@
         return new StoredValue(newBody, marks);
     }
 
-    /** Returns whether the change that a mark stands for was applied to this value. */
+    /** Returns whether this value includes the change that a mark identifies. */
     Presence presence(Mark mark) {
         for (Mark each : marks) {
             if (each.writer().equals(mark.writer())) {
                 return each.sequence() == mark.sequence() ? Presence.APPLIED : Presence.NOT_APPLIED;
             }
         }
-        return marks.size() < MAX_MARKS ? Presence.NOT_APPLIED : Presence.FORGOTTEN;
+        return marks.size() < MAX_MARKS ? Presence.NOT_APPLIED : Presence.UNKNOWN;
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/platform/VersionedObjects.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/platform/VersionedObjects.java
@@ -11,14 +11,14 @@
 import java.util.TreeMap;
 
 /**
- * Objects of the platform by their keys, none of which ever goes back.
+ * The objects of a view by key, with tombstones of deleted ones.
  *
- * <p>Invariant: for each key the versions shown only grow, a deletion counting as a version. Not
- * thread-safe: guarded by the lock of the view that holds it.
+ * <p>Invariant: for each key the reported versions only increase; a deletion counts as a version.
+ * Not thread-safe: guarded by the lock of the view that owns it.
  */
 final class VersionedObjects {
     private final TreeMap<String, StoredObject> mObjects = new TreeMap<>();
-    private final Map<String, Long> mDeleted = new HashMap<>();
+    private final Map<String, Long> mTombstones = new HashMap<>();
 
     Optional<StoredObject> get(String key) {
         return Optional.ofNullable(mObjects.get(key));
@@ -29,48 +29,50 @@
         return List.copyOf(mObjects.values());
     }
 
-    /** Takes an object as it stands; what that changes is added to {@code shown}. */
-    void apply(StoredObject object, List<Change> shown) {
-        apply(new Change(object.key(), Optional.of(object.value()), object.version()), shown);
+    /** Applies the current state of an object; a change is added to {@code reported}. */
+    void apply(StoredObject object, List<Change> reported) {
+        apply(new Change(object.key(), Optional.of(object.value()), object.version()), reported);
     }
 
-    /** Takes a change; it is added to {@code shown} unless it is known or older than what is. */
-    void apply(Change change, List<Change> shown) {
+    /**
+     * Applies a change and adds it to {@code reported}, unless a newer or the same one is known.
+     */
+    void apply(Change change, List<Change> reported) {
         StoredObject known = mObjects.get(change.key());
         long knownVersion =
-                known != null ? known.version() : mDeleted.getOrDefault(change.key(), 0L);
-        if (change.version() <= knownVersion && !deletesAt(known, change)) {
+                known != null ? known.version() : mTombstones.getOrDefault(change.key(), 0L);
+        if (change.version() <= knownVersion && !isDeletionAtSameVersion(known, change)) {
             return;
         }
         if (change.value().isPresent()) {
-            mDeleted.remove(change.key());
+            mTombstones.remove(change.key());
             mObjects.put(
                     change.key(),
                     new StoredObject(change.key(), change.value().get(), change.version()));
         } else if (mObjects.remove(change.key()) == null) {
             return;
         } else {
-            mDeleted.put(change.key(), change.version());
+            mTombstones.put(change.key(), change.version());
         }
-        shown.add(change);
+        reported.add(change);
     }
 
-    /** A listing that lacks an object of its own version shows that it was deleted since. */
-    private static boolean deletesAt(StoredObject known, Change change) {
+    /** Returns whether a listing of the version of an object lacks it, so that it was deleted. */
+    private static boolean isDeletionAtSameVersion(StoredObject known, Change change) {
         return known != null && change.value().isEmpty() && change.version() == known.version();
     }
 
-    /** Shows as deleted what a whole list of keys lacks; the deletion counts as its version. */
-    void removeAllBut(Set<String> keys, long listVersion, List<Change> shown) {
+    /** Deletes the objects that a complete list of keys lacks, at the version of the list. */
+    void retainKeys(Set<String> keys, long listVersion, List<Change> reported) {
         for (StoredObject object : all()) {
             if (!keys.contains(object.key()) && object.version() <= listVersion) {
-                apply(new Change(object.key(), Optional.empty(), listVersion), shown);
+                apply(new Change(object.key(), Optional.empty(), listVersion), reported);
             }
         }
     }
 
-    /** Forgets deletions of which no older change can come any more. */
-    void forgetDeletions(long upToVersion) {
-        mDeleted.values().removeIf(v -> v <= upToVersion);
+    /** Removes the tombstones of deletions before which no change can arrive any more. */
+    void dropTombstones(long upToVersion) {
+        mTombstones.values().removeIf(v -> v <= upToVersion);
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/platform/WatchedView.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/platform/WatchedView.java
@@ -13,17 +13,17 @@
 import java.util.stream.Collectors;
 
 /**
- * A view of the objects below a prefix that never goes back: lists, then watches, and lists anew
- * after a gap.
+ * A view of the objects below a prefix: lists them, then watches for changes, and lists again after
+ * a gap. The view never returns to an older state of an object.
  *
- * <p>Invariants: for each key the versions shown only grow, a deletion counting as a version; a
- * listing that is older than what was already shown is discarded and asked for again. Until the
- * first listing is whole, the view is empty and {@link #ready} is false. In an outage the view
- * stays as it was. At most one call is open, a waiting watch included; the reply to one that was
- * given up is ignored.
+ * <p>Invariants: for each key the reported versions only increase; a deletion counts as a version.
+ * A listing that is older than what was already reported is discarded and requested again. Until
+ * the first listing is complete, the view is empty and {@link #ready} is false. During an outage
+ * the view keeps its last state. At most one call is in progress, including a watch; the reply to a
+ * cancelled call is ignored.
  *
  * <p>Thread-safe: one lock guards the state; calls and the listener run without it. {@link #tick}
- * restarts what failed, with backoff.
+ * retries failed calls with backoff.
  */
 public final class WatchedView {
     private static final int PAGE_SIZE = 500;
@@ -31,35 +31,35 @@
     private static final long NEVER = Long.MIN_VALUE;
 
     /**
-     * An answer of which nothing came for so long is not on its way any more, in milliseconds. On a
-     * full link of 7 Mbit/s its parts come some hundred milliseconds apart.
+     * The longest gap between two parts of an answer that is still being received, in milliseconds.
+     * On a saturated link of 7 Mbit/s parts arrive some hundred milliseconds apart.
      */
-    private static final long RECEIVING_MS = 1_000;
+    private static final long MAX_RECEIVE_GAP_MS = 1_000;
 
     private final Platform mPlatform;
     private final String mPrefix;
     private final Duration mWatchTime;
     private final BiConsumer<Long, Change> mListener;
     private final RetryPolicy mBackoff;
-    private final CatchUpMode mMissed;
+    private final CatchUpMode mCatchUpMode;
     private final Object mLock = new Object();
     private final SplittableRandom mRandom;
     private final VersionedObjects mObjects = new VersionedObjects();
     private final List<StoredObject> mListing = new ArrayList<>();
 
     private boolean mReady;
-    private boolean mOpen;
+    private boolean mCallInProgress;
     private long mCallNumber;
-    private Runnable mGiveUp = () -> {};
-    private long mArrivedMs = NEVER;
+    private Runnable mCancelCall = () -> {};
+    private long mLastBytesMs = NEVER;
     private boolean mStopped;
     private boolean mListNext = true;
-    private long mListedFrom;
+    private long mListingVersion;
     private long mUpToVersion;
     private long mRetryAtMs = Long.MIN_VALUE;
     private int mFailures;
     private long mFailingSinceMs = NEVER;
-    private long mFailedMs = NEVER;
+    private long mLastFailureMs = NEVER;
 
     /**
      * Creates a view that starts with the first {@link #tick}.
@@ -68,7 +68,7 @@
      * @param prefix the prefix that the keys share
      * @param watchTime how long one watch waits
      * @param seed seeds the jitter of the backoff
-     * @param listener takes the time in milliseconds and each change of the view, in order
+     * @param listener receives the time in milliseconds and each change of the view, in order
      */
     public WatchedView(
             Platform platform,
@@ -80,112 +80,115 @@
     }
 
     /**
-     * Creates a view with a backoff and a way to catch up of its own.
+     * Creates a view with a given backoff and catch-up mode.
      *
      * @param platform the platform that is watched
      * @param prefix the prefix that the keys share
      * @param watchTime how long one watch waits
-     * @param backoff the waits after failed calls
-     * @param missed what is read of the changes that were missed
+     * @param backoff the backoff after failed calls
+     * @param catchUpMode which of the missed changes are reported
      * @param seed seeds the jitter of the backoff
-     * @param listener takes the time in milliseconds and each change of the view, in order
+     * @param listener receives the time in milliseconds and each change of the view, in order
      */
     public WatchedView(
             Platform platform,
             String prefix,
             Duration watchTime,
             RetryPolicy backoff,
-            CatchUpMode missed,
+            CatchUpMode catchUpMode,
             long seed,
             BiConsumer<Long, Change> listener) {
         mPlatform = platform;
         mPrefix = prefix;
         mWatchTime = watchTime;
         mBackoff = backoff;
-        mMissed = missed;
+        mCatchUpMode = catchUpMode;
         mRandom = new SplittableRandom(seed);
         mListener = listener;
     }
 
-    /** Returns whether a whole listing has been seen. */
+    /** Returns whether a complete state of the objects has been received. */
     public boolean ready() {
         synchronized (mLock) {
             return mReady;
         }
     }
 
-    /** Returns one object as last seen. */
+    /** Returns the last known state of one object. */
     public Optional<StoredObject> get(String key) {
         synchronized (mLock) {
             return mObjects.get(key);
         }
     }
 
-    /** Returns all objects as last seen, in the order of their keys. */
+    /** Returns the last known state of all objects, in the order of their keys. */
     public List<StoredObject> all() {
         synchronized (mLock) {
             return mObjects.all();
         }
     }
 
-    /** Returns the store's version up to which this view is informed. */
+    /** Returns the version of the store that this view reflects. */
     public long upToVersion() {
         synchronized (mLock) {
             return mUpToVersion;
         }
     }
 
-    /** Returns for how long all calls have failed, in milliseconds; 0 where the last one worked. */
+    /** Returns how long all calls have failed, in milliseconds; 0 if the last one succeeded. */
     public long failingForMs(long nowMs) {
         synchronized (mLock) {
             return mFailingSinceMs == NEVER ? 0 : nowMs - mFailingSinceMs;
         }
     }
 
-    /** Returns whether a call failed within a time before now, in milliseconds. */
+    /** Returns whether a call failed within the last {@code ms} milliseconds. */
     public boolean failedWithin(long nowMs, long ms) {
         synchronized (mLock) {
-            return mFailedMs != NEVER && nowMs - mFailedMs < ms;
+            return mLastFailureMs != NEVER && nowMs - mLastFailureMs < ms;
         }
     }
 
-    /** Returns whether the platform's answer to the open call is on its way, but not yet whole. */
+    /** Returns whether the answer to the call in progress has been received in part. */
     public boolean isReceiving(long nowMs) {
         synchronized (mLock) {
-            return mOpen && mArrivedMs != NEVER && nowMs - mArrivedMs < RECEIVING_MS;
+            return mCallInProgress
+                    && mLastBytesMs != NEVER
+                    && nowMs - mLastBytesMs < MAX_RECEIVE_GAP_MS;
         }
     }
 
     /**
-     * Takes what another VM has seen; ignored unless it is newer than this view.
+     * Merges the state of another VM's view; ignored unless it is newer than this view.
      *
      * @param nowMs the present time in milliseconds
      * @param keys the keys of all objects below the prefix
-     * @param newer the objects that changed since this view's version, or more
-     * @param storeVersion the store's version up to which the other VM is informed
+     * @param newer at least the objects that changed since this view's version
+     * @param storeVersion the version of the store that the other VM's view reflects
      */
     public void mergePeerState(
             long nowMs, Set<String> keys, List<StoredObject> newer, long storeVersion) {
-        List<Change> shown = new ArrayList<>();
+        List<Change> reported = new ArrayList<>();
         synchronized (mLock) {
             if (mStopped || storeVersion <= mUpToVersion) {
                 return;
             }
-            mObjects.removeAllBut(keys, storeVersion, shown);
-            newer.forEach(o -> mObjects.apply(o, shown));
+            mObjects.retainKeys(keys, storeVersion, reported);
+            newer.forEach(o -> mObjects.apply(o, reported));
             mUpToVersion = storeVersion;
             mReady = true;
-            if (!mOpen && !mMissed.listsAfterFailure()) {
+            if (!mCallInProgress && !mCatchUpMode.relistsAfterFailure()) {
                 mListNext = false;
                 mListing.clear();
             }
         }
-        shown.forEach(c -> mListener.accept(nowMs, c));
+        reported.forEach(c -> mListener.accept(nowMs, c));
     }
 
     /**
-     * Gives up a watch of which nothing has come, and lists anew: for a view that is known to be
-     * behind. Does nothing where an answer is on its way, or where calls fail and are repeated.
+     * Cancels a watch that has received nothing and lists again, for a view that is known to be
+     * outdated. Does nothing while an answer is being received, a listing is in progress or failed
+     * calls are retried.
      *
      * @param nowMs the present time in milliseconds
      */
@@ -194,8 +197,8 @@
     }
 
     /**
-     * Gives up a watch of which nothing has come, and watches again from the same version: for a
-     * watch whose answer may be lost. Does nothing where no watch waits.
+     * Cancels a watch that has received nothing and watches again from the same version, for a
+     * watch whose answer may be lost. Does nothing if no watch is waiting.
      *
      * @param nowMs the present time in milliseconds
      */
@@ -203,24 +206,24 @@
         replaceWatch(nowMs, false);
     }
 
-    private void replaceWatch(long nowMs, boolean lists) {
-        Runnable giveUp;
+    private void replaceWatch(long nowMs, boolean relist) {
+        Runnable cancel;
         synchronized (mLock) {
-            if (mStopped || !mOpen || mListNext || isReceiving(nowMs)) {
+            if (mStopped || !mCallInProgress || mListNext || isReceiving(nowMs)) {
                 return;
             }
-            mOpen = false;
+            mCallInProgress = false;
             mCallNumber++;
-            giveUp = mGiveUp;
-            if (lists) {
-                listAnew();
+            cancel = mCancelCall;
+            if (relist) {
+                restartListing();
             }
         }
-        giveUp.run();
+        cancel.run();
         tick(nowMs);
     }
 
-    /** Stops: no further call is made, and replies still to come are ignored. */
+    /** Stops the view: no further call is made, and outstanding replies are ignored. */
     public void stop() {
         synchronized (mLock) {
             mStopped = true;
@@ -228,39 +231,39 @@
     }
 
     /**
-     * Starts the next call where none is open and no backoff is due to end later.
+     * Starts the next call if none is in progress and no backoff is pending.
      *
      * @param nowMs the present time in milliseconds
      */
     public void tick(long nowMs) {
         PlatformCall call;
-        long number;
+        long callNumber;
         synchronized (mLock) {
-            if (mStopped || mOpen || nowMs < mRetryAtMs) {
+            if (mStopped || mCallInProgress || nowMs < mRetryAtMs) {
                 return;
             }
-            mOpen = true;
-            mArrivedMs = NEVER;
-            number = ++mCallNumber;
+            mCallInProgress = true;
+            mLastBytesMs = NEVER;
+            callNumber = ++mCallNumber;
             call = nextCall();
         }
-        Runnable giveUp =
+        Runnable cancel =
                 mPlatform.submit(
                         nowMs,
                         call,
-                        (atMs, bytes) -> arriving(atMs, number),
-                        (atMs, reply) -> replied(atMs, number, reply));
+                        (atMs, bytes) -> onBytes(atMs, callNumber),
+                        (atMs, reply) -> onReply(atMs, callNumber, reply));
         synchronized (mLock) {
-            if (number == mCallNumber) {
-                mGiveUp = giveUp;
+            if (callNumber == mCallNumber) {
+                mCancelCall = cancel;
             }
         }
     }
 
-    private void arriving(long nowMs, long number) {
+    private void onBytes(long nowMs, long callNumber) {
         synchronized (mLock) {
-            if (number == mCallNumber) {
-                mArrivedMs = nowMs;
+            if (callNumber == mCallNumber) {
+                mLastBytesMs = nowMs;
             }
         }
     }
@@ -273,91 +276,91 @@
         return new PlatformCall.ListObjects(mPrefix, after, PAGE_SIZE);
     }
 
-    private void replied(long nowMs, long number, PlatformReply reply) {
-        List<Change> shown = new ArrayList<>();
-        boolean again;
+    private void onReply(long nowMs, long callNumber, PlatformReply reply) {
+        List<Change> reported = new ArrayList<>();
+        boolean callAgain;
         synchronized (mLock) {
-            if (mStopped || number != mCallNumber) {
+            if (mStopped || callNumber != mCallNumber) {
                 return;
             }
-            mOpen = false;
-            if (answered(reply)) {
+            mCallInProgress = false;
+            if (isSuccess(reply)) {
                 mFailingSinceMs = NEVER;
             }
-            again = accept(nowMs, reply, shown);
+            callAgain = handleReply(nowMs, reply, reported);
         }
-        shown.forEach(c -> mListener.accept(nowMs, c));
-        if (again) {
+        reported.forEach(c -> mListener.accept(nowMs, c));
+        if (callAgain) {
             tick(nowMs);
         }
     }
 
-    /** Takes a reply in; returns whether the next call may be made at once. */
-    private boolean accept(long nowMs, PlatformReply reply, List<Change> shown) {
+    /** Handles a reply; returns whether the next call may be made at once. */
+    private boolean handleReply(long nowMs, PlatformReply reply, List<Change> reported) {
         if (reply instanceof PlatformReply.Listed listed && mListNext) {
             mFailures = 0;
-            return listed(nowMs, listed, shown);
+            return onListed(nowMs, listed, reported);
         }
         if (reply instanceof PlatformReply.Changed changed) {
             mFailures = 0;
-            List<Change> changes = mMissed.shown(changed.changes());
-            changes.forEach(c -> mObjects.apply(c, shown));
-            boolean behind = changes.size() < changed.changes().size();
-            if (behind) {
-                listAnew(); // More versions may have come while these were on their way.
+            List<Change> changes = mCatchUpMode.select(changed.changes());
+            changes.forEach(c -> mObjects.apply(c, reported));
+            boolean skipped = changes.size() < changed.changes().size();
+            if (skipped) {
+                restartListing(); // Newer versions may have been written meanwhile.
             }
             mUpToVersion = Math.max(mUpToVersion, changed.upToVersion());
-            mObjects.forgetDeletions(mUpToVersion);
+            mObjects.dropTombstones(mUpToVersion);
             return true;
         }
         if (reply instanceof PlatformReply.WatchGap) {
-            listAnew();
+            restartListing();
             return true;
         }
         mFailures++;
-        mFailedMs = nowMs;
+        mLastFailureMs = nowMs;
         if (mFailingSinceMs == NEVER) {
             mFailingSinceMs = nowMs;
         }
         mRetryAtMs = nowMs + mBackoff.waitMs(mFailures, mRandom);
-        if (mMissed.listsAfterFailure()) {
-            listAnew();
+        if (mCatchUpMode.relistsAfterFailure()) {
+            restartListing();
         }
         return false;
     }
 
-    private boolean listed(long nowMs, PlatformReply.Listed page, List<Change> shown) {
+    private boolean onListed(long nowMs, PlatformReply.Listed page, List<Change> reported) {
         if (page.storeVersion() < mUpToVersion) {
-            listAnew();
+            restartListing();
             mRetryAtMs = nowMs + mBackoff.waitMs(1, mRandom);
             return false;
         }
         if (mListing.isEmpty()) {
-            mListedFrom = page.storeVersion();
+            mListingVersion = page.storeVersion();
         }
         mListing.addAll(page.objects());
         if (page.more()) {
             return true;
         }
-        completeListing(shown);
+        completeListing(reported);
         return true;
     }
 
-    private void completeListing(List<Change> shown) {
+    private void completeListing(List<Change> reported) {
         Set<String> listed = mListing.stream().map(StoredObject::key).collect(Collectors.toSet());
-        mObjects.removeAllBut(listed, mListedFrom, shown);
-        mListing.forEach(o -> mObjects.apply(o, shown));
-        mUpToVersion = Math.max(mUpToVersion, mListedFrom);
+        mObjects.retainKeys(listed, mListingVersion, reported);
+        mListing.forEach(o -> mObjects.apply(o, reported));
+        mUpToVersion = Math.max(mUpToVersion, mListingVersion);
         mReady = true;
         mListNext = false;
         mListing.clear();
     }
 
-    private static boolean answered(PlatformReply reply) {
+    private static boolean isSuccess(PlatformReply reply) {
         return reply instanceof PlatformReply.Listed || reply instanceof PlatformReply.Changed;
     }
 
-    private void listAnew() {
+    private void restartListing() {
         mListNext = true;
         mListing.clear();
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/platform/package-info.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/platform/package-info.java
@@ -1,2 +1,2 @@
-/** The platform's object API as the coordination library sees it, and the parts built on it. */
+/** The platform's object API as used by the coordination library, and components built on it. */
 package org.hornbeampass.coordination.platform;
--- a/coordination/src/main/java/org/hornbeampass/state/BudgetKey.java
+++ b/coordination/src/main/java/org/hornbeampass/state/BudgetKey.java
@@ -3,12 +3,12 @@
 import java.util.Objects;
 
 /**
- * Names one budget of one organisation.
+ * Identifies a budget by its organisation and its name.
  *
  * <p>Immutable; safe for use by any thread.
  *
- * @param organisation the organisation that paid
- * @param budget the budget within it
+ * @param organisation the organisation that paid for the budget
+ * @param budget the budget within the organisation
  */
 public record BudgetKey(OrganisationId organisation, BudgetId budget) {
     /** Checks that no part is missing. */
--- a/coordination/src/main/java/org/hornbeampass/state/ErrorKind.java
+++ b/coordination/src/main/java/org/hornbeampass/state/ErrorKind.java
@@ -5,12 +5,12 @@
 import static org.hornbeampass.state.RunState.UNKNOWN;
 
 /**
- * The closed list of error kinds, each with its answer: HTTP status, body type, whether a retry can
- * help, and whether the request ran.
+ * All kinds of error that callers can receive, each with its HTTP status, the {@code error.type} of
+ * the body, whether a retry can help, and whether the request ran.
  *
- * <p>Invariant: a kind whose {@link #runState()} is {@code NOT_RUN} is only answered before the
- * first byte goes to an upstream. Immutable; safe for use by any thread. Documented kind by kind in
- * docs/ERRORS.md.
+ * <p>Invariant: a kind whose {@link #runState()} is {@code NOT_RUN} is only returned before the
+ * first byte is sent to an upstream. Each kind is documented in docs/ERRORS.md. Immutable; safe for
+ * use by any thread.
  */
 public enum ErrorKind {
     MALFORMED_REQUEST(400, "invalid_request_error", false, NOT_RUN, 3),
@@ -59,17 +59,17 @@
         mExitCode = exitCode;
     }
 
-    /** Returns the HTTP status of the answer. */
+    /** Returns the HTTP status of the response. */
     public int httpStatus() {
         return mHttpStatus;
     }
 
-    /** Returns the {@code error.type} of the answer's body. */
+    /** Returns the {@code error.type} of the response body. */
     public String type() {
         return mType;
     }
 
-    /** Returns the {@code error.code} of the answer's body, such as {@code budget_exhausted}. */
+    /** Returns the {@code error.code} of the response body, such as {@code budget_exhausted}. */
     public String code() {
         return name().toLowerCase(java.util.Locale.ROOT);
     }
@@ -84,7 +84,7 @@
         return mRunState;
     }
 
-    /** Returns the exit code with which the command line reports this kind. */
+    /** Returns the exit code of the command-line tool for this kind. */
     public int exitCode() {
         return mExitCode;
     }
--- a/coordination/src/main/java/org/hornbeampass/state/Failure.java
+++ b/coordination/src/main/java/org/hornbeampass/state/Failure.java
@@ -4,13 +4,14 @@
 import java.util.OptionalLong;
 
 /**
- * An error kind with a message that says what is wrong and how to mend it.
+ * An error kind with a message that says what is wrong and how to correct it.
  *
  * <p>Immutable; safe for use by any thread.
  *
- * @param kind the kind, from the closed list
- * @param message what is wrong and what mends it, for the caller; carries no key and no body
- * @param retryAfterMs when a retry may help, in milliseconds from now, where that is known
+ * @param kind the kind of error
+ * @param message what is wrong and how to correct it, for the caller; contains no API key and no
+ *     request body
+ * @param retryAfterMs when a retry may succeed, in milliseconds from now; empty if unknown
  */
 public record Failure(ErrorKind kind, String message, OptionalLong retryAfterMs) {
     /** Checks that no part is missing. */
@@ -20,12 +21,12 @@
         Objects.requireNonNull(retryAfterMs, "retryAfterMs");
     }
 
-    /** Returns a failure without a hint of when to retry. */
+    /** Returns a failure without a time for a retry. */
     public static Failure of(ErrorKind kind, String message) {
         return new Failure(kind, message, OptionalLong.empty());
     }
 
-    /** Returns a failure that tells the caller when to come back. */
+    /** Returns a failure that tells the caller when to retry. */
     public static Failure retryAfter(ErrorKind kind, String message, long retryAfterMs) {
         return new Failure(kind, message, OptionalLong.of(retryAfterMs));
     }
--- a/coordination/src/main/java/org/hornbeampass/state/Json.java
+++ b/coordination/src/main/java/org/hornbeampass/state/Json.java
@@ -10,10 +10,11 @@
 import io.vavr.control.Either;
 
 /**
- * Reads and writes the JSON texts of records kept on the platform.
+ * Encodes and decodes the JSON texts of records that are stored on the platform.
  *
- * <p>Unknown fields are ignored, so that an older VM reads what a newer one wrote; map entries are
- * written in the order of their keys, so that equal values have equal texts. Thread-safe.
+ * <p>Unknown fields are ignored, so that an older VM can read records that a newer one wrote; map
+ * entries are written in the order of their keys, so that equal values have equal texts.
+ * Thread-safe.
  */
 public final class Json {
     private static final ObjectMapper MAPPER =
@@ -34,7 +35,9 @@
         }
     }
 
-    /** Returns the value of a JSON text, or {@code INTERNAL} with what does not fit. */
+    /**
+     * Returns the value of a JSON text, or {@code INTERNAL} if the text does not match the type.
+     */
     public static <T> Either<Failure, T> decode(String text, Class<T> type) {
         try {
             return Either.right(MAPPER.readValue(text, type));
--- a/coordination/src/main/java/org/hornbeampass/state/ModelId.java
+++ b/coordination/src/main/java/org/hornbeampass/state/ModelId.java
@@ -6,7 +6,7 @@
 import java.util.Objects;
 
 /**
- * Names a model that callers ask for.
+ * Identifies a model that callers request.
  *
  * <p>Invariant: the value is never blank. Immutable; safe for use by any thread.
  *
--- a/coordination/src/main/java/org/hornbeampass/state/OrganisationId.java
+++ b/coordination/src/main/java/org/hornbeampass/state/OrganisationId.java
@@ -6,7 +6,7 @@
 import java.util.Objects;
 
 /**
- * Names an organisation.
+ * Identifies an organisation.
  *
  * <p>Invariant: the value is never blank. Immutable; safe for use by any thread.
  *
--- a/coordination/src/main/java/org/hornbeampass/state/PromptTokens.java
+++ b/coordination/src/main/java/org/hornbeampass/state/PromptTokens.java
@@ -1,18 +1,18 @@
 package org.hornbeampass.state;
 
 /**
- * Bounds the number of tokens of a prompt and cuts it into the blocks that engines cache.
+ * Estimates the number of tokens of a prompt and hashes the blocks that engines cache.
  *
- * <p>A prompt is the contents of all its messages, joined in order with nothing between. It counts
- * one token per {@value #CHARACTERS_PER_TOKEN} characters (UTF-16 units), rounded up, and at least
- * one. The model engine stand-in counts by the same rule; a real tokenizer may count more for some
- * texts, so that an engine's reported usage can exceed the bound. Stateless and thread-safe.
+ * <p>A prompt is the contents of all messages, joined in order without a separator. It counts one
+ * token per {@value #CHARACTERS_PER_TOKEN} characters (UTF-16 units), rounded up, and at least one.
+ * The model engine stand-in uses the same rule. A real tokenizer may count more for some texts, so
+ * the usage that an engine reports can exceed this estimate. Stateless and thread-safe.
  */
 public final class PromptTokens {
-    /** How many characters make a token. */
+    /** The number of characters per token. */
     public static final int CHARACTERS_PER_TOKEN = 4;
 
-    /** How many tokens make a block of the prefix cache. */
+    /** The number of tokens per block of the prefix cache. */
     public static final int TOKENS_PER_BLOCK = 16;
 
     private static final int CHARACTERS_PER_BLOCK = CHARACTERS_PER_TOKEN * TOKENS_PER_BLOCK;
@@ -24,7 +24,7 @@
     /**
      * Returns the number of tokens of a prompt.
      *
-     * @param characters the number of characters of all message contents together
+     * @param characters the total number of characters of all message contents
      */
     public static int count(long characters) {
         long tokens = (characters + CHARACTERS_PER_TOKEN - 1) / CHARACTERS_PER_TOKEN;
@@ -32,8 +32,8 @@
     }
 
     /**
-     * Returns one hash for each whole block of a prompt, each covering the prompt from its start to
-     * the block's end, so that equal hashes mean an equal prefix (but for collisions).
+     * Returns one hash for each complete block of a prompt. Each hash covers the prompt from its
+     * start to the end of the block, so equal hashes mean equal prefixes, except for collisions.
      *
      * @param prompt the joined message contents
      */
--- a/coordination/src/main/java/org/hornbeampass/state/Region.java
+++ b/coordination/src/main/java/org/hornbeampass/state/Region.java
@@ -6,7 +6,7 @@
 import java.util.Objects;
 
 /**
- * Names a region, which holds one or more failure domains.
+ * Identifies a region, which contains one or more failure domains.
  *
  * <p>Invariant: the value is never blank. Immutable; safe for use by any thread.
  *
--- a/coordination/src/main/java/org/hornbeampass/state/RequestId.java
+++ b/coordination/src/main/java/org/hornbeampass/state/RequestId.java
@@ -6,7 +6,7 @@
 import java.util.Objects;
 
 /**
- * Identifies a request within its organisation: the caller's idempotency key or one made for it.
+ * Identifies a request within its organisation: the caller's idempotency key or a generated one.
  *
  * <p>Invariant: the value is never blank. Immutable; safe for use by any thread.
  *
--- a/coordination/src/main/java/org/hornbeampass/state/RunState.java
+++ b/coordination/src/main/java/org/hornbeampass/state/RunState.java
@@ -3,15 +3,15 @@
 /**
  * Whether a refused or failed request ran at an upstream.
  *
- * <p>Invariant: {@link #NOT_RUN} is only ever reported when no byte of the request left for an
+ * <p>Invariant: {@link #NOT_RUN} is only reported if no byte of the request was sent to an
  * upstream. Immutable; safe for use by any thread.
  */
 public enum RunState {
     /** No byte of the request was sent to an upstream. */
     NOT_RUN("not_run"),
-    /** The upstream ran the request, at least in part. */
+    /** An upstream ran the request at least in part. */
     RAN("ran"),
-    /** A byte may have reached an upstream and no answer tells what came of it. */
+    /** The request may have reached an upstream, and its outcome is not known. */
     UNKNOWN("unknown");
 
     private final String mWireName;
@@ -20,7 +20,7 @@
         mWireName = wireName;
     }
 
-    /** Returns the name used in error bodies and headers. */
+    /** Returns the name that is used in error bodies and headers. */
     public String wireName() {
         return mWireName;
     }
--- a/coordination/src/main/java/org/hornbeampass/state/UpstreamId.java
+++ b/coordination/src/main/java/org/hornbeampass/state/UpstreamId.java
@@ -6,7 +6,7 @@
 import java.util.Objects;
 
 /**
- * Names an upstream: one runner of a model or one instance of a plain service.
+ * Identifies an upstream: one instance of a model engine or of a plain service.
  *
  * <p>Invariant: the value is never blank. Immutable; safe for use by any thread.
  *
--- a/coordination/src/main/java/org/hornbeampass/state/VmId.java
+++ b/coordination/src/main/java/org/hornbeampass/state/VmId.java
@@ -6,16 +6,16 @@
 import java.util.Objects;
 
 /**
- * One life of one router VM: its configured name and its incarnation.
+ * Identifies one incarnation of a router VM.
  *
- * <p>Invariant: two processes never share a value, since each start takes a new incarnation. The
- * order is by name, then by incarnation. Immutable; safe for use by any thread.
+ * <p>Invariant: two processes never have equal values, since each start has a new incarnation.
+ * Ordered by name, then by incarnation. Immutable; safe for use by any thread.
  *
  * @param name the VM's name, from its settings
- * @param incarnation a number that grows with each start of the VM
+ * @param incarnation a number that increases with each start of the VM
  */
 public record VmId(String name, long incarnation) implements Comparable<VmId> {
-    /** Checks that the name can stand in a platform key. */
+    /** Checks that the name can be used in a platform key. */
     public VmId {
         Objects.requireNonNull(name, "name");
         if (name.isBlank() || name.indexOf('~') >= 0 || name.indexOf('/') >= 0) {
@@ -24,14 +24,15 @@
         }
     }
 
-    /** Parses the form {@code name~incarnation} that {@link #toString()} gives. */
+    /** Parses the form {@code name~incarnation} that {@link #toString()} returns. */
     @JsonCreator(mode = JsonCreator.Mode.DELEGATING)
     public static VmId parse(String text) {
-        int cut = text.lastIndexOf('~');
-        if (cut < 0) {
+        int separator = text.lastIndexOf('~');
+        if (separator < 0) {
             throw new IllegalArgumentException("VM id \"" + text + "\" lacks '~incarnation'");
         }
-        return new VmId(text.substring(0, cut), Long.parseLong(text.substring(cut + 1)));
+        return new VmId(
+                text.substring(0, separator), Long.parseLong(text.substring(separator + 1)));
     }
 
     @Override
