--- a/coordination/src/main/java/org/hornbeampass/state/config/BudgetPreference.java
+++ b/coordination/src/main/java/org/hornbeampass/state/config/BudgetPreference.java
@@ -1,16 +1,17 @@
 package org.hornbeampass.state.config;
 
 /**
- * What an organisation weighs more heavily; overspend is zero under both.
+ * Whether an organisation prefers fewer false refusals or fewer stranded tokens. Neither choice
+ * allows overspending.
  *
- * <p>The value sets how much of a budget may lie on VMs ahead of demand: more lowers false refusals
- * in a partition, less lowers what is written off when a VM dies. Immutable; safe for use by any
- * thread.
+ * <p>The preference determines how many tokens of a budget VMs may hold ahead of demand: more
+ * tokens reduce false refusals during a partition, fewer tokens reduce the amount written off when
+ * a VM fails. Immutable; safe for use by any thread.
  */
 public enum BudgetPreference {
-    /** False refusals weigh more: VMs hold enough for a long partition. */
+    /** Fewer false refusals: VMs hold enough tokens for a long partition. */
     AVOID_FALSE_REFUSAL(600_000, 0.9),
-    /** Stranded and written-off tokens weigh more: VMs hold little ahead of demand. */
+    /** Fewer stranded and written-off tokens: VMs hold few tokens ahead of demand. */
     AVOID_STRANDING(60_000, 0.5);
 
     private final long mDemandHorizonMs;
@@ -21,12 +22,14 @@
         mGrantableShare = grantableShare;
     }
 
-    /** Returns the time for which a VM's grants should last at its present demand. */
+    /** Returns how long a VM's grants should last at its current demand, in milliseconds. */
     public long demandHorizonMs() {
         return mDemandHorizonMs;
     }
 
-    /** Returns the largest share of what is left of a budget that may lie on VMs unspent. */
+    /**
+     * Returns the maximum share, from 0 to 1, of the rest of a budget that VMs may hold unspent.
+     */
     public double grantableShare() {
         return mGrantableShare;
     }
--- a/coordination/src/main/java/org/hornbeampass/state/config/ConfigChange.java
+++ b/coordination/src/main/java/org/hornbeampass/state/config/ConfigChange.java
@@ -9,7 +9,7 @@
 import java.util.Objects;
 
 /**
- * One change of the configuration: an object that is set as a whole, or deleted.
+ * One change of the configuration, which either sets a whole object or deletes it.
  *
  * <p>Immutable; safe for use by any thread.
  */
@@ -25,7 +25,7 @@
     @JsonSubTypes.Type(value = ConfigChange.DeleteOperatorKey.class, name = "delete-operator-key"),
 })
 public sealed interface ConfigChange {
-    /** Returns the object that is changed, such as {@code template/desk}. */
+    /** Returns the key of the changed object, such as {@code template/desk}. */
     ObjectKey object();
 
     /** Returns whether the object is deleted. */
@@ -112,9 +112,9 @@
     }
 
     /**
-     * Sets an operator's key.
+     * Sets an operator key.
      *
-     * @param name the key's name
+     * @param name the name of the key
      * @param hash the SHA-256 of the key, in lower-case hex
      */
     record PutOperatorKey(String name, String hash) implements ConfigChange {
@@ -124,7 +124,7 @@
         }
     }
 
-    /** Deletes an operator's key. */
+    /** Deletes an operator key. */
     record DeleteOperatorKey(String name) implements ConfigChange {
         @Override
         public ObjectKey object() {
--- a/coordination/src/main/java/org/hornbeampass/state/config/ConfigSnapshot.java
+++ b/coordination/src/main/java/org/hornbeampass/state/config/ConfigSnapshot.java
@@ -10,16 +10,16 @@
 import java.util.Optional;
 
 /**
- * The whole accepted configuration at one revision.
+ * The complete accepted configuration at one revision.
  *
  * <p>Immutable; safe for use by any thread.
  *
- * @param revision grows by one with each accepted change; 0 is the empty configuration
+ * @param revision increases by one with each accepted change; 0 for the empty configuration
  * @param templates templates by name
  * @param organisations organisations by id
  * @param upstreams upstreams by id
- * @param operatorKeys names of operators' keys with the SHA-256 of each, in lower-case hex
- * @param objectRevisions the revision of each existing object's last change
+ * @param operatorKeys SHA-256 hashes of the operator keys in lower-case hex, by the name of the key
+ * @param objectRevisions the revision of the last change of each existing object
  */
 public record ConfigSnapshot(
         long revision,
@@ -28,7 +28,7 @@
         Map<UpstreamId, UpstreamSpec> upstreams,
         Map<String, String> operatorKeys,
         Map<ObjectKey, Long> objectRevisions) {
-    /** Copies the maps; those that an older VM did not write are empty. */
+    /** Copies the maps. Maps that are missing because an older VM wrote the snapshot are empty. */
     @JsonCreator
     public ConfigSnapshot {
         templates = Map.copyOf(templates);
@@ -38,7 +38,7 @@
         objectRevisions = objectRevisions == null ? Map.of() : Map.copyOf(objectRevisions);
     }
 
-    /** Makes a configuration without operators' keys and without revisions of its objects. */
+    /** Creates a configuration without operator keys and object revisions. */
     public ConfigSnapshot(
             long revision,
             Map<String, Template> templates,
@@ -52,7 +52,7 @@
         return new ConfigSnapshot(0, Map.of(), Map.of(), Map.of());
     }
 
-    /** Returns an organisation's terms in force; empty where it or its template is unknown. */
+    /** Returns the effective terms of an organisation; empty if it or its template is unknown. */
     public Optional<OrganisationTerms> terms(OrganisationId id) {
         OrganisationSpec organisation = organisations.get(id);
         if (organisation == null) {
@@ -65,12 +65,12 @@
                                         organisation.overrides().withFallback(t.parameters())));
     }
 
-    /** Returns the revision of an object's last change; 0 where it does not exist. */
+    /** Returns the revision of an object's last change; 0 if the object does not exist. */
     public long objectRevision(ObjectKey object) {
         return objectRevisions.getOrDefault(object, 0L);
     }
 
-    /** Returns the configuration after one further change, at the next revision. */
+    /** Returns the configuration at the next revision, after a change. */
     public ConfigSnapshot with(ConfigChange change) {
         long next = revision + 1;
         Map<ObjectKey, Long> revisions =
@@ -129,7 +129,7 @@
                 revisions);
     }
 
-    /** Returns a copy with one entry set, or removed where the value is null. */
+    /** Returns a copy with one entry set, or removed if the value is null. */
     private static <K, V> Map<K, V> set(Map<K, V> from, K key, V value) {
         Map<K, V> copy = new HashMap<>(from);
         if (value == null) {
--- a/coordination/src/main/java/org/hornbeampass/state/config/ObjectKey.java
+++ b/coordination/src/main/java/org/hornbeampass/state/config/ObjectKey.java
@@ -9,14 +9,14 @@
 import java.util.Objects;
 
 /**
- * Names one object of the configuration by kind and name, such as {@code template/desk}.
+ * Identifies an object of the configuration by kind and name, such as {@code template/desk}.
  *
  * <p>Immutable; safe for use by any thread.
  *
- * @param value the kind, a slash and the name
+ * @param value the kind and the name, separated by a slash
  */
 public record ObjectKey(@JsonValue String value) implements Comparable<ObjectKey> {
-    /** Checks that the key is given. */
+    /** Checks that the key is not null. */
     @JsonCreator(mode = JsonCreator.Mode.DELEGATING)
     public ObjectKey {
         Objects.requireNonNull(value, "value");
@@ -37,7 +37,7 @@
         return new ObjectKey("upstream/" + id);
     }
 
-    /** Returns the key of an operator's key. */
+    /** Returns the object key of an operator key. */
     public static ObjectKey operatorKey(String name) {
         return new ObjectKey("operator-key/" + name);
     }
--- a/coordination/src/main/java/org/hornbeampass/state/config/OrganisationSpec.java
+++ b/coordination/src/main/java/org/hornbeampass/state/config/OrganisationSpec.java
@@ -9,16 +9,16 @@
 import java.util.Set;
 
 /**
- * An organisation as operators set it: its template, its own values, its budgets and keys.
+ * The configuration of an organisation as operators set it.
  *
- * <p>Invariant: the template's values are not copied here, so that a change of the template reaches
- * each organisation that did not override them. Immutable; safe for use by any thread.
+ * <p>Invariant: the values of the template are not copied, so a change of the template applies to
+ * each organisation that does not override them. Immutable; safe for use by any thread.
  *
  * @param id the organisation
  * @param template the name of its template
- * @param overrides its own values
- * @param budgets its budgets; the first in order of names is drawn on where a request names none
- * @param keyHashes names of its callers' keys with the SHA-256 of each, in lower-case hex
+ * @param overrides the values that override those of the template
+ * @param budgets its budgets; the first by name is the default budget
+ * @param keyHashes SHA-256 hashes of its callers' keys in lower-case hex, by the name of the key
  */
 public record OrganisationSpec(
         OrganisationId id,
@@ -35,7 +35,7 @@
         keyHashes = Map.copyOf(keyHashes);
     }
 
-    /** Returns the budget that is drawn on where a request names none. */
+    /** Returns the budget that is used for requests that name none; empty if there is no budget. */
     public Optional<BudgetId> defaultBudget() {
         return budgets.stream().sorted().findFirst();
     }
--- a/coordination/src/main/java/org/hornbeampass/state/config/OrganisationTerms.java
+++ b/coordination/src/main/java/org/hornbeampass/state/config/OrganisationTerms.java
@@ -5,19 +5,21 @@
 import java.util.Set;
 
 /**
- * An organisation's terms in force: its own values over its template's over the defaults.
+ * The effective terms of an organisation: its own values, else those of its template, else
+ * defaults.
  *
- * <p>Immutable; safe for use by any thread. The parts are those of {@link Parameters}.
+ * <p>The components correspond to those of {@link Parameters}. Immutable; safe for use by any
+ * thread.
  *
- * @param models models that may be asked for
- * @param adapters adapters that may be asked for
- * @param services plain services that may be called
- * @param workKinds kinds of work that may be sent
- * @param priority from 0 (first to be shed) to 9 (last to be shed)
- * @param maxCompletionTokens the largest token limit of one request
- * @param maxConcurrent the largest number of requests in progress at once, over all VMs
- * @param requestsPerSecond the largest rate of requests, over all VMs
- * @param budgetPreference what the organisation weighs more heavily
+ * @param models the models that callers may request
+ * @param adapters the adapters that callers may request
+ * @param services the plain services that callers may call
+ * @param workKinds the kinds of work that callers may send
+ * @param priority load shedding priority from 0 (first to be shed) to 9 (last to be shed)
+ * @param maxCompletionTokens the maximum number of completion tokens of one request
+ * @param maxConcurrent the maximum number of concurrent requests over all VMs
+ * @param requestsPerSecond the maximum request rate over all VMs
+ * @param budgetPreference how many tokens VMs may hold ahead of demand
  */
 public record OrganisationTerms(
         Set<ModelId> models,
@@ -34,17 +36,17 @@
     private static final int DEFAULT_MAX_CONCURRENT = 10_000;
     private static final int DEFAULT_REQUESTS_PER_SECOND = 100_000;
 
-    /** Returns the terms in force for set parameters, with defaults where none is set. */
-    public static OrganisationTerms of(Parameters set) {
+    /** Returns the terms for the given parameters, with defaults for those that are not set. */
+    public static OrganisationTerms of(Parameters parameters) {
         return new OrganisationTerms(
-                set.models().orElse(Set.of()),
-                set.adapters().orElse(Set.of()),
-                set.services().orElse(Set.of()),
-                set.workKinds().orElse(Set.of(WorkKind.CHAT)),
-                set.priority().orElse(DEFAULT_PRIORITY),
-                set.maxCompletionTokens().orElse(DEFAULT_MAX_COMPLETION_TOKENS),
-                set.maxConcurrent().orElse(DEFAULT_MAX_CONCURRENT),
-                set.requestsPerSecond().orElse(DEFAULT_REQUESTS_PER_SECOND),
-                set.budgetPreference().orElse(BudgetPreference.AVOID_STRANDING));
+                parameters.models().orElse(Set.of()),
+                parameters.adapters().orElse(Set.of()),
+                parameters.services().orElse(Set.of()),
+                parameters.workKinds().orElse(Set.of(WorkKind.CHAT)),
+                parameters.priority().orElse(DEFAULT_PRIORITY),
+                parameters.maxCompletionTokens().orElse(DEFAULT_MAX_COMPLETION_TOKENS),
+                parameters.maxConcurrent().orElse(DEFAULT_MAX_CONCURRENT),
+                parameters.requestsPerSecond().orElse(DEFAULT_REQUESTS_PER_SECOND),
+                parameters.budgetPreference().orElse(BudgetPreference.AVOID_STRANDING));
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/state/config/Parameters.java
+++ b/coordination/src/main/java/org/hornbeampass/state/config/Parameters.java
@@ -6,19 +6,19 @@
 import java.util.Set;
 
 /**
- * Terms that a template sets and an organisation may override, each on its own.
+ * Parameters that a template sets and an organisation may override individually.
  *
- * <p>An empty value means "not set here". Immutable; safe for use by any thread.
+ * <p>An empty value means that the parameter is not set. Immutable; safe for use by any thread.
  *
- * @param models models that may be asked for
- * @param adapters adapters that may be asked for, by name
- * @param services plain services that may be called, by name
- * @param workKinds kinds of work that may be sent
- * @param priority from 0 (first to be shed) to 9 (last to be shed)
- * @param maxCompletionTokens the largest token limit of one request
- * @param maxConcurrent the largest number of requests in progress at once, over all VMs
- * @param requestsPerSecond the largest rate of requests, over all VMs
- * @param budgetPreference what the organisation weighs more heavily
+ * @param models the models that callers may request
+ * @param adapters the names of the adapters that callers may request
+ * @param services the names of the plain services that callers may call
+ * @param workKinds the kinds of work that callers may send
+ * @param priority load shedding priority from 0 (first to be shed) to 9 (last to be shed)
+ * @param maxCompletionTokens the maximum number of completion tokens of one request
+ * @param maxConcurrent the maximum number of concurrent requests over all VMs
+ * @param requestsPerSecond the maximum request rate over all VMs
+ * @param budgetPreference how many tokens VMs may hold ahead of demand
  */
 public record Parameters(
         Optional<Set<ModelId>> models,
@@ -38,7 +38,7 @@
         workKinds = workKinds.map(Set::copyOf);
     }
 
-    /** Returns parameters of which none is set. */
+    /** Returns parameters with no value set. */
     public static Parameters none() {
         return new Parameters(
                 Optional.empty(),
@@ -52,17 +52,17 @@
                 Optional.empty());
     }
 
-    /** Returns these parameters with each one that is not set taken from {@code below}. */
-    public Parameters withFallback(Parameters below) {
+    /** Returns these parameters, with those that are not set taken from {@code fallback}. */
+    public Parameters withFallback(Parameters fallback) {
         return new Parameters(
-                models.or(below::models),
-                adapters.or(below::adapters),
-                services.or(below::services),
-                workKinds.or(below::workKinds),
-                priority.or(below::priority),
-                maxCompletionTokens.or(below::maxCompletionTokens),
-                maxConcurrent.or(below::maxConcurrent),
-                requestsPerSecond.or(below::requestsPerSecond),
-                budgetPreference.or(below::budgetPreference));
+                models.or(fallback::models),
+                adapters.or(fallback::adapters),
+                services.or(fallback::services),
+                workKinds.or(fallback::workKinds),
+                priority.or(fallback::priority),
+                maxCompletionTokens.or(fallback::maxCompletionTokens),
+                maxConcurrent.or(fallback::maxConcurrent),
+                requestsPerSecond.or(fallback::requestsPerSecond),
+                budgetPreference.or(fallback::budgetPreference));
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/state/config/Template.java
+++ b/coordination/src/main/java/org/hornbeampass/state/config/Template.java
@@ -3,12 +3,12 @@
 import java.util.Objects;
 
 /**
- * Terms shared by the organisations that are created from it.
+ * Parameters shared by the organisations that use the template.
  *
  * <p>Immutable; safe for use by any thread.
  *
  * @param name the template's name
- * @param parameters its terms
+ * @param parameters the parameters that it sets
  */
 public record Template(String name, Parameters parameters) {
     /** Checks that no part is missing. */
--- a/coordination/src/main/java/org/hornbeampass/state/config/UpstreamSpec.java
+++ b/coordination/src/main/java/org/hornbeampass/state/config/UpstreamSpec.java
@@ -11,20 +11,20 @@
 import java.util.Optional;
 
 /**
- * An upstream as operators set it.
+ * The configuration of an upstream as operators set it.
  *
  * <p>Invariant: exactly one of {@code model} and {@code service} is present. Immutable; safe for
  * use by any thread.
  *
  * @param id the upstream
- * @param baseUri where it listens, such as {@code http://127.0.0.1:9001}
- * @param model the model that it serves, for a model engine
- * @param service the service's name, for a plain service
+ * @param baseUri the base URI of its API, such as {@code http://127.0.0.1:9001}
+ * @param model the model that it serves, if it is a model engine
+ * @param service the name of the service, if it is a plain service
  * @param domain its failure domain
  * @param region its region
- * @param checksFencing whether it refuses an order that carries an old fencing number
- * @param maxConcurrent the largest number of requests that one VM has in progress there
- * @param draining whether it gets no new work, since it is about to leave
+ * @param checksFencing whether it rejects orders with an outdated fencing number
+ * @param maxConcurrent the maximum number of concurrent requests of one VM to the upstream
+ * @param draining whether it receives no new requests because it is being removed
  */
 public record UpstreamSpec(
         UpstreamId id,
@@ -49,7 +49,7 @@
         }
     }
 
-    /** Makes an upstream that gets new work. */
+    /** Creates an upstream that is not draining. */
     public UpstreamSpec(
             UpstreamId id,
             String baseUri,
@@ -62,7 +62,7 @@
         this(id, baseUri, model, service, domain, region, checksFencing, maxConcurrent, false);
     }
 
-    /** Returns the upstream as one that gets no new work. */
+    /** Returns a copy that is draining. */
     public UpstreamSpec asDraining() {
         return new UpstreamSpec(
                 id, baseUri, model, service, domain, region, checksFencing, maxConcurrent, true);
--- a/coordination/src/main/java/org/hornbeampass/state/config/WorkKind.java
+++ b/coordination/src/main/java/org/hornbeampass/state/config/WorkKind.java
@@ -6,7 +6,7 @@
  * <p>Immutable; safe for use by any thread.
  */
 public enum WorkKind {
-    /** A chat completion by a model; may be repeated. */
+    /** A chat completion by a model, which may be repeated. */
     CHAT,
     /** A call to a plain service that may be repeated. */
     SERVICE_REPEATABLE,
--- a/coordination/src/main/java/org/hornbeampass/state/config/package-info.java
+++ b/coordination/src/main/java/org/hornbeampass/state/config/package-info.java
@@ -1,2 +1,2 @@
-/** The accepted configuration as immutable values. */
+/** Immutable values of the accepted configuration. */
 package org.hornbeampass.state.config;
--- a/coordination/src/main/java/org/hornbeampass/state/package-info.java
+++ b/coordination/src/main/java/org/hornbeampass/state/package-info.java
@@ -1,2 +1,2 @@
-/** Immutable values and shared tables; the lowest layer, which depends on no other layer. */
+/** Immutable values shared by all layers; this lowest layer depends on no other layer. */
 package org.hornbeampass.state;
--- a/coordination/src/main/java/org/hornbeampass/state/service/FleetConfig.java
+++ b/coordination/src/main/java/org/hornbeampass/state/service/FleetConfig.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * One accepted configuration, whole.
+ * One complete accepted configuration of a fleet.
  *
  * <p>Immutable; safe for use by any thread.
  *
- * @param version the operators' number of it, which only grows
+ * @param version the version that operators gave it, which only increases
  * @param routes all routes
  * @param services all services
- * @param organisations all organisations; empty where callers need no key
- * @param limits what callers may send
+ * @param organisations all organisations; empty if callers need no key
+ * @param limits the limits on what callers send
  */
 public record FleetConfig(
         long version,
--- a/coordination/src/main/java/org/hornbeampass/state/service/PrepaidOrganisation.java
+++ b/coordination/src/main/java/org/hornbeampass/state/service/PrepaidOrganisation.java
@@ -9,10 +9,10 @@
  * <p>Immutable; safe for use by any thread.
  *
  * @param name its name
- * @param keys the keys that its callers show
- * @param priority its rank, which goes before that of the route; 0 is the most urgent
- * @param prepaidTokens how many tokens it may use in all; a level, not an increment; empty where
- *     its use is not bounded
+ * @param keys the API keys of its callers
+ * @param priority its priority, which takes precedence over that of the route; 0 is the most urgent
+ * @param prepaidTokens the total number of tokens that it may use, not an increment; empty if its
+ *     use is unlimited
  */
 public record PrepaidOrganisation(
         String name, List<String> keys, int priority, OptionalLong prepaidTokens) {
--- a/coordination/src/main/java/org/hornbeampass/state/service/Prompt.java
+++ b/coordination/src/main/java/org/hornbeampass/state/service/Prompt.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * How much a request to a model reads and may write, and which parts of its prompt it shares.
+ * The number of tokens of a request to a model, and the parts of its prompt.
  *
  * <p>Immutable; safe for use by any thread.
  *
- * @param promptTokens the tokens of the prompt
- * @param maxOutputTokens the most tokens that the answer may have
- * @param parts the prompt's parts in order; the last belongs to the request or its session alone
+ * @param promptTokens the number of tokens of the prompt
+ * @param maxOutputTokens the maximum number of tokens of the answer
+ * @param parts the parts of the prompt in order; all but the last may be shared with other sessions
  */
 public record Prompt(long promptTokens, long maxOutputTokens, List<Part> parts) {
-    /** What a request that is not to a model reads and writes. */
+    /** The prompt of a request that is not sent to a model. */
     public static final Prompt NONE = new Prompt(0, 0, List.of());
 
     /** Copies the list. */
@@ -23,17 +23,17 @@
     /**
      * A part of a prompt.
      *
-     * @param id names its text; equal texts have equal ids
-     * @param tokens its length
+     * @param id the identifier of the text; equal texts have equal identifiers
+     * @param tokens the length of the text in tokens
      */
     public record Part(String id, long tokens) {}
 
-    /** Returns the most tokens that the request may use. */
+    /** Returns the maximum number of tokens that the request may use. */
     public long maxTokens() {
         return promptTokens + maxOutputTokens;
     }
 
-    /** Returns the tokens of the parts that other requests may share. */
+    /** Returns the number of tokens of the parts that other requests may share. */
     public long sharedTokens() {
         long shared = 0;
         for (int i = 0; i + 1 < parts.size(); i++) {
@@ -42,7 +42,7 @@
         return shared;
     }
 
-    /** Returns a hash of the shared parts; 0 where nothing is shared. */
+    /** Returns a hash of the parts that other requests may share; 0 if there are none. */
     public long sharedHash() {
         long hash = 0;
         for (int i = 0; i + 1 < parts.size(); i++) {
--- a/coordination/src/main/java/org/hornbeampass/state/service/Route.java
+++ b/coordination/src/main/java/org/hornbeampass/state/service/Route.java
@@ -3,23 +3,23 @@
 import java.util.List;
 
 /**
- * Where the requests of one host and path prefix go, and what is promised of them.
+ * The services, limits and objectives for the requests of one host and path prefix.
  *
  * <p>Immutable; safe for use by any thread.
  *
- * @param name its name, for logs and metrics
- * @param host the host that callers ask for, in lower case
- * @param pathPrefix the start of the paths, with a slash at both ends
- * @param kind what may be repeated
+ * @param name the name, for logs and metrics
+ * @param host the host that callers request, in lower case
+ * @param pathPrefix the prefix of the paths, with a slash at both ends
+ * @param kind whether requests may be repeated and how they are answered
  * @param timeoutMs how long a request may take, in milliseconds
- * @param objectiveMs within how many milliseconds an answer is on time
- * @param priority its rank among routes; 0 is the most urgent
+ * @param objectiveMs the time within which an answer meets the objective, in milliseconds
+ * @param priority the priority of its requests; 0 is the most urgent
  * @param targets the services that share the requests
- * @param maxAttempts to how many upstreams one request may be sent
- * @param allowsAnonymous whether requests need no key
- * @param resumable whether a stream may go on at another upstream
- * @param gapTargetMs the longest pause between events of an answer that is on time; 0 where there
- *     are no events
+ * @param maxAttempts the maximum number of upstreams that one request is sent to
+ * @param allowsAnonymous whether requests without an API key are accepted
+ * @param resumable whether a stream may be resumed at another upstream
+ * @param gapTargetMs the longest gap between events of an answer that meets the objective, in
+ *     milliseconds; 0 if there are no events
  */
 public record Route(
         String name,
--- a/coordination/src/main/java/org/hornbeampass/state/service/RouteKind.java
+++ b/coordination/src/main/java/org/hornbeampass/state/service/RouteKind.java
@@ -1,42 +1,42 @@
 package org.hornbeampass.state.service;
 
 /**
- * What may be repeated of a route's requests, and in which form they are answered.
+ * Whether the requests of a route may be repeated, and the form of their answers.
  *
  * <p>Immutable; safe for use by any thread.
  */
 public enum RouteKind {
-    /** Answers in one piece; may run any number of times. */
+    /** Answered by a single response; may run any number of times. */
     IDEMPOTENT(true, false),
-    /** Answers in one piece; runs at most once. */
+    /** Answered by a single response; runs at most once. */
     NON_IDEMPOTENT(false, false),
-    /** Answers with a series of events; runs at most once unless its route can be resumed. */
+    /** Answered by a stream of events; runs at most once unless the route is resumable. */
     STREAMING(false, true);
 
     private final boolean mRepeatable;
-    private final boolean mStreams;
+    private final boolean mStreaming;
 
     RouteKind(boolean repeatable, boolean streams) {
         mRepeatable = repeatable;
-        mStreams = streams;
+        mStreaming = streams;
     }
 
     /**
      * Returns whether a request that may have run may be sent again.
      *
-     * @param resumable whether the route's streams can go on at another upstream
+     * @param resumable whether streams of the route can be resumed at another upstream
      */
     public boolean mayRunAgain(boolean resumable) {
-        return mRepeatable || (mStreams && resumable);
+        return mRepeatable || (mStreaming && resumable);
     }
 
-    /** Returns whether the answer is a series of events. */
+    /** Returns whether the answer is a stream of events. */
     public boolean streams() {
-        return mStreams;
+        return mStreaming;
     }
 
-    /** Returns whether an upstream should stop at once when the caller leaves. */
+    /** Returns whether an upstream should stop at once when the caller disconnects. */
     public boolean cancelsOnCallerDisconnect() {
-        return mRepeatable || mStreams;
+        return mRepeatable || mStreaming;
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/state/service/ServiceSpec.java
+++ b/coordination/src/main/java/org/hornbeampass/state/service/ServiceSpec.java
@@ -8,16 +8,16 @@
  * <p>Immutable; safe for use by any thread.
  *
  * @param name its name
- * @param connectionLimit how many connections one upstream takes from all VMs together
- * @param engine the figures of its model engine; empty for a plain service
+ * @param connectionLimit the maximum number of connections of all VMs together to one upstream
+ * @param engine the capacity of its model engines; empty for a plain service
  */
 public record ServiceSpec(String name, int connectionLimit, Optional<Engine> engine) {
     /**
-     * The figures of a model engine.
+     * The capacity of a model engine.
      *
-     * @param slots how many requests run at once
-     * @param cacheTokens for how many tokens it has memory
-     * @param tokensPerEvent how many tokens one event of a stream holds at most
+     * @param slots how many requests run concurrently
+     * @param cacheTokens the capacity of its KV cache in tokens
+     * @param tokensPerEvent the maximum number of tokens in one event of a stream
      */
     public record Engine(int slots, long cacheTokens, int tokensPerEvent) {}
 }
--- a/coordination/src/main/java/org/hornbeampass/state/service/package-info.java
+++ b/coordination/src/main/java/org/hornbeampass/state/service/package-info.java
@@ -1,2 +1,2 @@
-/** Routes, services and organisations as an accepted configuration lays them down. */
+/** Routes, services and organisations of an accepted configuration. */
 package org.hornbeampass.state.service;
--- a/coordination/src/main/java/org/hornbeampass/state/upstream/CacheEvent.java
+++ b/coordination/src/main/java/org/hornbeampass/state/upstream/CacheEvent.java
@@ -3,12 +3,12 @@
 import java.util.Objects;
 
 /**
- * One change of an engine's prefix cache.
+ * A change of the prefix cache of an engine.
  *
  * <p>Immutable; safe for use by any thread.
  *
  * @param kind what changed
- * @param digest the digest of the prefix that ends with the changed block, as in {@link
+ * @param digest the digest of the prefix that ends with the changed block, as defined in {@link
  *     PrefixDigests}; ignored for {@link Kind#CLEARED}
  */
 public record CacheEvent(Kind kind, long digest) {
@@ -19,9 +19,9 @@
 
     /** The kinds of change. */
     public enum Kind {
-        /** The block is in the cache now. */
+        /** The block was added to the cache. */
         STORED,
-        /** The block was evicted. */
+        /** The block was evicted from the cache. */
         REMOVED,
         /** The whole cache was dropped. */
         CLEARED
--- a/coordination/src/main/java/org/hornbeampass/state/upstream/CacheEvents.java
+++ b/coordination/src/main/java/org/hornbeampass/state/upstream/CacheEvents.java
@@ -6,14 +6,15 @@
 import java.util.Objects;
 
 /**
- * A batch of cache events of one upstream, which arrives late and possibly after a gap.
+ * A batch of cache events of one upstream. It may arrive late, and earlier batches may be missing.
  *
  * <p>Immutable; safe for use by any thread.
  *
  * @param upstream the upstream
- * @param incarnation the life of the upstream that sent them
- * @param firstSequence the sequence number of the first event; following events count up by one
- * @param events the events in their order
+ * @param incarnation the incarnation of the upstream that sent the events
+ * @param firstSequence the sequence number of the first event; the following events have
+ *     consecutive numbers
+ * @param events the events in order
  */
 public record CacheEvents(
         UpstreamId upstream, long incarnation, long firstSequence, List<CacheEvent> events) {
--- a/coordination/src/main/java/org/hornbeampass/state/upstream/IntendedState.java
+++ b/coordination/src/main/java/org/hornbeampass/state/upstream/IntendedState.java
@@ -9,14 +9,14 @@
 import java.util.Set;
 
 /**
- * The state that an upstream is ordered to be in: an order names the whole of it, so that the same
- * order may be given any number of times.
+ * The state that orders require of an upstream. An order contains the complete state, so it is
+ * idempotent.
  *
  * <p>Immutable; safe for use by any thread.
  *
- * @param models the models to hold, each with its version
- * @param adapters the adapters to hold
- * @param role the part of the work to do
+ * @param models the models to load, each with its version
+ * @param adapters the adapters to load
+ * @param role the part of the work that the upstream does
  */
 public record IntendedState(Map<ModelId, String> models, Set<String> adapters, UpstreamRole role) {
     /** Copies the collections. */
@@ -26,37 +26,38 @@
         adapters = Set.copyOf(adapters);
     }
 
-    /** Returns a state that holds nothing. */
+    /** Returns a state with no models and adapters. */
     public static IntendedState empty() {
         return new IntendedState(Map.of(), Set.of(), UpstreamRole.MIXED);
     }
 
-    /** Returns whether all that a target needs is to be held. */
+    /** Returns whether the state includes the model and the adapter that a target needs. */
     public boolean holds(WorkTarget target) {
         return target.model().map(models::containsKey).orElse(false)
                 && target.adapter().map(adapters::contains).orElse(true);
     }
 
     /**
-     * Returns this state with what a target needs added; a model held already keeps its version.
+     * Returns this state with the model and the adapter of a target added; a model that is already
+     * included keeps its version.
      */
     public IntendedState with(WorkTarget target, String version) {
-        Map<ModelId, String> more = new HashMap<>(models);
-        target.model().ifPresent(m -> more.putIfAbsent(m, version));
-        Set<String> moreAdapters = new HashSet<>(adapters);
-        target.adapter().ifPresent(moreAdapters::add);
-        return new IntendedState(more, moreAdapters, role);
+        Map<ModelId, String> newModels = new HashMap<>(models);
+        target.model().ifPresent(m -> newModels.putIfAbsent(m, version));
+        Set<String> newAdapters = new HashSet<>(adapters);
+        target.adapter().ifPresent(newAdapters::add);
+        return new IntendedState(newModels, newAdapters, role);
     }
 
-    /** Returns this state without a target's adapter, or without its model where it has none. */
+    /** Returns this state without a target's adapter, or without its model if it has no adapter. */
     public IntendedState without(WorkTarget target) {
-        Map<ModelId, String> fewer = new HashMap<>(models);
-        Set<String> fewerAdapters = new HashSet<>(adapters);
+        Map<ModelId, String> remainingModels = new HashMap<>(models);
+        Set<String> remainingAdapters = new HashSet<>(adapters);
         if (target.adapter().isPresent()) {
-            fewerAdapters.remove(target.adapter().get());
+            remainingAdapters.remove(target.adapter().get());
         } else {
-            target.model().ifPresent(fewer::remove);
+            target.model().ifPresent(remainingModels::remove);
         }
-        return new IntendedState(fewer, fewerAdapters, role);
+        return new IntendedState(remainingModels, remainingAdapters, role);
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/state/upstream/LeavingEvidence.java
+++ b/coordination/src/main/java/org/hornbeampass/state/upstream/LeavingEvidence.java
@@ -6,11 +6,11 @@
  * <p>Each kind is enough on its own to stop new work. Immutable; safe for use by any thread.
  */
 public enum LeavingEvidence {
-    /** The platform's lagging list shows it as leaving, or shows it no more. */
+    /** The platform's lagging list marks it as leaving or no longer has it. */
     PLATFORM_LIST("the platform's list"),
-    /** The upstream said so itself, in a load report or in an answer. */
-    UPSTREAM_REPORT("its own word"),
-    /** This VM saw it go, such as by a connection closed with notice. */
+    /** The upstream reported it in a load report or in a response. */
+    UPSTREAM_REPORT("its own report"),
+    /** This VM observed it, such as by a connection closed with notice. */
     OWN_OBSERVATION("this VM's own connections");
 
     private final String mDescription;
--- a/coordination/src/main/java/org/hornbeampass/state/upstream/ListedUpstream.java
+++ b/coordination/src/main/java/org/hornbeampass/state/upstream/ListedUpstream.java
@@ -5,13 +5,13 @@
 import java.util.Objects;
 
 /**
- * One line of the platform's list of upstreams.
+ * An entry of the platform's list of upstreams.
  *
  * <p>Immutable; safe for use by any thread.
  *
  * @param id the upstream
- * @param incarnation a number that grows with each start of the upstream; 0 where it has none
- * @param leaving whether it is shown as leaving
+ * @param incarnation a number that increases with each start of the upstream; 0 if it has none
+ * @param leaving whether the list marks it as leaving
  */
 public record ListedUpstream(UpstreamId id, long incarnation, boolean leaving) {
     /** Checks that no part is missing. */
--- a/coordination/src/main/java/org/hornbeampass/state/upstream/LoadReport.java
+++ b/coordination/src/main/java/org/hornbeampass/state/upstream/LoadReport.java
@@ -6,19 +6,19 @@
 import java.util.Set;
 
 /**
- * An upstream's own report of its load, which arrives late.
+ * A report of an upstream about its load, which may arrive late.
  *
  * <p>Immutable; safe for use by any thread.
  *
- * @param reportedAtMs when it was made, in milliseconds of the receiving VM's clock: the receiver
- *     subtracts the age that the report states
- * @param incarnation a number that grows with each start of the upstream; 0 where it has none
- * @param running requests in the running batch
- * @param waiting requests that wait for the batch
+ * @param reportedAtMs when the report was made, in milliseconds of the receiving VM's clock: the
+ *     time of receipt less the age that the report states
+ * @param incarnation a number that increases with each start of the upstream; 0 if it has none
+ * @param running the number of requests in the running batch
+ * @param waiting the number of requests that wait to join the batch
  * @param kvUsed the used share of the KV cache, from 0 to 1
- * @param leaving whether the upstream wants no new work
- * @param readyModels models that can serve now; empty for a plain service
- * @param readyAdapters adapters that can serve now
+ * @param leaving whether the upstream asks for no new requests
+ * @param readyModels the models that are loaded and can serve requests; empty for a plain service
+ * @param readyAdapters the adapters that are loaded and can serve requests
  */
 public record LoadReport(
         long reportedAtMs,
--- a/coordination/src/main/java/org/hornbeampass/state/upstream/PrefixDigests.java
+++ b/coordination/src/main/java/org/hornbeampass/state/upstream/PrefixDigests.java
@@ -3,10 +3,11 @@
 import java.util.Arrays;
 
 /**
- * The digests of a prompt's growing prefixes, one for each whole block.
+ * The digests of the prefixes of a prompt, one for each complete block.
  *
  * <p>Digest {@code i} covers blocks {@code 0..i}, so two prompts share a prefix of {@code n} blocks
- * exactly where their digests {@code 0..n-1} are equal. Immutable; safe for use by any thread.
+ * if and only if their digests {@code 0..n-1} are equal, except for hash collisions. Immutable;
+ * safe for use by any thread.
  */
 public final class PrefixDigests {
     private static final PrefixDigests NONE = new PrefixDigests(new long[0]);
@@ -17,12 +18,14 @@
         mDigests = digests;
     }
 
-    /** Returns the digests of an unknown prompt, which match nothing. */
+    /** Returns the digests of an unknown prompt, which match no other prompt. */
     public static PrefixDigests none() {
         return NONE;
     }
 
-    /** Returns given digests, such as {@code PromptTokens.blockHashes}, the shortest first. */
+    /**
+     * Returns the given digests, shortest prefix first, such as {@code PromptTokens.blockHashes}.
+     */
     public static PrefixDigests of(long... digests) {
         return new PrefixDigests(digests.clone());
     }
--- a/coordination/src/main/java/org/hornbeampass/state/upstream/UpstreamList.java
+++ b/coordination/src/main/java/org/hornbeampass/state/upstream/UpstreamList.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * The platform's lagging list of upstreams at one version.
+ * The platform's list of upstreams at one version, which may lag behind the actual state.
  *
  * <p>Immutable; safe for use by any thread.
  *
- * @param version grows with each change of the list
- * @param upstreams the upstreams that it shows
+ * @param version increases with each change of the list
+ * @param upstreams the listed upstreams
  */
 public record UpstreamList(long version, List<ListedUpstream> upstreams) {
     /** Copies the list. */
--- a/coordination/src/main/java/org/hornbeampass/state/upstream/UpstreamRole.java
+++ b/coordination/src/main/java/org/hornbeampass/state/upstream/UpstreamRole.java
@@ -6,10 +6,10 @@
  * <p>Immutable; safe for use by any thread.
  */
 public enum UpstreamRole {
-    /** Prompts and tokens. */
+    /** Processes prompts and generates tokens. */
     MIXED,
-    /** Prompts only; it exports the KV cache. */
+    /** Only processes prompts, and exports the KV cache. */
     PREFILL,
-    /** Tokens only; it imports the KV cache. */
+    /** Only generates tokens, from an imported KV cache. */
     DECODE
 }
--- a/coordination/src/main/java/org/hornbeampass/state/upstream/package-info.java
+++ b/coordination/src/main/java/org/hornbeampass/state/upstream/package-info.java
@@ -1,2 +1,2 @@
-/** What is known of upstreams, as immutable values. */
+/** Immutable values about upstreams: load, cache events, identity and intended state. */
 package org.hornbeampass.state.upstream;
--- a/coordination/src/test/java/org/hornbeampass/DocumentsTest.java
+++ b/coordination/src/test/java/org/hornbeampass/DocumentsTest.java
@@ -15,24 +15,28 @@
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
 
-/** Checks that links between the pages lead somewhere and that the indexes name each page. */
+/**
+ * Checks that links in the documentation refer to existing files and that the indexes list every
+ * page.
+ */
 class DocumentsTest {
     private static final Path ROOT = Path.of("..");
     private static final Pattern LINK = Pattern.compile("\\]\\(([^)#\\s]+)(#[^)]*)?\\)");
 
     @Test
     void links_leadToFiles() throws IOException {
-        List<String> dead = new ArrayList<>();
+        List<String> broken = new ArrayList<>();
         for (Path page : pages()) {
             Matcher link = LINK.matcher(Files.readString(page));
             while (link.find()) {
-                if (!external(link.group(1)) && !Files.exists(page.resolveSibling(link.group(1)))) {
-                    dead.add(ROOT.relativize(page) + " -> " + link.group(1));
+                if (!isExternal(link.group(1))
+                        && !Files.exists(page.resolveSibling(link.group(1)))) {
+                    broken.add(ROOT.relativize(page) + " -> " + link.group(1));
                 }
             }
         }
 
-        assertThat(dead).as("links to files that don't exist").isEmpty();
+        assertThat(broken).as("links to files that don't exist").isEmpty();
     }
 
     @ParameterizedTest
@@ -62,7 +66,7 @@
         }
     }
 
-    private static boolean external(String target) {
+    private static boolean isExternal(String target) {
         return target.contains("://") || target.startsWith("mailto:");
     }
 }
--- a/coordination/src/test/java/org/hornbeampass/LayersTest.java
+++ b/coordination/src/test/java/org/hornbeampass/LayersTest.java
@@ -9,7 +9,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Holds the library to its layers, and to having no threads, sockets or clock of its own. */
+/** Checks that the library respects its layers and uses no threads, sockets or system clock. */
 class LayersTest {
     private static final JavaClasses CLASSES =
             new ClassFileImporter()
--- a/coordination/src/test/java/org/hornbeampass/coordination/config/ConfigStoreTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/config/ConfigStoreTest.java
@@ -17,13 +17,13 @@
 import java.util.List;
 import java.util.OptionalLong;
 
-/** Tests {@link ConfigStore}. */
+/** Tests that proposals take effect on every VM and that concurrent proposals conflict. */
 class ConfigStoreTest {
     private static final ConfigChange DESK =
             new ConfigChange.PutTemplate(new Template("desk", Parameters.none()));
 
     @Test
-    void propose_isInForceEverywhereWithinSeconds() {
+    void propose_reachesEveryVmWithinSeconds() {
         FakeFleet fleet = FakeFleet.started(1, 12, 3, 2);
 
         assertThat(propose(fleet, "vm-3", DESK, 0).get()).isEqualTo(1L);
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void propose_ofTwoThatRace_tellsTheLoserWhichRevisionWon() {
+    void propose_ofTwoConcurrentChanges_namesWinningRevisionToLoser() {
         FakeFleet fleet = FakeFleet.started(2, 6);
         List<Either<Failure, Long>> answers = new ArrayList<>();
 
@@ -58,15 +58,15 @@
     }
 
     @Test
-    void inForce_tellsTheRevisionOfEachVm() {
+    void vmRevisions_includesEveryVm() {
         FakeFleet fleet = FakeFleet.started(3, 12, 3, 2);
         assertThat(propose(fleet, "vm-3", DESK, 0).get()).isEqualTo(1L);
 
-        ConfigStore asked = fleet.router("vm-8").config();
-        asked.vmRevisions(fleet.nowMs());
+        ConfigStore store = fleet.router("vm-8").config();
+        store.vmRevisions(fleet.nowMs());
         fleet.runFor(4_000);
 
-        assertThat(asked.vmRevisions(fleet.nowMs()))
+        assertThat(store.vmRevisions(fleet.nowMs()))
                 .hasSize(12)
                 .allMatch(r -> r.revision().equals(OptionalLong.of(1)));
     }
--- a/coordination/src/test/java/org/hornbeampass/coordination/config/rule/ConfigRulesTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/config/rule/ConfigRulesTest.java
@@ -20,7 +20,7 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Tests the rules of {@link ConfigRules}: each input and the finding expected. */
+/** Tests each rule of {@link ConfigRules} with a change that violates it. */
 class ConfigRulesTest {
     private static final String HASH = "ab".repeat(32);
     private static final ConfigSnapshot BEFORE =
@@ -30,7 +30,7 @@
                     .with(new ConfigChange.PutOperatorKey("chief", HASH));
 
     @Test
-    void goodChanges_haveNoFinding() {
+    void validChanges_haveNoFinding() {
         assertAccepted(template("desk", Optional.of(9), Optional.of(1)));
         assertAccepted(organisation("moulds", "desk", "main", "cd".repeat(32)));
         assertAccepted(organisation("flights", "desk", "other", HASH));
@@ -39,14 +39,14 @@
     }
 
     @Test
-    void deletedObjectExists() {
+    void deletionOfMissingObject_isRejected() {
         assertFinding(
                 new ConfigChange.DeleteUpstream(new UpstreamId("u1")),
                 "upstream/u1 does not exist at revision 3");
     }
 
     @Test
-    void namesWellFormed() {
+    void malformedNames_areRejected() {
         assertFinding(
                 template("a/b", Optional.empty(), Optional.empty()),
                 "the name \"a/b\" is not well formed");
@@ -56,34 +56,34 @@
     }
 
     @Test
-    void templateExists() {
+    void unknownTemplate_isRejected() {
         assertFinding(
                 organisation("moulds", "shop", "main", "cd".repeat(32)),
                 "template \"shop\" does not exist; create it first, or name one of [desk]");
     }
 
     @Test
-    void templateNotInUse() {
+    void deletionOfUsedTemplate_isRejected() {
         assertFinding(
                 new ConfigChange.DeleteTemplate("desk"),
                 "template \"desk\" is used by 1 organisations, such as [flights]");
     }
 
     @Test
-    void priorityInRange() {
+    void priorityOutOfRange_isRejected() {
         assertFinding(
                 template("desk", Optional.of(10), Optional.empty()), "priority 10 is out of range");
     }
 
     @Test
-    void limitsPositive() {
+    void zeroLimit_isRejected() {
         assertFinding(
                 template("desk", Optional.empty(), Optional.of(0)),
                 "maxConcurrent 0 is less than 1");
     }
 
     @Test
-    void keyHashesWellFormed() {
+    void malformedKeyHashes_areRejected() {
         assertFinding(
                 organisation("moulds", "desk", "main", "secret"),
                 "a key hash of organisation/moulds is not 64 lower-case hex digits");
@@ -93,31 +93,31 @@
     }
 
     @Test
-    void keyHashesUnique() {
+    void keyOfOtherOrganisation_isRejected() {
         assertFinding(
                 organisation("moulds", "desk", "main", HASH),
                 "organisation flights has one of these keys");
     }
 
     @Test
-    void upstreamUriWellFormed() {
+    void malformedUpstreamUri_isRejected() {
         assertFinding(upstream("10.0.0.1:9001", 1), "baseUri \"10.0.0.1:9001\" is not well formed");
     }
 
     @Test
-    void upstreamLimitPositive() {
+    void zeroUpstreamLimit_isRejected() {
         assertFinding(upstream("http://10.0.0.1:9001", 0), "maxConcurrent 0 is less than 1");
     }
 
     @Test
-    void operatorKeyRemains() {
+    void deletionOfLastOperatorKey_isRejected() {
         assertFinding(
                 new ConfigChange.DeleteOperatorKey("chief"),
                 "operator-key/chief is the last operator key");
     }
 
     @Test
-    void changeSizeBounded() {
+    void oversizedChange_isRejected() {
         OrganisationSpec large =
                 new OrganisationSpec(
                         new OrganisationId("moulds"),
--- a/coordination/src/test/java/org/hornbeampass/coordination/platform/CallRateLimiterTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/platform/CallRateLimiterTest.java
@@ -10,7 +10,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Checks limits, order and the bound of the queue. */
+/** Tests the rate limit, the priorities and the bounded queue of {@link CallRateLimiter}. */
 class CallRateLimiterTest {
     private static final CallLimits ONE_PER_SECOND = new CallLimits(1, 1, 1, 1, 2);
 
@@ -21,27 +21,27 @@
                 mSent.add(((PlatformCall.Get) call).key());
                 done.accept(nowMs, new PlatformReply.Missing());
             };
-    private final CallRateLimiter mBudget = new CallRateLimiter(mPlatform, ONE_PER_SECOND, 0);
+    private final CallRateLimiter mLimiter = new CallRateLimiter(mPlatform, ONE_PER_SECOND, 0);
 
     @Test
-    void calls_above_the_rate_wait_and_the_urgent_goes_first() {
+    void callsAboveTheRate_areQueuedAndSentByPriority() {
         get(0, URGENT, "first");
         get(0, NORMAL, "normal");
         get(0, URGENT, "urgent");
         assertThat(mSent).containsExactly("first");
 
-        mBudget.tick(999);
+        mLimiter.tick(999);
         assertThat(mSent).hasSize(1);
-        mBudget.tick(1_000);
+        mLimiter.tick(1_000);
         assertThat(mSent).containsExactly("first", "urgent");
-        mBudget.tick(2_000);
+        mLimiter.tick(2_000);
         assertThat(mSent).containsExactly("first", "urgent", "normal");
-        assertThat(mBudget.sent(PlatformCall.Kind.READ, URGENT)).isEqualTo(2);
-        assertThat(mBudget.sent(PlatformCall.Kind.READ, NORMAL)).isEqualTo(1);
+        assertThat(mLimiter.sent(PlatformCall.Kind.READ, URGENT)).isEqualTo(2);
+        assertThat(mLimiter.sent(PlatformCall.Kind.READ, NORMAL)).isEqualTo(1);
     }
 
     @Test
-    void full_queue_refuses_at_once() {
+    void fullQueue_rejectsCallAtOnce() {
         get(0, URGENT, "sent");
         get(0, URGENT, "waits 1");
         get(0, URGENT, "waits 2");
@@ -50,12 +50,12 @@
         get(0, URGENT, "refused");
 
         assertThat(mReplies).containsExactly(new PlatformReply.Throttled());
-        assertThat(mBudget.refused(PlatformCall.Kind.READ, URGENT)).isEqualTo(1);
-        assertThat(mBudget.queued(PlatformCall.Kind.READ)).isEqualTo(2);
+        assertThat(mLimiter.refused(PlatformCall.Kind.READ, URGENT)).isEqualTo(1);
+        assertThat(mLimiter.queued(PlatformCall.Kind.READ)).isEqualTo(2);
     }
 
     @Test
-    void full_queue_gives_the_place_of_a_less_urgent_call_to_an_urgent_one() {
+    void fullQueue_evictsLessUrgentCallForUrgentOne() {
         get(0, URGENT, "sent");
         get(0, BACKGROUND, "background");
         get(0, NORMAL, "normal");
@@ -64,15 +64,15 @@
         get(0, URGENT, "urgent");
 
         assertThat(mReplies).containsExactly(new PlatformReply.Throttled());
-        assertThat(mBudget.refused(PlatformCall.Kind.READ, BACKGROUND)).isEqualTo(1);
-        mBudget.tick(1_000);
-        mBudget.tick(2_000);
-        mBudget.tick(9_000);
+        assertThat(mLimiter.refused(PlatformCall.Kind.READ, BACKGROUND)).isEqualTo(1);
+        mLimiter.tick(1_000);
+        mLimiter.tick(2_000);
+        mLimiter.tick(9_000);
         assertThat(mSent).containsExactly("sent", "urgent", "normal");
     }
 
     @Test
-    void background_calls_leave_part_of_the_burst_to_urgent_ones() {
+    void backgroundCalls_leaveReservedBurstToUrgentCalls() {
         CallRateLimiter budget =
                 new CallRateLimiter(mPlatform, new CallLimits(10, 10, 10, 1, 100), 0);
         for (int i = 0; i < 10; i++) {
@@ -86,18 +86,18 @@
     }
 
     @Test
-    void clock_that_goes_back_adds_no_tokens() {
+    void clockMovingBackwards_addsNoTokens() {
         get(5_000, URGENT, "sent");
         get(5_000, URGENT, "waits");
 
-        mBudget.tick(1_000);
-        mBudget.tick(5_500);
+        mLimiter.tick(1_000);
+        mLimiter.tick(5_500);
 
         assertThat(mSent).containsExactly("sent");
     }
 
     private void get(long nowMs, CallPriority priority, String key) {
-        mBudget.withPriority(priority)
+        mLimiter.withPriority(priority)
                 .submit(nowMs, new PlatformCall.Get(key), (atMs, reply) -> mReplies.add(reply));
     }
 }
--- a/coordination/src/test/java/org/hornbeampass/coordination/platform/ConditionalWriterTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/platform/ConditionalWriterTest.java
@@ -19,7 +19,10 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Checks that a change is applied once whatever gets lost, and that unknown is said so. */
+/**
+ * Tests that a change is applied at most once although requests or replies are lost, and that it is
+ * reported as unknown only if it may have been applied.
+ */
 class ConditionalWriterTest {
     private static final String KEY = "counters/flights";
     private static final VmId A = new VmId("a", 1);
@@ -30,11 +33,11 @@
     private final FaultyPlatform mPlatform = new FaultyPlatform(mTime, mVms, 1);
     private final List<Either<Failure, Counter>> mResults = new ArrayList<>();
 
-    /** A stored number. */
+    /** The stored record. */
     record Counter(long count) {}
 
     @Test
-    void changes_of_many_writers_each_count_once() {
+    void concurrentChanges_areEachAppliedOnce() {
         List<ConditionalWriter> writers = List.of(writer(A), writer(B));
         for (int i = 0; i < 20; i++) {
             writers.forEach(this::increment);
@@ -46,7 +49,7 @@
     }
 
     @Test
-    void change_whose_reply_was_lost_is_applied_once() {
+    void lostReply_changeIsAppliedOnce() {
         mPlatform.setLossRates(0, 0.3);
         List<ConditionalWriter> writers = List.of(writer(A), writer(B));
         for (int i = 0; i < 20; i++) {
@@ -59,7 +62,7 @@
     }
 
     @Test
-    void write_that_lands_after_its_timeout_is_applied_once() {
+    void writeArrivingAfterTimeout_isAppliedOnce() {
         mPlatform.setLatency(1, 400);
         mPlatform.setTimeout(500);
         List<ConditionalWriter> writers = List.of(writer(A), writer(B));
@@ -73,7 +76,7 @@
     }
 
     @Test
-    void change_that_gives_up_is_unknown_only_if_it_may_stand() {
+    void exhaustedRetries_outcomeIsUnknownOnlyIfWriteMayHaveApplied() {
         mPlatform.setLatency(1, 900);
         mPlatform.setTimeout(500);
         List<ConditionalWriter> writers = List.of(writer(A), writer(B));
@@ -93,7 +96,7 @@
     }
 
     @Test
-    void outage_that_outlasts_all_attempts_leaves_the_outcome_open_or_untouched() {
+    void outageLongerThanRetries_failsAsUnavailable() {
         mPlatform.setOutage(true);
         increment(writer(A));
         mTime.runFor(600_000);
@@ -103,7 +106,7 @@
     }
 
     @Test
-    void change_that_is_refused_writes_nothing() {
+    void rejectedChange_writesNothing() {
         writer(A)
                 .change(
                         mTime.nowMs(),
@@ -118,7 +121,7 @@
     }
 
     @Test
-    void unchanged_record_is_not_written() {
+    void unchangedRecord_isNotWritten() {
         ConditionalWriter writer = writer(A);
         increment(writer);
         mTime.runFor(1_000);
@@ -135,7 +138,7 @@
     }
 
     @Test
-    void mark_of_a_writer_is_forgotten_only_after_many_other_writers() {
+    void markOfWriter_isDroppedOnlyAfterMaxMarksOtherWriters() {
         StoredValue.Mark own = new StoredValue.Mark(A, 7);
         StoredValue value = StoredValue.after(List.of(), emptyBody(), own);
         for (int i = 0; i < StoredValue.MAX_MARKS - 1; i++) {
@@ -147,7 +150,7 @@
 
         value = after(value, StoredValue.MAX_MARKS);
 
-        assertThat(value.presence(own)).isEqualTo(StoredValue.Presence.FORGOTTEN);
+        assertThat(value.presence(own)).isEqualTo(StoredValue.Presence.UNKNOWN);
     }
 
     private static StoredValue after(StoredValue value, int other) {
--- a/coordination/src/test/java/org/hornbeampass/coordination/platform/LeaseTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/platform/LeaseTest.java
@@ -11,7 +11,7 @@
 
 import java.util.concurrent.atomic.AtomicReference;
 
-/** Checks who holds the lease, and that fencing numbers only grow. */
+/** Tests that at most one VM acquires a lease at a time, and that fencing numbers only increase. */
 class LeaseTest {
     private static final long DURATION_MS = 10_000;
 
@@ -20,7 +20,7 @@
     private final Lease mSecond = lease("b");
 
     @Test
-    void free_lease_is_taken_and_kept() {
+    void freeLease_isAcquiredAndRenewed() {
         assertThat(acquire(mFirst, 0).get()).isEqualTo(1L);
         assertThat(acquire(mFirst, 9_000).get()).isEqualTo(1L);
 
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void held_lease_is_refused_until_it_was_seen_unchanged_for_its_duration() {
+    void heldLease_isNotTakenUntilObservedUnchangedForItsDuration() {
         acquire(mFirst, 0);
 
         assertThat(acquire(mSecond, 50_000).getLeft().kind()).isEqualTo(ErrorKind.ALREADY_EXISTS);
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void renewal_starts_the_wait_anew() {
+    void renewal_restartsObservationPeriod() {
         acquire(mFirst, 0);
         acquire(mSecond, 1_000);
         acquire(mFirst, 9_000);
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void holder_that_was_paused_past_its_lease_does_not_get_it_back() {
+    void holderPausedBeyondExpiry_doesNotRegainLease() {
         acquire(mFirst, 0);
         acquire(mSecond, 1_000);
         acquire(mSecond, 11_001);
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void released_lease_is_taken_at_once_with_a_greater_number() {
+    void releasedLease_isTakenAtOnceWithGreaterFencingNumber() {
         acquire(mFirst, 0);
         AtomicReference<Either<Failure, Long>> released = new AtomicReference<>();
         mFirst.release(1_000, (atMs, r) -> released.set(r));
@@ -69,25 +69,28 @@
     }
 
     @Test
-    void write_whose_reply_was_lost_is_adopted_by_the_next_try() {
-        boolean[] lose = {true};
+    void lostWriteReply_leaseIsAdoptedByNextAttempt() {
+        boolean[] losesReplies = {true};
         Platform losing =
                 (nowMs, call, done) ->
                         mPlatform.submit(
                                 nowMs,
                                 call,
-                                (atMs, reply) -> done.accept(atMs, lost(lose, call, reply)));
+                                (atMs, reply) ->
+                                        done.accept(
+                                                atMs, dropWriteReply(losesReplies, call, reply)));
         Lease lease = new Lease(losing, "loads", new VmId("a", 1), DURATION_MS);
 
         assertThat(acquire(lease, 0).getLeft().kind()).isEqualTo(ErrorKind.PLATFORM_UNAVAILABLE);
         assertThat(lease.heldFencingNumber(0)).isEmpty();
-        lose[0] = false;
+        losesReplies[0] = false;
 
         assertThat(acquire(lease, 100).get()).isEqualTo(1L);
     }
 
-    private static PlatformReply lost(boolean[] lose, PlatformCall call, PlatformReply reply) {
-        return lose[0] && call.kind() == PlatformCall.Kind.WRITE
+    private static PlatformReply dropWriteReply(
+            boolean[] losesReplies, PlatformCall call, PlatformReply reply) {
+        return losesReplies[0] && call.kind() == PlatformCall.Kind.WRITE
                 ? new PlatformReply.Unavailable("reply lost")
                 : reply;
     }
--- a/coordination/src/test/java/org/hornbeampass/coordination/platform/WatchedViewTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/platform/WatchedViewTest.java
@@ -14,11 +14,14 @@
 import java.util.Optional;
 import java.util.function.BiConsumer;
 
-/** Checks that the view follows changes, survives gaps and never goes back. */
+/**
+ * Tests that a view follows changes, recovers from gaps and failures, and never returns to an older
+ * state.
+ */
 class WatchedViewTest {
     private final Deque<PlatformCall> mCalls = new ArrayDeque<>();
     private final Deque<BiConsumer<Long, PlatformReply>> mWaiting = new ArrayDeque<>();
-    private final List<Change> mShown = new ArrayList<>();
+    private final List<Change> mReported = new ArrayList<>();
     private final WatchedView mView =
             new WatchedView(
                     (nowMs, call, done) -> {
@@ -28,10 +31,10 @@
                     "vms/",
                     Duration.ofSeconds(30),
                     1,
-                    (atMs, change) -> mShown.add(change));
+                    (atMs, change) -> mReported.add(change));
 
     @Test
-    void lists_then_watches_from_the_listing() {
+    void firstTick_listsThenWatchesFromListingVersion() {
         mView.tick(0);
         assertThat(mView.ready()).isFalse();
         reply(listed(10, false, object("vms/a", "1", 4)));
@@ -48,7 +51,7 @@
     }
 
     @Test
-    void pages_are_watched_from_the_first_page() {
+    void pagedListing_isWatchedFromVersionOfFirstPage() {
         mView.tick(0);
         reply(listed(10, true, object("vms/a", "1", 4)));
         assertThat(mView.ready()).isFalse();
@@ -58,21 +61,21 @@
                 .isEqualTo(new PlatformCall.Watch("vms/", 10, Duration.ofSeconds(30)));
         reply(changed(15, set("vms/b", "0", 12), set("vms/b", "1", 14)));
         assertThat(mView.get("vms/b").orElseThrow().value()).isEqualTo("1");
-        assertThat(mShown).hasSize(2);
+        assertThat(mReported).hasSize(2);
     }
 
     @Test
-    void gap_leads_to_a_new_listing_and_shows_what_was_deleted_meanwhile() {
+    void watchGap_relistsAndReportsDeletions() {
         start(listed(10, false, object("vms/a", "1", 4), object("vms/b", "1", 5)));
         reply(new PlatformReply.WatchGap());
         reply(listed(90, false, object("vms/b", "2", 50)));
 
         assertThat(mView.all()).containsExactly(object("vms/b", "2", 50));
-        assertThat(mShown).contains(deleted("vms/a", 90));
+        assertThat(mReported).contains(deleted("vms/a", 90));
     }
 
     @Test
-    void listing_older_than_what_was_shown_is_discarded() {
+    void staleListing_isDiscarded() {
         start(listed(10, false, object("vms/a", "1", 4)));
         reply(changed(20, set("vms/a", "2", 20)));
         reply(new PlatformReply.WatchGap());
@@ -85,7 +88,7 @@
     }
 
     @Test
-    void outage_keeps_the_view_and_is_retried_with_backoff() {
+    void outage_keepsViewAndRetriesWithBackoff() {
         start(listed(10, false, object("vms/a", "1", 4)));
         int before = mCalls.size();
         reply(new PlatformReply.Unavailable("outage"));
@@ -99,8 +102,8 @@
     }
 
     @Test
-    void versionsThatLaterOnesReplaced_areReadAgainAsTheyStand() {
-        WatchedView view = skipping();
+    void supersededVersions_areSkippedAndViewRelists() {
+        WatchedView view = newestVersionView();
         view.tick(0);
         reply(listed(10, false, object("config/main", "1", 4)));
         reply(
@@ -110,7 +113,8 @@
                         set("config/main", "3", 25),
                         set("config/main", "4", 30)));
 
-        assertThat(mShown).containsExactly(set("config/main", "1", 4), set("config/main", "4", 30));
+        assertThat(mReported)
+                .containsExactly(set("config/main", "1", 4), set("config/main", "4", 30));
         assertThat(lastCall()).isInstanceOf(PlatformCall.ListObjects.class);
         reply(listed(50, false, object("config/main", "5", 45)));
         assertThat(view.get("config/main").orElseThrow().value()).isEqualTo("5");
@@ -119,7 +123,7 @@
 
     @Test
     void failedWatchOfLargeObjects_isFollowedByAListing() {
-        WatchedView view = skipping();
+        WatchedView view = newestVersionView();
         view.tick(0);
         reply(listed(10, false, object("config/main", "1", 4)));
         reply(new PlatformReply.Unavailable("outage"));
@@ -138,8 +142,8 @@
                 .isEqualTo(new PlatformCall.Watch("vms/", 10, Duration.ofSeconds(30)));
     }
 
-    /** Returns a view that reads only how things stand. */
-    private WatchedView skipping() {
+    /** Returns a view that reports only the newest version of each object. */
+    private WatchedView newestVersionView() {
         return new WatchedView(
                 (nowMs, call, done) -> {
                     mCalls.add(call);
@@ -150,7 +154,7 @@
                 new RetryPolicy(10, 10, 100),
                 CatchUpMode.NEWEST_VERSION,
                 1,
-                (atMs, change) -> mShown.add(change));
+                (atMs, change) -> mReported.add(change));
     }
 
     private void start(PlatformReply first) {
--- a/coordination/src/test/java/org/hornbeampass/example/EmbeddedLibraryTest.java
+++ b/coordination/src/test/java/org/hornbeampass/example/EmbeddedLibraryTest.java
@@ -38,7 +38,7 @@
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.BiConsumer;
 
-/** Two VMs that share one prepaid budget, and run a call that may not be repeated, by one store. */
+/** Two VMs that share a prepaid budget and a non-repeatable call through one store. */
 class EmbeddedLibraryTest {
     private static final BudgetKey BUDGET =
             new BudgetKey(new OrganisationId("acme"), new BudgetId("chat"));
@@ -50,12 +50,12 @@
     private final Vm mB = new Vm(mMembers.get(1));
     private long mNowMs = 1_000_000;
 
-    /** One VM: its own link to the platform, its part of the budgets and of the request log. */
+    /** One VM with its own connection to the platform, its budgets and its request log. */
     private final class Vm implements Platform {
         private final VmId mSelf;
         private final BudgetLedger mBudgets;
         private final RequestLedger mRequests;
-        private boolean mCut;
+        private boolean mDisconnected;
 
         Vm(VmId self) {
             mSelf = self;
@@ -81,7 +81,7 @@
 
         @Override
         public void submit(long nowMs, PlatformCall call, BiConsumer<Long, PlatformReply> done) {
-            if (mCut) {
+            if (mDisconnected) {
                 done.accept(nowMs, new PlatformReply.Unavailable("cut off"));
             } else {
                 mStore.submit(nowMs, call, done);
@@ -89,44 +89,44 @@
         }
 
         Either<Failure, Reservation> reserve(String request, long tokens) {
-            AtomicReference<Either<Failure, Reservation>> got = new AtomicReference<>();
+            AtomicReference<Either<Failure, Reservation>> result = new AtomicReference<>();
             RequestId id = new RequestId(request);
-            mBudgets.reserve(mNowMs, BUDGET, id, tokens, 2_000, (atMs, r) -> got.set(r));
-            while (got.get() == null) {
+            mBudgets.reserve(mNowMs, BUDGET, id, tokens, 2_000, (atMs, r) -> result.set(r));
+            while (result.get() == null) {
                 run(TICK_MS);
             }
-            return got.get();
+            return result.get();
         }
 
         ClaimOutcome claim(RequestKey key, long attempt) {
-            AtomicReference<Either<Failure, ClaimOutcome>> got = new AtomicReference<>();
+            AtomicReference<Either<Failure, ClaimOutcome>> result = new AtomicReference<>();
             Claim claim = new Claim(key, new AttemptId(mSelf, attempt), mNowMs);
-            mRequests.claim(mNowMs, claim, (atMs, outcome) -> got.set(outcome));
+            mRequests.claim(mNowMs, claim, (atMs, outcome) -> result.set(outcome));
             run(1_000);
-            return got.get().get();
+            return result.get().get();
         }
     }
 
     @Test
-    void budgetHolds_thoughOneVmIsCutOffWhileItIsToppedUp() {
+    void budgetIsNotOverspent_whenOneVmIsCutOffDuringTopUp() {
         topUp("order-1", 1_000);
         Reservation first = mA.reserve("r1", 300).get();
         Reservation second = mB.reserve("r2", 300).get();
         mA.mBudgets.settle(mNowMs, first, 250);
 
-        mB.mCut = true;
-        mB.mBudgets.settle(mNowMs, second, 300); // reported once the cut is over
+        mB.mDisconnected = true;
+        mB.mBudgets.settle(mNowMs, second, 300); // reported once the connection is restored
         topUp("order-2", 1_000);
-        topUp("order-2", 1_000); // repeated by the operator: added once
+        topUp("order-2", 1_000); // repeated by the operator, added only once
 
         run(2_000);
-        // B can't see the top-up: it spends what it holds, and refuses more. A goes on.
+        // B can't read the top-up: it spends what it holds and rejects the rest. A is not affected.
         assertThat(mB.reserve("r3", 800).getLeft().kind()).isEqualTo(ErrorKind.BUDGET_UNREACHABLE);
         Reservation third = mA.reserve("r4", 900).get();
         mA.mBudgets.settle(mNowMs, third, 900);
 
-        mB.mCut = false;
-        assertThat(mB.reserve("r5", 551).isLeft()).isTrue(); // 550 are left of 2000
+        mB.mDisconnected = false;
+        assertThat(mB.reserve("r5", 551).isLeft()).isTrue(); // 550 of 2000 tokens are left
         BudgetStatement statement = statement();
         assertThat(statement.paid()).isEqualTo(2_000);
         assertThat(statement.settled()).isEqualTo(1_450);
@@ -138,7 +138,7 @@
         RequestKey call = new RequestKey(BUDGET.organisation(), new RequestId("release-7"), "d1");
 
         assertThat(mA.claim(call, 1).status()).isEqualTo(ClaimOutcome.Status.GRANTED);
-        // A runs the call now. A retry at B does not, and later gets A's answer.
+        // A runs the call. A retry at B does not run it, and later receives A's answer.
         assertThat(mB.claim(call, 1).status()).isEqualTo(ClaimOutcome.Status.RUNNING);
         CallOutcome answer =
                 new CallOutcome(call, new AttemptId(mA.mSelf, 1), 200, "text/plain", "released");
@@ -148,7 +148,7 @@
         assertThat(mB.claim(call, 2)).isEqualTo(ClaimOutcome.recorded(answer));
     }
 
-    /** Lets time pass; whoever embeds the library calls the ticks from a timer of its own. */
+    /** Advances the time; a program that embeds the library calls the ticks from its own timer. */
     private void run(long durationMs) {
         long endMs = mNowMs + durationMs;
         while (mNowMs < endMs) {
@@ -161,21 +161,21 @@
     }
 
     private void topUp(String id, long tokens) {
-        AtomicReference<Either<Failure, BudgetStatement>> got = new AtomicReference<>();
+        AtomicReference<Either<Failure, BudgetStatement>> result = new AtomicReference<>();
         new BudgetAdmin(new VmId("operator", 1), mStore)
-                .topUp(mNowMs, BUDGET, id, tokens, (atMs, statement) -> got.set(statement));
-        assertThat(got.get().isRight()).isTrue();
+                .topUp(mNowMs, BUDGET, id, tokens, (atMs, statement) -> result.set(statement));
+        assertThat(result.get().isRight()).isTrue();
     }
 
     private BudgetStatement statement() {
-        AtomicReference<Either<Failure, List<BudgetStatement>>> got = new AtomicReference<>();
+        AtomicReference<Either<Failure, List<BudgetStatement>>> result = new AtomicReference<>();
         run(20_000);
         new BudgetAdmin(new VmId("operator", 1), mStore)
-                .statement(mNowMs, BUDGET.organisation(), (atMs, list) -> got.set(list));
-        return got.get().get().get(0);
+                .statement(mNowMs, BUDGET.organisation(), (atMs, list) -> result.set(list));
+        return result.get().get().get(0);
     }
 
-    /** Fixed members, which all draw from the platform; a real fleet asks its membership. */
+    /** Fixed members that all use the platform; a real fleet would use its membership. */
     private record StaticHomes(List<VmId> live) implements BudgetHomes {
         @Override
         public List<VmId> homes(OrganisationId organisation) {
@@ -183,7 +183,7 @@
         }
     }
 
-    /** A network that reaches nobody; the platform alone is enough to be safe. */
+    /** A network without peers; the platform alone is sufficient for correctness. */
     private static final class NoPeers implements PeerNetwork {
         @Override
         public void send(String vmName, PeerMessage message) {}
--- a/coordination/src/test/java/org/hornbeampass/example/ReadmeTest.java
+++ b/coordination/src/test/java/org/hornbeampass/example/ReadmeTest.java
@@ -8,7 +8,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** Checks that the library's README quotes the example as it is compiled and run. */
+/** Checks that the example in the library's README equals the one that is compiled and run. */
 class ReadmeTest {
     private static final Path EXAMPLE =
             Path.of("src/test/java/org/hornbeampass/example/EmbeddedLibraryTest.java");
--- a/coordination/src/test/java/org/hornbeampass/example/package-info.java
+++ b/coordination/src/test/java/org/hornbeampass/example/package-info.java
@@ -1,2 +1,2 @@
-/** An example of a program that embeds the coordination library, as its README quotes it. */
+/** An example of a program that embeds the coordination library, quoted in its README. */
 package org.hornbeampass.example;
--- a/coordination/src/test/java/org/hornbeampass/state/JsonTest.java
+++ b/coordination/src/test/java/org/hornbeampass/state/JsonTest.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Tests {@link Json}. */
+/** Tests that stored values decode to equal values and that mismatches name the type. */
 class JsonTest {
     @Test
     void decode_ofEncodedConfiguration_isEqual() {
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void decode_ofOtherShape_saysWhatDoesNotFit() {
+    void decode_ofOtherShape_namesExpectedType() {
         assertThat(Json.decode("[1]", ConfigSnapshot.class).getLeft().message())
                 .contains("ConfigSnapshot");
     }
--- a/coordination/src/test/java/org/hornbeampass/state/PromptTokensTest.java
+++ b/coordination/src/test/java/org/hornbeampass/state/PromptTokensTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Tests {@link PromptTokens}. */
+/** Tests the token count and the block hashes of prompts. */
 class PromptTokensTest {
     @Test
     void of_roundsUp() {
--- a/coordination/src/test/java/org/hornbeampass/testing/FakeFleet.java
+++ b/coordination/src/test/java/org/hornbeampass/testing/FakeFleet.java
@@ -18,10 +18,11 @@
 import java.util.function.Predicate;
 
 /**
- * A fleet of {@link FakeRouter}s in virtual time, by a seed.
+ * A fleet of {@link FakeRouter}s in virtual time, deterministic for a given seed.
  *
- * <p>VMs are named {@code vm-0}, {@code vm-1} and so on; number n is in region {@code r(n mod
- * regions)} and in one of the region's failure domains. Not thread-safe: tests run on one thread.
+ * <p>VMs are named {@code vm-0}, {@code vm-1} and so on; VM number n is in region {@code r(n mod
+ * regions)} and in one of the failure domains of that region. Not thread-safe: tests run on one
+ * thread.
  */
 public final class FakeFleet {
     private static final long START_MS = 1_000_000;
@@ -54,12 +55,12 @@
         mDomainsPerRegion = domainsPerRegion;
     }
 
-    /** Creates a fleet of one region with three failure domains, all VMs up and known. */
+    /** Creates a fleet of one region with three failure domains, whose VMs are live and joined. */
     public static FakeFleet started(long seed, int size) {
         return started(seed, size, 1, 3);
     }
 
-    /** Creates a fleet with all VMs up and known. */
+    /** Creates a fleet whose VMs are live and joined. */
     public static FakeFleet started(long seed, int size, int regions, int domainsPerRegion) {
         FakeFleet fleet =
                 new FakeFleet(
@@ -75,7 +76,7 @@
         return fleet;
     }
 
-    /** Starts a VM, or a new life of it. */
+    /** Starts a VM, or a new incarnation of it after killing the previous one. */
     public FakeRouter start(String name) {
         FakeRouter old = mRouters.get(name);
         if (old != null) {
@@ -84,18 +85,18 @@
         return startAs(new VmId(name, mIncarnations.merge(name, 1L, Long::sum)));
     }
 
-    /** Starts a process with empty memory under a given identity, whatever ran under it before. */
+    /** Starts a process without state under a given identity, which may have been used before. */
     public FakeRouter startAs(VmId vm) {
         String name = vm.name();
-        Member self = place(vm);
+        Member self = createMember(vm);
         FakeRouter router =
                 new FakeRouter(self, mNetwork, mPlatform, seeds(), mSettings, mConfigSettings);
         mRouters.put(name, router);
-        tickAll(router, number(name) % TICK_MS);
+        scheduleTicks(router, numberOf(name) % TICK_MS);
         return router;
     }
 
-    private void tickAll(FakeRouter router, long delayMs) {
+    private void scheduleTicks(FakeRouter router, long delayMs) {
         mTime.after(
                 delayMs,
                 t -> {
@@ -103,16 +104,16 @@
                         return;
                     }
                     if (mVms.isPaused(router.vm())) {
-                        tickAll(router, TICK_MS);
+                        scheduleTicks(router, TICK_MS);
                         return;
                     }
                     router.tick(t);
-                    tickAll(router, TICK_MS);
+                    scheduleTicks(router, TICK_MS);
                 });
     }
 
-    private Member place(VmId vm) {
-        int number = number(vm.name());
+    private Member createMember(VmId vm) {
+        int number = numberOf(vm.name());
         int region = number % mRegions;
         int domain = number / mRegions % mDomainsPerRegion;
         return new Member(
@@ -124,7 +125,7 @@
                 MemberState.LIVE);
     }
 
-    private static int number(String name) {
+    private static int numberOf(String name) {
         return Integer.parseInt(name.substring(name.indexOf('-') + 1));
     }
 
@@ -136,7 +137,7 @@
         return seeds;
     }
 
-    /** Ends the present life of a VM without a word. */
+    /** Kills the current incarnation of a VM without notice to the others. */
     public void kill(String name) {
         mVms.kill(router(name).vm());
     }
@@ -151,7 +152,7 @@
         mVms.resume(router(name).vm());
     }
 
-    /** Cuts all VMs that match off from all others. */
+    /** Cuts the network between the VMs that match and all others. */
     public void isolate(Predicate<Member> side) {
         for (FakeRouter one : mRouters.values()) {
             for (FakeRouter other : mRouters.values()) {
@@ -162,55 +163,55 @@
         }
     }
 
-    /** Runs everything that is due within a time. */
+    /** Runs all tasks that are due within a duration. */
     public void runFor(long durationMs) {
         mTime.runFor(durationMs);
     }
 
-    /** Returns the present time in milliseconds. */
+    /** Returns the current virtual time in milliseconds. */
     public long nowMs() {
         return mTime.nowMs();
     }
 
-    /** Returns the network, to cut and heal it. */
+    /** Returns the network, to inject faults. */
     public FakePeerNetwork network() {
         return mNetwork;
     }
 
-    /** Returns the platform, to disturb it. */
+    /** Returns the platform, to inject faults. */
     public FaultyPlatform platform() {
         return mPlatform;
     }
 
-    /** Returns the newest life of a VM. */
+    /** Returns the newest incarnation of a VM. */
     public FakeRouter router(String name) {
         return mRouters.get(name);
     }
 
-    /** Returns the newest lives that are not dead, in the order of names. */
+    /** Returns the newest incarnations that are not dead, in the order of names. */
     public Collection<FakeRouter> running() {
         return mRouters.values().stream().filter(r -> !mVms.isDead(r.vm())).toList();
     }
 
-    /** Returns whether the newest life of a VM is paused. */
+    /** Returns whether the newest incarnation of a VM is paused. */
     public boolean isPaused(String name) {
         return mVms.isPaused(router(name).vm());
     }
 
-    /** Gives all VMs a list of the platform that shows the given VMs. */
+    /** Delivers to all running VMs a platform list that contains the given VMs. */
     public void deliverPlatformList(long version, Predicate<FakeRouter> listed) {
         List<ListedVm> list =
                 mRouters.values().stream()
                         .filter(listed)
                         .map(FakeRouter::self)
-                        .map(FakeFleet::toListed)
+                        .map(FakeFleet::toListedVm)
                         .toList();
         for (FakeRouter router : running()) {
             router.membership().onPlatformList(nowMs(), version, list);
         }
     }
 
-    private static ListedVm toListed(Member m) {
+    private static ListedVm toListedVm(Member m) {
         return new ListedVm(
                 m.vm(), m.httpAddress(), m.peerAddress(), m.region(), m.domain(), false);
     }
--- a/coordination/src/test/java/org/hornbeampass/testing/FakePeerNetwork.java
+++ b/coordination/src/test/java/org/hornbeampass/testing/FakePeerNetwork.java
@@ -19,82 +19,83 @@
 import java.util.function.UnaryOperator;
 
 /**
- * A network between VMs that delays, reorders, drops and partitions, by a seed.
+ * A network between VMs that can delay, reorder, duplicate and drop messages and be partitioned,
+ * deterministic for a given seed.
  *
- * <p>A message goes to the newest life of the named VM that has joined. Not thread-safe: tests run
- * on one thread.
+ * <p>A message is delivered to the newest incarnation of the named VM that has registered. Not
+ * thread-safe: tests run on one thread.
  */
 public final class FakePeerNetwork {
     private final VirtualTime mTime;
     private final FakeVms mVms;
     private final SplittableRandom mRandom;
-    private final Map<String, VmId> mNewest = new HashMap<>();
+    private final Map<String, VmId> mNewestByName = new HashMap<>();
     private final Map<VmId, Map<Class<?>, PeerHandler<PeerMessage>>> mHandlers = new HashMap<>();
-    private final Set<Link> mCut = new HashSet<>();
+    private final Set<Link> mCutLinks = new HashSet<>();
 
     private UnaryOperator<PeerMessage> mRewrite = UnaryOperator.identity();
-    private double mDuplicate;
-    private double mDrop;
-    private long mMinMs = 1;
-    private long mMaxMs = 3;
+    private double mDuplicateRate;
+    private double mDropRate;
+    private long mMinLatencyMs = 1;
+    private long mMaxLatencyMs = 3;
 
-    /** One direction between two VMs, by name. */
+    /** One direction between two VMs, identified by name. */
     private record Link(String from, String to) {}
 
-    /** Creates a network that delivers within a few milliseconds and drops nothing. */
+    /** Creates a network with a latency of a few milliseconds and without faults. */
     public FakePeerNetwork(VirtualTime time, FakeVms vms, long seed) {
         mTime = time;
         mVms = vms;
         mRandom = new SplittableRandom(seed);
     }
 
-    /** Sets how often a message is dropped, from 0 to 1. */
+    /** Sets the probability that a message is dropped, from 0 to 1. */
     public void setDropRate(double share) {
-        mDrop = share;
+        mDropRate = share;
     }
 
-    /** Sets how often a message is delivered twice, from 0 to 1. */
+    /** Sets the probability that a message is delivered twice, from 0 to 1. */
     public void setDuplicateRate(double share) {
-        mDuplicate = share;
+        mDuplicateRate = share;
     }
 
-    /** Sets what is delivered in place of each message and each reply. */
+    /** Sets the function that replaces each message and each reply. */
     public void setMessageRewrite(UnaryOperator<PeerMessage> rewrite) {
         mRewrite = rewrite;
     }
 
-    /** Sets how long one way takes, in milliseconds; a wide range reorders. */
+    /** Sets the range of the one-way latency in milliseconds; a wide range reorders messages. */
     public void setLatency(long minMs, long maxMs) {
-        mMinMs = minMs;
-        mMaxMs = maxMs;
+        mMinLatencyMs = minMs;
+        mMaxLatencyMs = maxMs;
     }
 
-    /** Cuts two VMs off from each other, in both directions. */
+    /** Cuts the connection between two VMs in both directions. */
     public void cut(String one, String other) {
-        mCut.add(new Link(one, other));
-        mCut.add(new Link(other, one));
+        mCutLinks.add(new Link(one, other));
+        mCutLinks.add(new Link(other, one));
     }
 
-    /** Ends a cut between two VMs. */
+    /** Restores the connection between two VMs. */
     public void heal(String one, String other) {
-        mCut.remove(new Link(one, other));
-        mCut.remove(new Link(other, one));
+        mCutLinks.remove(new Link(one, other));
+        mCutLinks.remove(new Link(other, one));
     }
 
-    /** Ends all cuts. */
+    /** Restores all connections. */
     public void healAll() {
-        mCut.clear();
+        mCutLinks.clear();
     }
 
-    /** Registers a VM's handler of one type of message. */
+    /** Registers a VM's handler for one type of message. */
     public <M extends PeerMessage> void register(VmId vm, Class<M> type, PeerHandler<M> handler) {
-        mNewest.merge(vm.name(), vm, (a, b) -> a.compareTo(b) > 0 ? a : b);
+        mNewestByName.merge(vm.name(), vm, (a, b) -> a.compareTo(b) > 0 ? a : b);
         mHandlers
                 .computeIfAbsent(vm, v -> new HashMap<>())
                 .put(type, (now, from, m, reply) -> handler.handle(now, from, type.cast(m), reply));
     }
 
-    /** Returns the network as one VM sees it. */
+    /** Returns the network as seen by one VM. */
     public PeerNetwork connect(VmId self) {
         return new PeerNetwork() {
             @Override
@@ -138,12 +139,12 @@
 
     private void transmit(
             VmId from, String toName, PeerMessage message, Consumer<PeerMessage> reply) {
-        if (lost(from.name(), toName)) {
+        if (isLost(from.name(), toName)) {
             return;
         }
         PeerMessage sent = mRewrite.apply(message);
         deliver(from, toName, sent, reply);
-        if (mDuplicate > 0 && mRandom.nextDouble() < mDuplicate) {
+        if (mDuplicateRate > 0 && mRandom.nextDouble() < mDuplicateRate) {
             deliver(from, toName, sent, reply);
         }
     }
@@ -151,10 +152,10 @@
     private void deliver(
             VmId from, String toName, PeerMessage message, Consumer<PeerMessage> reply) {
         mTime.after(
-                leg(),
+                randomLatencyMs(),
                 t -> {
-                    VmId to = mNewest.get(toName);
-                    if (to != null && !lost(from.name(), toName)) {
+                    VmId to = mNewestByName.get(toName);
+                    if (to != null && !isLost(from.name(), toName)) {
                         mVms.deliver(to, atMs -> handle(atMs, from, to, message, reply));
                     }
                 });
@@ -172,18 +173,18 @@
                 from,
                 message,
                 answer -> {
-                    if (!lost(to.name(), from.name())) {
+                    if (!isLost(to.name(), from.name())) {
                         PeerMessage sent = mRewrite.apply(answer);
-                        mTime.after(leg(), t -> reply.accept(sent));
+                        mTime.after(randomLatencyMs(), t -> reply.accept(sent));
                     }
                 });
     }
 
-    private boolean lost(String from, String to) {
-        return mCut.contains(new Link(from, to)) || mRandom.nextDouble() < mDrop;
+    private boolean isLost(String from, String to) {
+        return mCutLinks.contains(new Link(from, to)) || mRandom.nextDouble() < mDropRate;
     }
 
-    private long leg() {
-        return mRandom.nextLong(mMinMs, mMaxMs + 1);
+    private long randomLatencyMs() {
+        return mRandom.nextLong(mMinLatencyMs, mMaxLatencyMs + 1);
     }
 }
--- a/coordination/src/test/java/org/hornbeampass/testing/FakeRouter.java
+++ b/coordination/src/test/java/org/hornbeampass/testing/FakeRouter.java
@@ -26,7 +26,8 @@
 import java.util.Random;
 
 /**
- * One life of a VM with membership, addresses and configuration, on the fakes of this package.
+ * One incarnation of a VM with membership, addresses and configuration, which uses the fakes of
+ * this package.
  *
  * <p>Not thread-safe: tests run on one thread.
  */
@@ -90,12 +91,12 @@
         mConfig.tick(nowMs);
     }
 
-    /** Returns this life. */
+    /** Returns the VM and incarnation. */
     public VmId vm() {
         return mSelf.vm();
     }
 
-    /** Returns this life with its place. */
+    /** Returns the member data of this VM, with its region and failure domain. */
     public Member self() {
         return mSelf;
     }
@@ -115,12 +116,12 @@
         return mAddresses;
     }
 
-    /** Returns the lives that it was told are proved gone, in that order. */
+    /** Returns the VMs that its listener received as proved gone, in that order. */
     public List<VmId> provedGone() {
         return mProvedGone;
     }
 
-    /** Returns what it believes of a VM; {@code GONE} where it knows nothing of it. */
+    /** Returns the state of a VM in its membership view; {@code GONE} if the VM is unknown. */
     public MemberState stateOf(String name) {
         return mMembership.view().member(name).map(Member::state).orElse(MemberState.GONE);
     }
--- a/coordination/src/test/java/org/hornbeampass/testing/FakeVms.java
+++ b/coordination/src/test/java/org/hornbeampass/testing/FakeVms.java
@@ -11,60 +11,61 @@
 import java.util.function.LongConsumer;
 
 /**
- * Which VMs run, are paused or are dead, and what waits for the paused ones.
+ * Tracks which VMs are running, paused or dead, and queues the tasks of paused VMs.
  *
- * <p>All that reaches a VM (ticks, replies, messages) goes through {@link #deliver}: a paused VM
- * gets it when it resumes, in order; a dead one never. Not thread-safe: tests run on one thread.
+ * <p>All tasks of a VM (ticks, replies, messages) are passed to {@link #deliver}: a paused VM runs
+ * them in order when it resumes, and a dead VM never runs them. Not thread-safe: tests run on one
+ * thread.
  */
 public final class FakeVms {
     private final VirtualTime mTime;
     private final Set<VmId> mDead = new HashSet<>();
-    private final Map<VmId, Deque<LongConsumer>> mPaused = new HashMap<>();
+    private final Map<VmId, Deque<LongConsumer>> mTasksByPausedVm = new HashMap<>();
 
-    /** Creates a set of VMs that all run. */
+    /** Creates an instance in which all VMs are running. */
     public FakeVms(VirtualTime time) {
         mTime = time;
     }
 
-    /** Runs a task on a VM now, when it resumes, or never. */
+    /** Runs a task on a VM now, when it resumes if it is paused, or never if it is dead. */
     public void deliver(VmId vm, LongConsumer task) {
         if (mDead.contains(vm)) {
             return;
         }
-        Deque<LongConsumer> waiting = mPaused.get(vm);
-        if (waiting != null) {
-            waiting.addLast(task);
+        Deque<LongConsumer> tasks = mTasksByPausedVm.get(vm);
+        if (tasks != null) {
+            tasks.addLast(task);
             return;
         }
         task.accept(mTime.nowMs());
     }
 
-    /** Pauses a VM: it does nothing, and its timers stand still, until it resumes. */
+    /** Pauses a VM: its tasks and timers do not run until it resumes. */
     public void pause(VmId vm) {
-        mPaused.computeIfAbsent(vm, v -> new ArrayDeque<>());
+        mTasksByPausedVm.computeIfAbsent(vm, v -> new ArrayDeque<>());
     }
 
-    /** Lets a paused VM go on with what waited for it. */
+    /** Resumes a paused VM and runs its queued tasks. */
     public void resume(VmId vm) {
-        Deque<LongConsumer> waiting = mPaused.remove(vm);
-        if (waiting != null) {
-            waiting.forEach(t -> deliver(vm, t));
+        Deque<LongConsumer> tasks = mTasksByPausedVm.remove(vm);
+        if (tasks != null) {
+            tasks.forEach(t -> deliver(vm, t));
         }
     }
 
-    /** Kills one life of a VM for good. */
+    /** Kills one incarnation of a VM permanently. */
     public void kill(VmId vm) {
         mDead.add(vm);
-        mPaused.remove(vm);
+        mTasksByPausedVm.remove(vm);
     }
 
-    /** Returns whether this life of a VM is over. */
+    /** Returns whether an incarnation of a VM has been killed. */
     public boolean isDead(VmId vm) {
         return mDead.contains(vm);
     }
 
     /** Returns whether a VM is paused. */
     public boolean isPaused(VmId vm) {
-        return mPaused.containsKey(vm);
+        return mTasksByPausedVm.containsKey(vm);
     }
 }
--- a/coordination/src/test/java/org/hornbeampass/testing/FaultyPlatform.java
+++ b/coordination/src/test/java/org/hornbeampass/testing/FaultyPlatform.java
@@ -16,10 +16,11 @@
 import java.util.function.UnaryOperator;
 
 /**
- * A platform that is slow, loses requests and replies, and has outages, by a seed.
+ * A platform that can be slow, lose requests and replies and have outages, deterministic for a
+ * given seed.
  *
- * <p>A call that gets no reply within the timeout is answered {@code Unavailable}; its write may
- * have taken effect before, or may take effect later, since a slow request still arrives. Not
+ * <p>A call without a reply within the timeout is answered {@code Unavailable}; its write may have
+ * taken effect already or may take effect later, since a delayed request is still executed. Not
  * thread-safe: tests run on one thread.
  */
 public final class FaultyPlatform {
@@ -28,96 +29,97 @@
     private final FakeVms mVms;
     private final SplittableRandom mRandom;
     private final Map<PlatformCall.Kind, Long> mCalls = new EnumMap<>(PlatformCall.Kind.class);
-    private final Set<VmId> mCut = new HashSet<>();
+    private final Set<VmId> mCutVms = new HashSet<>();
 
     private UnaryOperator<PlatformCall> mRewrite = UnaryOperator.identity();
-    private double mLoseRequest;
-    private double mLoseReply;
-    private long mMinLegMs = 1;
-    private long mMaxLegMs = 3;
+    private double mRequestLossRate;
+    private double mReplyLossRate;
+    private long mMinLatencyMs = 1;
+    private long mMaxLatencyMs = 3;
     private long mTimeoutMs = 1_000;
     private boolean mOutage;
     private long mWrittenBytes;
     private long mLargestValue;
 
-    /** Creates a platform that answers within a few milliseconds and loses nothing. */
+    /** Creates a platform with a latency of a few milliseconds and without faults. */
     public FaultyPlatform(VirtualTime time, FakeVms vms, long seed) {
         mTime = time;
         mVms = vms;
         mRandom = new SplittableRandom(seed);
     }
 
-    /**
-     * Sets how often a request is lost on its way, and a reply on its way back, each from 0 to 1.
-     */
+    /** Sets the probabilities that a request and that a reply is lost, each from 0 to 1. */
     public void setLossRates(double requests, double replies) {
-        mLoseRequest = requests;
-        mLoseReply = replies;
+        mRequestLossRate = requests;
+        mReplyLossRate = replies;
     }
 
-    /** Sets how long one way takes, in milliseconds; above the timeout, writes land late. */
+    /**
+     * Sets the range of the one-way latency in milliseconds; above the timeout, writes are executed
+     * after their call has timed out.
+     */
     public void setLatency(long minLegMs, long maxLegMs) {
-        mMinLegMs = minLegMs;
-        mMaxLegMs = maxLegMs;
+        mMinLatencyMs = minLegMs;
+        mMaxLatencyMs = maxLegMs;
     }
 
-    /** Sets after which time without a reply a caller is told {@code Unavailable}. */
+    /** Sets the time without a reply after which a call is answered {@code Unavailable}. */
     public void setTimeout(long timeoutMs) {
         mTimeoutMs = timeoutMs;
     }
 
-    /** Sets what is carried out in place of each call. */
+    /** Sets the function that replaces each call before it is executed. */
     public void setCallRewrite(UnaryOperator<PlatformCall> rewrite) {
         mRewrite = rewrite;
     }
 
-    /** Starts or ends an outage, in which nothing that arrives is carried out. */
+    /** Starts or ends an outage, during which no call is executed. */
     public void setOutage(boolean outage) {
         mOutage = outage;
     }
 
-    /** Cuts one VM off from the platform. */
+    /** Cuts the connection of one VM to the platform. */
     public void cut(VmId vm) {
-        mCut.add(vm);
+        mCutVms.add(vm);
     }
 
-    /** Ends a cut. */
+    /** Restores the connection of one VM to the platform. */
     public void heal(VmId vm) {
-        mCut.remove(vm);
+        mCutVms.remove(vm);
     }
 
-    /** Returns what is stored, without faults, for checks. */
+    /** Returns the underlying store, without faults, for assertions. */
     public MemoryPlatform store() {
         return mStore;
     }
 
-    /** Returns how many calls of a kind were carried out. */
+    /** Returns the number of calls of a kind that were executed. */
     public long calls(PlatformCall.Kind kind) {
         return mCalls.getOrDefault(kind, 0L);
     }
 
-    /** Returns how many bytes were sent in values. */
+    /** Returns the total size of the values written, in bytes. */
     public long writtenBytes() {
         return mWrittenBytes;
     }
 
-    /** Returns the size of the largest value sent, in bytes. */
+    /** Returns the size of the largest value written, in bytes. */
     public long largestValue() {
         return mLargestValue;
     }
 
-    /** Returns the platform as one VM reaches it. */
+    /** Returns the platform as seen by one VM. */
     public Platform connect(VmId vm) {
         return (nowMs, call, done) -> submit(vm, call, done);
     }
 
-    /** One caller's wait for a reply: answered once. */
-    private final class Pending {
+    /** A call that waits for its reply, which is delivered once. */
+    private final class PendingCall {
         private final VmId mVm;
         private final BiConsumer<Long, PlatformReply> mDone;
         private boolean mAnswered;
 
-        private Pending(VmId vm, BiConsumer<Long, PlatformReply> done) {
+        private PendingCall(VmId vm, BiConsumer<Long, PlatformReply> done) {
             mVm = vm;
             mDone = done;
         }
@@ -135,23 +137,23 @@
     }
 
     private void submit(VmId vm, PlatformCall call, BiConsumer<Long, PlatformReply> done) {
-        Pending pending = new Pending(vm, done);
+        PendingCall pending = new PendingCall(vm, done);
         long timeoutMs = mTimeoutMs;
         if (call instanceof PlatformCall.Watch watch) {
             timeoutMs += watch.maxWait().toMillis();
         }
         mTime.after(timeoutMs, t -> pending.answer(new PlatformReply.Unavailable("no reply")));
-        if (mCut.contains(vm) || mRandom.nextDouble() < mLoseRequest) {
+        if (mCutVms.contains(vm) || mRandom.nextDouble() < mRequestLossRate) {
             return;
         }
-        mTime.after(leg(), t -> arrive(vm, call, pending));
+        mTime.after(randomLatencyMs(), t -> execute(vm, call, pending));
     }
 
-    private void arrive(VmId vm, PlatformCall call, Pending pending) {
+    private void execute(VmId vm, PlatformCall call, PendingCall pending) {
         if (mOutage) {
             return;
         }
-        count(call);
+        recordCall(call);
         if (call instanceof PlatformCall.Watch watch) {
             mTime.after(watch.maxWait().toMillis(), mStore::expireWatches);
         }
@@ -159,13 +161,13 @@
                 mTime.nowMs(),
                 mRewrite.apply(call),
                 (atMs, reply) -> {
-                    if (!mCut.contains(vm) && mRandom.nextDouble() >= mLoseReply) {
-                        mTime.after(leg(), t -> pending.answer(reply));
+                    if (!mCutVms.contains(vm) && mRandom.nextDouble() >= mReplyLossRate) {
+                        mTime.after(randomLatencyMs(), t -> pending.answer(reply));
                     }
                 });
     }
 
-    private void count(PlatformCall call) {
+    private void recordCall(PlatformCall call) {
         mCalls.merge(call.kind(), 1L, Long::sum);
         String value = "";
         if (call instanceof PlatformCall.Create create) {
@@ -178,7 +180,7 @@
         mLargestValue = Math.max(mLargestValue, bytes);
     }
 
-    private long leg() {
-        return mRandom.nextLong(mMinLegMs, mMaxLegMs + 1);
+    private long randomLatencyMs() {
+        return mRandom.nextLong(mMinLatencyMs, mMaxLatencyMs + 1);
     }
 }
--- a/coordination/src/test/java/org/hornbeampass/testing/VirtualTime.java
+++ b/coordination/src/test/java/org/hornbeampass/testing/VirtualTime.java
@@ -5,37 +5,38 @@
 import java.util.function.LongConsumer;
 
 /**
- * A clock and schedule that only moves when told to; tasks due at the same time run in the order in
- * which they were planned.
+ * A virtual clock and scheduler that tests advance explicitly; tasks due at the same time run in
+ * the order in which they were scheduled.
  *
- * <p>Invariant: time never goes back. Not thread-safe: tests run on one thread.
+ * <p>Invariant: time never decreases. Not thread-safe: tests run on one thread.
  */
 public final class VirtualTime {
-    private final PriorityQueue<Planned> mPlanned =
+    private final PriorityQueue<ScheduledTask> mTasks =
             new PriorityQueue<>(
-                    Comparator.comparingLong(Planned::atMs).thenComparingLong(Planned::order));
+                    Comparator.comparingLong(ScheduledTask::atMs)
+                            .thenComparingLong(ScheduledTask::order));
     private long mNowMs;
-    private long mOrder;
+    private long mNextOrder;
 
-    /** A task and when it runs. */
-    private record Planned(long atMs, long order, LongConsumer task) {}
+    /** A task and the time at which it runs. */
+    private record ScheduledTask(long atMs, long order, LongConsumer task) {}
 
-    /** Creates a clock that shows {@code startMs}. */
+    /** Creates a clock whose initial time is {@code startMs}. */
     public VirtualTime(long startMs) {
         mNowMs = startMs;
     }
 
-    /** Returns the present time in milliseconds. */
+    /** Returns the current time in milliseconds. */
     public long nowMs() {
         return mNowMs;
     }
 
-    /** Plans a task that takes the time at which it runs. */
+    /** Schedules a task, which receives the time at which it runs. */
     public void after(long delayMs, LongConsumer task) {
-        mPlanned.add(new Planned(mNowMs + Math.max(0, delayMs), mOrder++, task));
+        mTasks.add(new ScheduledTask(mNowMs + Math.max(0, delayMs), mNextOrder++, task));
     }
 
-    /** Plans a task that runs again and again. */
+    /** Schedules a task that runs periodically. */
     public void every(long periodMs, LongConsumer task) {
         after(
                 periodMs,
@@ -45,11 +46,11 @@
                 });
     }
 
-    /** Runs all that is due within a time, and moves the clock to its end. */
+    /** Runs all tasks that are due within a duration, and advances the clock to its end. */
     public void runFor(long durationMs) {
         long endMs = mNowMs + durationMs;
-        while (!mPlanned.isEmpty() && mPlanned.peek().atMs() <= endMs) {
-            Planned next = mPlanned.poll();
+        while (!mTasks.isEmpty() && mTasks.peek().atMs() <= endMs) {
+            ScheduledTask next = mTasks.poll();
             mNowMs = next.atMs();
             next.task().accept(mNowMs);
         }
