--- a/coordination/src/main/java/org/hornbeampass/coordination/news/ViewRefresher.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/news/ViewRefresher.java
@@ -67,7 +67,7 @@
 
     /** Requests newer changes from another VM, unless a request or a reply is already under way. */
     void requestChanges(long nowMs, String name) {
-        if (!mRequestOpen && !mView.receiving(nowMs)) {
+        if (!mRequestOpen && !mView.isReceiving(nowMs)) {
             sendRequest(nowMs, name, SMALL_REPLY_BYTES, SMALL_REPLY_TIMEOUT_MS);
         }
     }
@@ -96,13 +96,13 @@
         }
         ViewChangesReply changes = (ViewChangesReply) reply.get();
         if (!changes.leftOut()) {
-            mView.offer(
+            mView.mergePeerState(
                     nowMs,
                     Set.copyOf(changes.keys()),
                     objects(changes.objects()),
                     changes.upToVersion());
         } else if (mView.failingForMs(nowMs) == 0) {
-            mView.refresh(nowMs);
+            mView.relist(nowMs);
         } else if (maxBytes < UNLIMITED_BYTES) {
             sendRequest(nowMs, name, UNLIMITED_BYTES, LARGE_REPLY_TIMEOUT_MS);
         }
--- a/coordination/src/main/java/org/hornbeampass/coordination/upstream/IncarnationTracker.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/upstream/IncarnationTracker.java
@@ -1,6 +1,6 @@
 package org.hornbeampass.coordination.upstream;
 
-import org.hornbeampass.state.upstream.Evidence;
+import org.hornbeampass.state.upstream.LeavingEvidence;
 
 import java.util.Optional;
 
@@ -18,7 +18,7 @@
     private long mLastEnded = NONE;
     private long mLastListed = NONE;
     private long mLiveSinceMs;
-    private Optional<Evidence> mEndEvidence = Optional.empty();
+    private Optional<LeavingEvidence> mEndEvidence = Optional.empty();
 
     IncarnationTracker(long nowMs) {
         mLiveSinceMs = nowMs;
@@ -42,7 +42,7 @@
     /**
      * Returns the evidence for the end of the last ended incarnation; empty where none has ended.
      */
-    Optional<Evidence> endEvidence() {
+    Optional<LeavingEvidence> endEvidence() {
         return mEndEvidence;
     }
 
@@ -66,7 +66,7 @@
      * Ends an incarnation and all earlier ones. Returns whether the upstream stopped being live by
      * this call.
      */
-    boolean onEnded(long nowMs, long incarnation, Evidence evidence) {
+    boolean onEnded(long nowMs, long incarnation, LeavingEvidence evidence) {
         boolean wasLive = isLive();
         onSeen(nowMs, incarnation);
         if (incarnation > mLastEnded) {
@@ -88,6 +88,6 @@
      * be newer than this list. Returns whether the upstream stopped being live by this call.
      */
     boolean onNotListed(long nowMs) {
-        return mLastListed != NONE && onEnded(nowMs, mLastListed, Evidence.LIST);
+        return mLastListed != NONE && onEnded(nowMs, mLastListed, LeavingEvidence.PLATFORM_LIST);
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/upstream/UpstreamTable.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/upstream/UpstreamTable.java
@@ -6,7 +6,7 @@
 import org.hornbeampass.state.config.ConfigSnapshot;
 import org.hornbeampass.state.config.UpstreamSpec;
 import org.hornbeampass.state.upstream.CacheEvents;
-import org.hornbeampass.state.upstream.Evidence;
+import org.hornbeampass.state.upstream.LeavingEvidence;
 import org.hornbeampass.state.upstream.ListedUpstream;
 import org.hornbeampass.state.upstream.LoadReport;
 import org.hornbeampass.state.upstream.UpstreamList;
@@ -86,7 +86,8 @@
                 state.onReport(nowMs, report);
             }
             if (report.leaving()) {
-                state.incarnations().onEnded(nowMs, report.incarnation(), Evidence.UPSTREAM_WORD);
+                state.incarnations()
+                        .onEnded(nowMs, report.incarnation(), LeavingEvidence.UPSTREAM_REPORT);
             }
             if (wasLive != state.isLive() || !before.equals(modelsOf(state))) {
                 rebuildGroups();
@@ -118,7 +119,7 @@
      *
      * @param incarnation the incarnation that ends; 0 where the upstream has no incarnations
      */
-    public void onLeaving(long nowMs, UpstreamId id, Evidence evidence, long incarnation) {
+    public void onLeaving(long nowMs, UpstreamId id, LeavingEvidence evidence, long incarnation) {
         synchronized (mLock) {
             UpstreamState state = mStates.get(id);
             if (state != null && state.incarnations().onEnded(nowMs, incarnation, evidence)) {
@@ -208,7 +209,7 @@
             state.incarnations().onListed(nowMs, each.incarnation());
         }
         if (each.leaving()) {
-            state.incarnations().onEnded(nowMs, each.incarnation(), Evidence.LIST);
+            state.incarnations().onEnded(nowMs, each.incarnation(), LeavingEvidence.PLATFORM_LIST);
         }
     }
 
--- a/coordination/src/test/java/org/hornbeampass/coordination/fleet/FleetMutant.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/fleet/FleetMutant.java
@@ -93,7 +93,7 @@
         @Override
         PlatformCall rewriteCall(MemoryPlatform store, PlatformCall call) {
             if (call instanceof PlatformCall.Watch watch) {
-                return new PlatformCall.Watch("nothing/", watch.afterVersion(), watch.atMost());
+                return new PlatformCall.Watch("nothing/", watch.afterVersion(), watch.maxWait());
             }
             return call instanceof PlatformCall.ListObjects
                     ? new PlatformCall.ListObjects("nothing/", "", 1)
--- a/coordination/src/test/java/org/hornbeampass/coordination/fleet/FleetRun.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/fleet/FleetRun.java
@@ -63,8 +63,9 @@
         mMutant = mutant;
         mFleet = new FakeFleet(seed, 2, 2, membership(mutant), config());
         mLog = new LogHistory(mFleet.platform().store());
-        mFleet.platform().rewrites(call -> mutant.rewriteCall(mFleet.platform().store(), call));
-        mFleet.network().rewrites(m -> garble(mutant.rewriteMessage(m)));
+        mFleet.platform()
+                .setCallRewrite(call -> mutant.rewriteCall(mFleet.platform().store(), call));
+        mFleet.network().setMessageRewrite(m -> garble(mutant.rewriteMessage(m)));
         for (int i = 0; i < VMS; i++) {
             mFleet.start(name(i));
         }
@@ -156,16 +157,16 @@
             case PAUSE -> mFleet.pause(vm);
             case RESUME -> resume(vm);
             case LEAVE -> leave(vm);
-            case CUT_REGION -> mFleet.cut(m -> m.region().value().equals("r0"));
-            case CUT_VM -> mFleet.cut(m -> m.name().equals(vm));
+            case CUT_REGION -> mFleet.isolate(m -> m.region().value().equals("r0"));
+            case CUT_VM -> mFleet.isolate(m -> m.name().equals(vm));
             case HEAL -> mFleet.network().healAll();
-            case PLATFORM_OUTAGE -> mFleet.platform().outage(true);
-            case PLATFORM_MESSAGE_LOSS -> mFleet.platform().loses(0.2, 0.3);
+            case PLATFORM_OUTAGE -> mFleet.platform().setOutage(true);
+            case PLATFORM_MESSAGE_LOSS -> mFleet.platform().setLossRates(0.2, 0.3);
             case PLATFORM_RECOVERY -> recoverPlatform();
             case PEER_MESSAGE_LOSS -> {
-                mFleet.network().drops(0.1);
-                mFleet.network().duplicates(0.2);
-                mFleet.network().takes(1, 300);
+                mFleet.network().setDropRate(0.1);
+                mFleet.network().setDuplicateRate(0.2);
+                mFleet.network().setLatency(1, 300);
             }
             case PEER_RECOVERY -> recoverPeers();
             case GARBLED_REPLIES -> mGarblesReplies = true;
@@ -174,14 +175,14 @@
     }
 
     private void recoverPlatform() {
-        mFleet.platform().outage(false);
-        mFleet.platform().loses(0, 0);
+        mFleet.platform().setOutage(false);
+        mFleet.platform().setLossRates(0, 0);
     }
 
     private void recoverPeers() {
-        mFleet.network().drops(0);
-        mFleet.network().duplicates(0);
-        mFleet.network().takes(1, 3);
+        mFleet.network().setDropRate(0);
+        mFleet.network().setDuplicateRate(0);
+        mFleet.network().setLatency(1, 3);
         mGarblesReplies = false;
     }
 
@@ -193,7 +194,7 @@
     }
 
     private void resume(String vm) {
-        if (mFleet.paused(vm) && mMutant.resumeLosesState()) {
+        if (mFleet.isPaused(vm) && mMutant.resumeLosesState()) {
             mFleet.resume(vm);
             mFleet.startAs(mFleet.router(vm).vm());
             return;
@@ -203,7 +204,7 @@
 
     private void leave(String vm) {
         FakeRouter router = mFleet.router(vm);
-        if (mFleet.running().contains(router) && !mFleet.paused(vm)) {
+        if (mFleet.running().contains(router) && !mFleet.isPaused(vm)) {
             router.membership().leave(mFleet.nowMs());
             mLeaveMs.putIfAbsent(router.vm(), mFleet.nowMs());
         }
@@ -211,7 +212,7 @@
 
     private void propose(String vm) {
         FakeRouter router = mFleet.router(vm);
-        if (!mFleet.running().contains(router) || mFleet.paused(vm)) {
+        if (!mFleet.running().contains(router) || mFleet.isPaused(vm)) {
             return;
         }
         Proposal proposal = new Proposal(LogHistory.numberedChange(mProposals.size()));
@@ -235,7 +236,7 @@
      * may serve outdated content.
      */
     private void sendList(Set<VmId> listed) {
-        mFleet.list(++mListVersion, r -> listed.contains(r.vm()));
+        mFleet.deliverPlatformList(++mListVersion, r -> listed.contains(r.vm()));
     }
 
     private void check() {
@@ -249,7 +250,7 @@
         }
         if (mFleet.nowMs() - mLastFaultMs >= RECOVERY_MS) {
             mFleet.running().stream()
-                    .filter(r -> !mFleet.paused(r.vm().name()))
+                    .filter(r -> !mFleet.isPaused(r.vm().name()))
                     .forEach(this::checkView);
         }
     }
--- a/coordination/src/test/java/org/hornbeampass/coordination/requests/CheckpointTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/requests/CheckpointTest.java
@@ -98,7 +98,7 @@
 
     @Test
     void lost_replies_and_two_owners_do_not_corrupt_checkpoints() {
-        mFleet.mPlatform.loses(0.05, 0.05);
+        mFleet.mPlatform.setLossRates(0.05, 0.05);
         VmId b = mFleet.start("b", 1);
         mFleet.setLiveMembers(mA, mA);
         mFleet.setLiveMembers(b, b);
--- a/coordination/src/test/java/org/hornbeampass/coordination/requests/LedgerFleet.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/requests/LedgerFleet.java
@@ -97,7 +97,7 @@
         VmId vm = new VmId(name, incarnation);
         TreeSet<VmId> members = new TreeSet<>();
         for (VmId other : mLedgers.keySet()) {
-            if (!mVms.dead(other)) {
+            if (!mVms.isDead(other)) {
                 members.add(other);
                 mMembers.get(other).add(vm);
             }
@@ -111,7 +111,7 @@
                         mPeers.connect(vm),
                         vm,
                         ShardOwners.rendezvous(() -> mMembers.get(vm)),
-                        mVms::dead,
+                        mVms::isDead,
                         settings,
                         mSeed + mLedgers.size());
         mLedgers.put(vm, ledger);
--- a/coordination/src/test/java/org/hornbeampass/coordination/requests/LedgerSchedule.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/requests/LedgerSchedule.java
@@ -119,12 +119,12 @@
             case HEAL_PLATFORM -> mFleet.mPlatform.heal(vm);
             case CUT_PEERS -> mFleet.mPeers.cut(name, other);
             case HEAL_PEERS -> mFleet.mPeers.healAll();
-            case OUTAGE -> mFleet.mPlatform.outage(true);
-            case OUTAGE_ENDS -> mFleet.mPlatform.outage(false);
+            case OUTAGE -> mFleet.mPlatform.setOutage(true);
+            case OUTAGE_ENDS -> mFleet.mPlatform.setOutage(false);
             case LOSE -> setLossRate(0.2);
             case LOSE_NOTHING -> setLossRate(0);
-            case SLOW -> mFleet.mPlatform.takes(1, 900);
-            case FAST -> mFleet.mPlatform.takes(1, 3);
+            case SLOW -> mFleet.mPlatform.setLatency(1, 900);
+            case FAST -> mFleet.mPlatform.setLatency(1, 3);
             case SPLIT_VIEW -> mFleet.setLiveMembers(vm, vm);
             case SAME_VIEW -> restoreView();
             default -> mFleet.mTime.runFor(1);
@@ -132,8 +132,8 @@
     }
 
     private void setLossRate(double share) {
-        mFleet.mPlatform.loses(share, share);
-        mFleet.mPeers.drops(share);
+        mFleet.mPlatform.setLossRates(share, share);
+        mFleet.mPeers.setDropRate(share);
     }
 
     private void restoreView() {
@@ -263,8 +263,8 @@
 
     /** Ends all faults, waits for the waiting entries, and checks the final state. */
     private void endFaultsAndWait() {
-        mFleet.mPlatform.outage(false);
-        mFleet.mPlatform.takes(1, 3);
+        mFleet.mPlatform.setOutage(false);
+        mFleet.mPlatform.setLatency(1, 3);
         setLossRate(0);
         mFleet.mPeers.healAll();
         mFleet.vms().forEach(mFleet.mPlatform::heal);
@@ -272,7 +272,7 @@
         restoreView();
         mFleet.mTime.runFor(RECOVERY_MS);
         mBills.keySet().stream()
-                .filter(a -> !mFleet.mVms.dead(a.vm()) && !mBillReplies.containsKey(a))
+                .filter(a -> !mFleet.mVms.isDead(a.vm()) && !mBillReplies.containsKey(a))
                 .forEach(a -> mBroken.add(Rule.BILLS_END));
         checkSums();
         checkNotRunCallsCanRun();
@@ -337,7 +337,7 @@
 
     private boolean wasAnsweredNotRun(AttemptId attempt) {
         Either<Failure, ClaimOutcome> answer = mClaimReplies.get(attempt);
-        return !mFleet.mVms.dead(attempt.vm())
+        return !mFleet.mVms.isDead(attempt.vm())
                 && answer != null
                 && (answer.isLeft() || mGaveUp.contains(attempt));
     }
--- a/coordination/src/test/java/org/hornbeampass/coordination/upstream/IncarnationTrackerTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/upstream/IncarnationTrackerTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import org.hornbeampass.state.upstream.Evidence;
+import org.hornbeampass.state.upstream.LeavingEvidence;
 import org.junit.jupiter.api.Test;
 
 /** Tests {@link IncarnationTracker}. */
@@ -18,16 +18,16 @@
     @Test
     void endedIncarnation_isNotRevivedByListThatStillContainsIt() {
         mTracker.onListed(1, 4);
-        assertThat(mTracker.onEnded(2, 4, Evidence.UPSTREAM_WORD)).isTrue();
+        assertThat(mTracker.onEnded(2, 4, LeavingEvidence.UPSTREAM_REPORT)).isTrue();
         mTracker.onListed(3, 4);
 
         assertThat(mTracker.isLive()).isFalse();
-        assertThat(mTracker.endEvidence()).contains(Evidence.UPSTREAM_WORD);
+        assertThat(mTracker.endEvidence()).contains(LeavingEvidence.UPSTREAM_REPORT);
     }
 
     @Test
     void greaterIncarnation_isLiveAgain() {
-        mTracker.onEnded(2, 4, Evidence.OWN);
+        mTracker.onEnded(2, 4, LeavingEvidence.OWN_OBSERVATION);
         assertThat(mTracker.onSeen(3, 5)).isTrue();
 
         assertThat(mTracker.isLive()).isTrue();
@@ -39,7 +39,7 @@
         mTracker.onSeen(1, 5);
 
         assertThat(mTracker.onSeen(2, 4)).isFalse();
-        assertThat(mTracker.onEnded(3, 4, Evidence.OWN)).isFalse();
+        assertThat(mTracker.onEnded(3, 4, LeavingEvidence.OWN_OBSERVATION)).isFalse();
         assertThat(mTracker.isLive()).isTrue();
     }
 
--- a/coordination/src/test/java/org/hornbeampass/state/PromptTokensTest.java
+++ b/coordination/src/test/java/org/hornbeampass/state/PromptTokensTest.java
@@ -4,14 +4,14 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Tests {@link PromptTokens}. */
+/** Tests the token count and the block hashes of prompts. */
 class PromptTokensTest {
     @Test
     void of_roundsUp() {
-        assertThat(PromptTokens.of(0)).isEqualTo(1);
-        assertThat(PromptTokens.of(4)).isEqualTo(1);
-        assertThat(PromptTokens.of(5)).isEqualTo(2);
-        assertThat(PromptTokens.of(Long.MAX_VALUE - 10)).isEqualTo(Integer.MAX_VALUE);
+        assertThat(PromptTokens.count(0)).isEqualTo(1);
+        assertThat(PromptTokens.count(4)).isEqualTo(1);
+        assertThat(PromptTokens.count(5)).isEqualTo(2);
+        assertThat(PromptTokens.count(Long.MAX_VALUE - 10)).isEqualTo(Integer.MAX_VALUE);
     }
 
     @Test
--- a/router/src/main/java/org/hornbeampass/router/relay/RelayAttempts.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/RelayAttempts.java
@@ -348,7 +348,7 @@
      */
     void onCallerGone(long nowMs) {
         boolean sent = mConnection.isPresent();
-        if (sent && !mPlan.route().kind().cancelsWithCaller()) {
+        if (sent && !mPlan.route().kind().cancelsOnCallerDisconnect()) {
             return;
         }
         abandonSend();
