--- a/cli/src/main/java/org/hornbeampass/cli/command/BurnSummary.java
+++ b/cli/src/main/java/org/hornbeampass/cli/command/BurnSummary.java
@@ -123,7 +123,7 @@
     }
 
     static String objective(Row row) {
-        return row.objective().timed()
+        return row.objective().hasThreshold()
                 ? row.objective().label() + " <= " + row.thresholdMs() + " ms"
                 : row.objective().label();
     }
@@ -144,7 +144,7 @@
         if (cause.error().isPresent()) {
             return cause.error().get().code();
         }
-        return cause.objective().timed() ? "late" : "-";
+        return cause.objective().hasThreshold() ? "late" : "-";
     }
 
     private static boolean shown(ScopeBurn scope, Optional<String> organisation) {
@@ -177,7 +177,7 @@
                 scope.terms().target(),
                 rates,
                 rounded(scope.remaining()),
-                BurnRates.badLeft(scope.counts(BurnWindow.D3), scope.terms().target()),
+                BurnRates.remainingBadRequests(scope.counts(BurnWindow.D3), scope.terms().target()),
                 scope.alert());
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/orders/OrderGuard.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/orders/FencingStatus.java
@@ -5,7 +5,7 @@
  *
  * <p>Immutable; safe for use by any thread.
  */
-public enum OrderGuard {
+public enum FencingStatus {
     /** Its order does not carry the present writer's fencing number yet, so any order may come. */
     UNCLAIMED,
     /** It has taken the present writer's number and refuses older ones. */
@@ -22,7 +22,7 @@
      * @param fenced ready copies at upstreams that check numbers
      * @param unfenced ready copies at claimed upstreams that don't
      */
-    static boolean oneSurvives(int fenced, int unfenced) {
+    static boolean survivesLateOrder(int fenced, int unfenced) {
         return fenced >= 1 || unfenced >= UNFENCED_NEEDED;
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/orders/OrderFence.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/orders/OrderLease.java
@@ -8,10 +8,10 @@
  * <p>Implementations are thread-safe.
  */
 @FunctionalInterface
-public interface OrderFence {
+public interface OrderLease {
     /**
      * Returns the fencing number under which this VM may write orders now; empty where it holds no
      * lease, or one that is about to end.
      */
-    OptionalLong fencing(long nowMs);
+    OptionalLong fencingNumber(long nowMs);
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/orders/OrderPlanner.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/orders/OrderPlanner.java
@@ -67,7 +67,7 @@
                 return;
             }
             IntendedState state = place.get().intended().with(target, want.version());
-            replace(fleet, place.get().ordered(state));
+            replace(fleet, place.get().withIntended(state));
             orders.add(new PlannedOrder(place.get().id(), Action.LOAD, target, state));
         }
     }
@@ -88,7 +88,7 @@
         return victim.map(
                 u -> {
                     IntendedState state = u.intended().without(target);
-                    replace(fleet, u.ordered(state));
+                    replace(fleet, u.withIntended(state));
                     return new PlannedOrder(u.id(), Action.UNLOAD, target, state);
                 });
     }
@@ -99,11 +99,12 @@
         int unfenced = 0;
         for (OrderTarget each : fleet) {
             if (!each.id().equals(leaver.id()) && each.serves(want.target())) {
-                fenced += each.guard() == OrderGuard.FENCED ? 1 : 0;
-                unfenced += each.guard() == OrderGuard.UNFENCED ? 1 : 0;
+                fenced += each.fencingStatus() == FencingStatus.FENCED ? 1 : 0;
+                unfenced += each.fencingStatus() == FencingStatus.UNFENCED ? 1 : 0;
             }
         }
-        return fenced + unfenced >= want.copies() && OrderGuard.oneSurvives(fenced, unfenced);
+        return fenced + unfenced >= want.copies()
+                && FencingStatus.survivesLateOrder(fenced, unfenced);
     }
 
     /** Returns whether the adapters that go with a model are held often enough elsewhere. */
--- a/coordination/src/main/java/org/hornbeampass/coordination/orders/OrderTarget.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/orders/OrderTarget.java
@@ -16,7 +16,7 @@
  *
  * @param id the upstream
  * @param domain its failure domain
- * @param guard how far it is safe from late orders
+ * @param fencingStatus how far it is safe from late orders
  * @param maxModels how many models it can hold
  * @param usable whether it is live, healthy and has reported lately
  * @param intended what it was last ordered to hold
@@ -26,7 +26,7 @@
 public record OrderTarget(
         UpstreamId id,
         FailureDomain domain,
-        OrderGuard guard,
+        FencingStatus fencingStatus,
         int maxModels,
         boolean usable,
         IntendedState intended,
@@ -36,7 +36,7 @@
     public OrderTarget {
         Objects.requireNonNull(id, "id");
         Objects.requireNonNull(domain, "domain");
-        Objects.requireNonNull(guard, "guard");
+        Objects.requireNonNull(fencingStatus, "guard");
         Objects.requireNonNull(intended, "intended");
         readyModels = Set.copyOf(readyModels);
         readyAdapters = Set.copyOf(readyAdapters);
@@ -67,8 +67,8 @@
     }
 
     /** Returns this upstream with another intended state. */
-    public OrderTarget ordered(IntendedState state) {
+    public OrderTarget withIntended(IntendedState state) {
         return new OrderTarget(
-                id, domain, guard, maxModels, usable, state, readyModels, readyAdapters);
+                id, domain, fencingStatus, maxModels, usable, state, readyModels, readyAdapters);
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/orders/OrderWriter.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/orders/OrderWriter.java
@@ -29,10 +29,10 @@
     private static final int MAX_TRIES = 4;
 
     private final Platform mPlatform;
-    private final OrderFence mFence;
+    private final OrderLease mFence;
     private final OrderSender mSender;
     private final String mWriter;
-    private final OneAtATime mUnfenced = new OneAtATime();
+    private final SerialStepRunner mUnfenced = new SerialStepRunner();
 
     /** One order on its way, with how often it may yet be tried. */
     private record Task(
@@ -62,7 +62,7 @@
      * @param sender sends orders
      * @param writer this VM's name, for operators
      */
-    public OrderWriter(Platform platform, OrderFence fence, OrderSender sender, String writer) {
+    public OrderWriter(Platform platform, OrderLease fence, OrderSender sender, String writer) {
         mPlatform = platform;
         mFence = fence;
         mSender = sender;
@@ -162,7 +162,7 @@
     }
 
     private void write(long nowMs, Task task, Optional<StoredOrder> stored, long version) {
-        OptionalLong fencing = mFence.fencing(nowMs);
+        OptionalLong fencing = mFence.fencingNumber(nowMs);
         boolean deposed =
                 fencing.isEmpty()
                         || stored.map(s -> s.fencing() > fencing.getAsLong()).orElse(false);
@@ -201,7 +201,7 @@
     }
 
     private void send(long nowMs, Task task, StoredOrder order) {
-        if (mFence.fencing(nowMs).isEmpty()) {
+        if (mFence.fencingNumber(nowMs).isEmpty()) {
             task.fail(nowMs, ErrorKind.REVISION_CONFLICT, "the lease on orders has ended");
             return;
         }
--- a/coordination/src/main/java/org/hornbeampass/coordination/orders/OneAtATime.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/orders/SerialStepRunner.java
@@ -11,7 +11,7 @@
  * <p>Invariant: a step starts only after the one before it has said that it finished. Thread-safe;
  * steps run with no lock held.
  */
-final class OneAtATime {
+final class SerialStepRunner {
     private final ArrayDeque<BiConsumer<Long, LongConsumer>> mWaiting = new ArrayDeque<>();
     private boolean mBusy;
 
--- a/coordination/src/main/java/org/hornbeampass/coordination/slo/BucketRing.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/slo/BucketRing.java
@@ -42,7 +42,7 @@
             mIndexes[slot] = index;
         }
         int[] counts = good ? mGood : mBad;
-        counts[slot * OBJECTIVES + objective.cell()]++;
+        counts[slot * OBJECTIVES + objective.countIndex()]++;
     }
 
     /** Returns the counts of the buckets that make up a window, the present one included. */
@@ -61,7 +61,7 @@
     /** Returns the counts of one bucket, by its start over its width. */
     Counts at(long index, Objective objective) {
         int slot = slot(index);
-        int cell = slot * OBJECTIVES + objective.cell();
+        int cell = slot * OBJECTIVES + objective.countIndex();
         return mIndexes[slot] == index ? new Counts(mGood[cell], mBad[cell]) : Counts.NONE;
     }
 
--- a/coordination/src/main/java/org/hornbeampass/coordination/slo/BurnAlert.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/slo/BurnAlert.java
@@ -33,7 +33,7 @@
     }
 
     /** Returns the most urgent alert that is on for an objective's burn rates by window. */
-    public static Optional<BurnAlert> on(Map<BurnWindow, Double> rates) {
+    public static Optional<BurnAlert> mostUrgent(Map<BurnWindow, Double> rates) {
         for (BurnAlert alert : values()) {
             double slower =
                     Math.min(
--- a/coordination/src/main/java/org/hornbeampass/coordination/slo/BurnRates.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/slo/BurnRates.java
@@ -24,7 +24,7 @@
     }
 
     /** Returns how many more requests of the period may be bad; negative where too many were. */
-    public static long badLeft(Counts period, double target) {
+    public static long remainingBadRequests(Counts period, double target) {
         return (long) Math.floor(period.total() * (1 - target) + ROUNDING) - period.bad();
     }
 
--- a/coordination/src/main/java/org/hornbeampass/coordination/slo/BurnWindow.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/slo/BurnWindow.java
@@ -33,7 +33,7 @@
     }
 
     /** Returns whether the window is summed from one-minute buckets. */
-    boolean fine() {
+    boolean usesMinuteBuckets() {
         return mFine;
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/slo/BurnWindows.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/slo/BurnWindows.java
@@ -77,7 +77,7 @@
             Objective objective,
             SloSample sample) {
         ObjectiveTerms terms = mObjectives.terms(id, objective);
-        Optional<Boolean> good = objective.good(sample, terms.thresholdMs());
+        Optional<Boolean> good = objective.evaluate(sample, terms.thresholdMs());
         if (good.isEmpty()) {
             return;
         }
--- a/coordination/src/main/java/org/hornbeampass/coordination/slo/Objective.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/slo/Objective.java
@@ -15,7 +15,7 @@
     /** The first token comes within a time. */
     FIRST_TOKEN(0, "first token") {
         @Override
-        public Optional<Boolean> good(SloSample sample, long thresholdMs) {
+        public Optional<Boolean> evaluate(SloSample sample, long thresholdMs) {
             return sample.firstTokenMs().isPresent()
                     ? Optional.of(sample.firstTokenMs().getAsLong() <= thresholdMs)
                     : Optional.empty();
@@ -24,7 +24,7 @@
     /** The mean time between an answer's tokens is within a time. */
     BETWEEN_TOKENS(1, "between tokens") {
         @Override
-        public Optional<Boolean> good(SloSample sample, long thresholdMs) {
+        public Optional<Boolean> evaluate(SloSample sample, long thresholdMs) {
             return sample.betweenTokensMs().isPresent()
                     ? Optional.of(sample.betweenTokensMs().getAsLong() <= thresholdMs)
                     : Optional.empty();
@@ -33,7 +33,7 @@
     /** A request is not refused for want of capacity, grants or platform. */
     REFUSALS(2, "refusals") {
         @Override
-        public Optional<Boolean> good(SloSample sample, long thresholdMs) {
+        public Optional<Boolean> evaluate(SloSample sample, long thresholdMs) {
             return callersFault(sample)
                     ? Optional.empty()
                     : Optional.of(sample.error().filter(Objective::refusal).isEmpty());
@@ -42,7 +42,7 @@
     /** A request that was let in ends with a whole answer. */
     ERRORS(3, "errors") {
         @Override
-        public Optional<Boolean> good(SloSample sample, long thresholdMs) {
+        public Optional<Boolean> evaluate(SloSample sample, long thresholdMs) {
             boolean refused = sample.error().filter(Objective::refusal).isPresent();
             return refused || callersFault(sample)
                     ? Optional.empty()
@@ -61,7 +61,7 @@
     }
 
     /** Returns the objective's place among the counts of a bucket, from 0. */
-    int cell() {
+    int countIndex() {
         return mCell;
     }
 
@@ -71,7 +71,7 @@
     }
 
     /** Returns whether the objective has a threshold in milliseconds. */
-    public boolean timed() {
+    public boolean hasThreshold() {
         return this == FIRST_TOKEN || this == BETWEEN_TOKENS;
     }
 
@@ -81,7 +81,7 @@
      * @param sample the request
      * @param thresholdMs the time that is promised, where the objective has one
      */
-    public abstract Optional<Boolean> good(SloSample sample, long thresholdMs);
+    public abstract Optional<Boolean> evaluate(SloSample sample, long thresholdMs);
 
     private static boolean refusal(ErrorKind kind) {
         return kind.httpStatus() >= FIRST_OWN_FAULT && kind.runState() == RunState.NOT_RUN;
--- a/coordination/src/main/java/org/hornbeampass/coordination/slo/Objectives.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/slo/Objectives.java
@@ -12,11 +12,11 @@
  * <p>Invariant: each objective has terms in all. Immutable; safe for use by any thread.
  *
  * @param general the terms in all
- * @param own the terms of organisations that differ
+ * @param overrides the terms of organisations that differ
  */
 public record Objectives(
         Map<Objective, ObjectiveTerms> general,
-        Map<OrganisationId, Map<Objective, ObjectiveTerms>> own) {
+        Map<OrganisationId, Map<Objective, ObjectiveTerms>> overrides) {
     private static final long FIRST_TOKEN_MS = 890;
     private static final long BETWEEN_TOKENS_MS = 45;
     private static final double IN_TIME = 0.95;
@@ -25,7 +25,7 @@
     /** Copies the maps and checks that each objective has terms. */
     public Objectives {
         general = Map.copyOf(general);
-        own = Map.copyOf(own);
+        overrides = Map.copyOf(overrides);
         for (Objective objective : Objective.values()) {
             if (!general.containsKey(objective)) {
                 throw new IllegalArgumentException("no terms for " + objective.label());
@@ -46,7 +46,7 @@
     /** Returns the terms of one objective, in all or for an organisation. */
     public ObjectiveTerms terms(Optional<OrganisationId> organisation, Objective objective) {
         return organisation
-                .flatMap(id -> Optional.ofNullable(own.get(id)))
+                .flatMap(id -> Optional.ofNullable(overrides.get(id)))
                 .flatMap(terms -> Optional.ofNullable(terms.get(objective)))
                 .orElseGet(() -> general.get(objective));
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/slo/ScopeBuckets.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/slo/ScopeBuckets.java
@@ -30,7 +30,8 @@
     }
 
     Counts sum(long nowMs, BurnWindow window, Objective objective) {
-        return (window.fine() ? mFine : mCoarse).sum(nowMs, window.lengthMs(), objective);
+        return (window.usesMinuteBuckets() ? mFine : mCoarse)
+                .sum(nowMs, window.lengthMs(), objective);
     }
 
     /** Returns the buckets of the last hour and of the last three days that are not empty. */
--- a/coordination/src/main/java/org/hornbeampass/coordination/slo/ScopeBurn.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/slo/ScopeBurn.java
@@ -50,7 +50,7 @@
         for (BurnWindow window : BurnWindow.values()) {
             rates.put(window, rate(window));
         }
-        return BurnAlert.on(rates);
+        return BurnAlert.mostUrgent(rates);
     }
 
     /** Returns the counts of two routers together; of two targets the stricter one holds. */
--- a/coordination/src/test/java/org/hornbeampass/coordination/orders/OrderPlannerTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/orders/OrderPlannerTest.java
@@ -24,7 +24,7 @@
     @Test
     void missingCopies_areLoadedWithinTheBoundPerArtifact() {
         List<OrderTarget> fleet =
-                IntStream.range(0, 6).mapToObj(i -> idle(i, OrderGuard.FENCED)).toList();
+                IntStream.range(0, 6).mapToObj(i -> idle(i, FencingStatus.FENCED)).toList();
 
         List<PlannedOrder> orders = mPlanner.plan(fleet, want(5));
 
@@ -35,9 +35,9 @@
     void copies_areSpreadOverFailureDomains() {
         List<OrderTarget> fleet =
                 List.of(
-                        holding(0, OrderGuard.FENCED),
-                        idle(3, OrderGuard.FENCED),
-                        idle(1, OrderGuard.FENCED));
+                        holding(0, FencingStatus.FENCED),
+                        idle(3, FencingStatus.FENCED),
+                        idle(1, FencingStatus.FENCED));
 
         assertThat(mPlanner.plan(fleet, want(2)).get(0).upstream()).isEqualTo(id(1));
     }
@@ -45,7 +45,7 @@
     @Test
     void surplusCopy_isUnloadedOneAtATime() {
         List<OrderTarget> fleet =
-                IntStream.range(0, 4).mapToObj(i -> holding(i, OrderGuard.FENCED)).toList();
+                IntStream.range(0, 4).mapToObj(i -> holding(i, FencingStatus.FENCED)).toList();
 
         List<PlannedOrder> orders = mPlanner.plan(fleet, want(2));
 
@@ -57,7 +57,7 @@
     @Test
     void copyIsKept_whileItsReplacementLoads() {
         List<OrderTarget> fleet =
-                List.of(holding(0, OrderGuard.FENCED), loading(1, OrderGuard.FENCED));
+                List.of(holding(0, FencingStatus.FENCED), loading(1, FencingStatus.FENCED));
 
         assertThat(mPlanner.plan(fleet, want(1))).noneMatch(o -> o.upstream().equals(id(0)));
     }
@@ -65,7 +65,7 @@
     @Test
     void copyIsKept_whereTheOthersAreNotClaimed() {
         List<OrderTarget> fleet =
-                List.of(holding(0, OrderGuard.FENCED), holding(1, OrderGuard.UNCLAIMED));
+                List.of(holding(0, FencingStatus.FENCED), holding(1, FencingStatus.UNCLAIMED));
 
         assertThat(mPlanner.plan(fleet, want(1)))
                 .allMatch(o -> o.upstream().equals(id(1)))
@@ -75,9 +75,9 @@
     @Test
     void upstreamsThatIgnoreFencing_mustLeaveTwo() {
         List<OrderTarget> two =
-                List.of(holding(0, OrderGuard.UNFENCED), holding(1, OrderGuard.UNFENCED));
+                List.of(holding(0, FencingStatus.UNFENCED), holding(1, FencingStatus.UNFENCED));
         List<OrderTarget> three =
-                IntStream.range(0, 3).mapToObj(i -> holding(i, OrderGuard.UNFENCED)).toList();
+                IntStream.range(0, 3).mapToObj(i -> holding(i, FencingStatus.UNFENCED)).toList();
 
         assertThat(mPlanner.plan(two, want(1))).isEmpty();
         assertThat(mPlanner.plan(three, want(1))).hasSize(1);
@@ -90,13 +90,13 @@
                 new OrderTarget(
                         id(0),
                         new FailureDomain("d0"),
-                        OrderGuard.FENCED,
+                        FencingStatus.FENCED,
                         1,
                         true,
                         IntendedState.empty().with(adapter, "1"),
                         Set.of(MODEL),
                         Set.of("a"));
-        List<OrderTarget> fleet = List.of(withAdapter, holding(1, OrderGuard.FENCED));
+        List<OrderTarget> fleet = List.of(withAdapter, holding(1, FencingStatus.FENCED));
         List<WantedCopies> wanted =
                 List.of(new WantedCopies(TARGET, "1", 1), new WantedCopies(adapter, "1", 1));
 
@@ -110,13 +110,13 @@
                 new OrderTarget(
                         id(1),
                         new FailureDomain("d1"),
-                        OrderGuard.FENCED,
+                        FencingStatus.FENCED,
                         1,
                         false,
                         IntendedState.empty().with(TARGET, "1"),
                         Set.of(MODEL),
                         Set.of());
-        List<OrderTarget> fleet = List.of(holding(0, OrderGuard.FENCED), lost);
+        List<OrderTarget> fleet = List.of(holding(0, FencingStatus.FENCED), lost);
 
         assertThat(mPlanner.plan(fleet, want(1))).isEmpty();
     }
@@ -141,20 +141,20 @@
         return new UpstreamId("u" + n);
     }
 
-    private static OrderTarget idle(int n, OrderGuard guard) {
+    private static OrderTarget idle(int n, FencingStatus guard) {
         return target(n, guard, IntendedState.empty(), Set.of());
     }
 
-    private static OrderTarget holding(int n, OrderGuard guard) {
+    private static OrderTarget holding(int n, FencingStatus guard) {
         return target(n, guard, IntendedState.empty().with(TARGET, "1"), Set.of(MODEL));
     }
 
-    private static OrderTarget loading(int n, OrderGuard guard) {
+    private static OrderTarget loading(int n, FencingStatus guard) {
         return target(n, guard, IntendedState.empty().with(TARGET, "1"), Set.of());
     }
 
     private static OrderTarget target(
-            int n, OrderGuard guard, IntendedState intended, Set<ModelId> ready) {
+            int n, FencingStatus guard, IntendedState intended, Set<ModelId> ready) {
         return new OrderTarget(
                 id(n), new FailureDomain("d" + n % 3), guard, 1, true, intended, ready, Set.of());
     }
--- a/coordination/src/test/java/org/hornbeampass/coordination/orders/PlannerProperties.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/orders/PlannerProperties.java
@@ -52,7 +52,7 @@
             mMutant = mutant;
             int bound = mutant == Mutant.LOADS_ALL_AT_ONCE ? 99 : MAX_PER_ARTIFACT;
             mPlanner = new OrderPlanner(bound, 99);
-            OrderGuard[] guards = OrderGuard.values();
+            FencingStatus[] guards = FencingStatus.values();
             for (int i = 0; i < UPSTREAMS; i++) {
                 mFleet.add(
                         new OrderTarget(
@@ -93,24 +93,27 @@
 
         /** Returns whether one late order could leave no ready copy. */
         private boolean lost(WorkTarget target) {
-            long fenced = ready(target, OrderGuard.FENCED);
-            long unfenced = ready(target, OrderGuard.UNFENCED);
+            long fenced = ready(target, FencingStatus.FENCED);
+            long unfenced = ready(target, FencingStatus.UNFENCED);
             return fenced == 0 && unfenced <= 1;
         }
 
-        private long ready(WorkTarget target, OrderGuard guard) {
-            return mFleet.stream().filter(u -> u.guard() == guard && u.serves(target)).count();
+        private long ready(WorkTarget target, FencingStatus guard) {
+            return mFleet.stream()
+                    .filter(u -> u.fencingStatus() == guard && u.serves(target))
+                    .count();
         }
 
         private void apply(PlannedOrder order) {
-            mFleet.replaceAll(u -> u.id().equals(order.upstream()) ? u.ordered(order.state()) : u);
+            mFleet.replaceAll(
+                    u -> u.id().equals(order.upstream()) ? u.withIntended(order.state()) : u);
         }
 
         private void finishSome() {
             mFleet.replaceAll(
                     u ->
                             mRandom.nextInt(3) == 0
-                                    ? with(u, u.guard(), u.intended().models().keySet())
+                                    ? with(u, u.fencingStatus(), u.intended().models().keySet())
                                     : u);
         }
 
@@ -119,8 +122,10 @@
         }
 
         private OrderTarget told(OrderTarget target) {
-            OrderGuard guard =
-                    mMutant == Mutant.TAKES_ALL_AS_FENCED ? OrderGuard.FENCED : target.guard();
+            FencingStatus guard =
+                    mMutant == Mutant.TAKES_ALL_AS_FENCED
+                            ? FencingStatus.FENCED
+                            : target.fencingStatus();
             Set<ModelId> ready =
                     mMutant == Mutant.TAKES_LOADING_AS_READY
                             ? target.intended().models().keySet()
@@ -128,7 +133,8 @@
             return with(target, guard, ready);
         }
 
-        private static OrderTarget with(OrderTarget target, OrderGuard guard, Set<ModelId> ready) {
+        private static OrderTarget with(
+                OrderTarget target, FencingStatus guard, Set<ModelId> ready) {
             return new OrderTarget(
                     target.id(),
                     target.domain(),
--- a/coordination/src/test/java/org/hornbeampass/coordination/slo/BurnRatesTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/slo/BurnRatesTest.java
@@ -37,18 +37,18 @@
         Counts period = new Counts(good, bad);
 
         assertThat(BurnRates.remaining(period, target)).isCloseTo(remaining, within(1e-6));
-        assertThat(BurnRates.badLeft(period, target)).isEqualTo(badLeft);
+        assertThat(BurnRates.remainingBadRequests(period, target)).isEqualTo(badLeft);
     }
 
     @Test
     void alert_needsTheLongAndTheShortWindow() {
-        assertThat(BurnAlert.on(Map.of(BurnWindow.H1, 20.0, BurnWindow.M5, 20.0)))
+        assertThat(BurnAlert.mostUrgent(Map.of(BurnWindow.H1, 20.0, BurnWindow.M5, 20.0)))
                 .contains(BurnAlert.PAGE_FAST);
-        assertThat(BurnAlert.on(Map.of(BurnWindow.H1, 20.0, BurnWindow.M5, 0.0))).isEmpty();
-        assertThat(BurnAlert.on(Map.of(BurnWindow.H1, 0.5, BurnWindow.M5, 99.0))).isEmpty();
-        assertThat(BurnAlert.on(Map.of(BurnWindow.H6, 6.0, BurnWindow.M30, 6.0)))
+        assertThat(BurnAlert.mostUrgent(Map.of(BurnWindow.H1, 20.0, BurnWindow.M5, 0.0))).isEmpty();
+        assertThat(BurnAlert.mostUrgent(Map.of(BurnWindow.H1, 0.5, BurnWindow.M5, 99.0))).isEmpty();
+        assertThat(BurnAlert.mostUrgent(Map.of(BurnWindow.H6, 6.0, BurnWindow.M30, 6.0)))
                 .contains(BurnAlert.PAGE_SLOW);
-        assertThat(BurnAlert.on(Map.of(BurnWindow.D3, 1.0, BurnWindow.H6, 1.0)))
+        assertThat(BurnAlert.mostUrgent(Map.of(BurnWindow.D3, 1.0, BurnWindow.H6, 1.0)))
                 .contains(BurnAlert.TICKET);
     }
 }
--- a/coordination/src/test/java/org/hornbeampass/coordination/slo/ObjectiveTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/slo/ObjectiveTest.java
@@ -35,20 +35,20 @@
             ErrorKind kind, String refusals, String errors) {
         SloSample sample = sample(Optional.of(kind), OptionalLong.empty(), OptionalLong.empty());
 
-        assertThat(word(Objective.REFUSALS.good(sample, 0))).isEqualTo(refusals);
-        assertThat(word(Objective.ERRORS.good(sample, 0))).isEqualTo(errors);
-        assertThat(word(Objective.FIRST_TOKEN.good(sample, 890))).isEqualTo("-");
+        assertThat(word(Objective.REFUSALS.evaluate(sample, 0))).isEqualTo(refusals);
+        assertThat(word(Objective.ERRORS.evaluate(sample, 0))).isEqualTo(errors);
+        assertThat(word(Objective.FIRST_TOKEN.evaluate(sample, 890))).isEqualTo("-");
     }
 
     @Test
     void wholeAnswer_isGood_andTimedByItsTokens() {
         SloSample sample = sample(Optional.empty(), OptionalLong.of(890), OptionalLong.of(46));
 
-        assertThat(word(Objective.REFUSALS.good(sample, 0))).isEqualTo("good");
-        assertThat(word(Objective.ERRORS.good(sample, 0))).isEqualTo("good");
-        assertThat(word(Objective.FIRST_TOKEN.good(sample, 890))).isEqualTo("good");
-        assertThat(word(Objective.FIRST_TOKEN.good(sample, 889))).isEqualTo("bad");
-        assertThat(word(Objective.BETWEEN_TOKENS.good(sample, 45))).isEqualTo("bad");
+        assertThat(word(Objective.REFUSALS.evaluate(sample, 0))).isEqualTo("good");
+        assertThat(word(Objective.ERRORS.evaluate(sample, 0))).isEqualTo("good");
+        assertThat(word(Objective.FIRST_TOKEN.evaluate(sample, 890))).isEqualTo("good");
+        assertThat(word(Objective.FIRST_TOKEN.evaluate(sample, 889))).isEqualTo("bad");
+        assertThat(word(Objective.BETWEEN_TOKENS.evaluate(sample, 45))).isEqualTo("bad");
     }
 
     private static String word(Optional<Boolean> good) {
--- a/experiment/src/main/java/org/hornbeampass/experiment/routing/OrdersComparison.java
+++ b/experiment/src/main/java/org/hornbeampass/experiment/routing/OrdersComparison.java
@@ -1,6 +1,6 @@
 package org.hornbeampass.experiment.routing;
 
-import org.hornbeampass.coordination.orders.OrderGuard;
+import org.hornbeampass.coordination.orders.FencingStatus;
 import org.hornbeampass.coordination.orders.OrderPlanner;
 import org.hornbeampass.coordination.orders.OrderTarget;
 import org.hornbeampass.coordination.orders.PlannedOrder;
@@ -93,7 +93,10 @@
                 for (PlannedOrder order : planner.plan(fleet, wanted)) {
                     leftGb.put(order.upstream(), ARTIFACT_GB);
                     fleet.replaceAll(
-                            u -> u.id().equals(order.upstream()) ? u.ordered(order.state()) : u);
+                            u ->
+                                    u.id().equals(order.upstream())
+                                            ? u.withIntended(order.state())
+                                            : u);
                 }
             }
             most = Math.max(most, leftGb.size());
@@ -114,7 +117,7 @@
         return new OrderTarget(
                 target.id(),
                 target.domain(),
-                target.guard(),
+                target.fencingStatus(),
                 target.maxModels(),
                 true,
                 target.intended(),
@@ -126,7 +129,7 @@
         return new OrderTarget(
                 new UpstreamId("u" + number),
                 new FailureDomain("d" + number % Site.DOMAINS),
-                OrderGuard.FENCED,
+                FencingStatus.FENCED,
                 1,
                 true,
                 state,
--- a/router/src/main/java/org/hornbeampass/router/daemon/RouterDaemon.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/RouterDaemon.java
@@ -7,7 +7,7 @@
 import org.hornbeampass.coordination.limit.RetryBudget;
 import org.hornbeampass.coordination.limit.RetryPolicy;
 import org.hornbeampass.router.admin.DrainControl;
-import org.hornbeampass.router.front.FrontDoor;
+import org.hornbeampass.router.front.CallerHttpHandler;
 import org.hornbeampass.router.front.RequestAdmission;
 import org.hornbeampass.router.serve.FlowRunner;
 import org.hornbeampass.router.serve.RouterMetrics;
@@ -165,8 +165,8 @@
                 settings.limits().serve());
     }
 
-    private FrontDoor frontDoor(RouterSettings settings) {
-        return new FrontDoor(
+    private CallerHttpHandler frontDoor(RouterSettings settings) {
+        return new CallerHttpHandler(
                 new RequestAdmission(mVm, settings.limits().front()),
                 mParts.inForce(),
                 mRunner,
--- a/router/src/main/java/org/hornbeampass/router/daemon/RouterSettings.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/RouterSettings.java
@@ -5,7 +5,7 @@
 import org.hornbeampass.coordination.slo.Objectives;
 import org.hornbeampass.protocol.settings.Secret;
 import org.hornbeampass.router.admin.OperatorKey;
-import org.hornbeampass.router.front.FrontLimits;
+import org.hornbeampass.router.front.RequestLimits;
 import org.hornbeampass.router.serve.ServeSettings;
 import org.hornbeampass.router.upstream.UpstreamSettings;
 import org.hornbeampass.state.FailureDomain;
@@ -112,11 +112,13 @@
      * @param upstream attempts at upstreams
      * @param serve waits inside the router
      */
-    public record Limits(FrontLimits front, UpstreamSettings upstream, ServeSettings serve) {
+    public record Limits(RequestLimits front, UpstreamSettings upstream, ServeSettings serve) {
         /** Returns the bounds and waits for which figures are published. */
         public static Limits defaults() {
             return new Limits(
-                    FrontLimits.defaults(), UpstreamSettings.defaults(), ServeSettings.defaults());
+                    RequestLimits.defaults(),
+                    UpstreamSettings.defaults(),
+                    ServeSettings.defaults());
         }
     }
 
--- a/router/src/main/java/org/hornbeampass/router/daemon/SettingsFile.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/SettingsFile.java
@@ -11,7 +11,7 @@
 import org.hornbeampass.protocol.settings.SettingsNode;
 import org.hornbeampass.protocol.settings.SettingsReader;
 import org.hornbeampass.router.admin.OperatorKey;
-import org.hornbeampass.router.front.FrontLimits;
+import org.hornbeampass.router.front.RequestLimits;
 import org.hornbeampass.router.serve.ServeSettings;
 import org.hornbeampass.router.upstream.UpstreamSettings;
 import org.hornbeampass.state.FailureDomain;
@@ -181,7 +181,7 @@
         UpstreamSettings upstream = UpstreamSettings.defaults();
         ServeSettings serve = ServeSettings.defaults();
         return new RouterSettings.Limits(
-                new FrontLimits(
+                new RequestLimits(
                         new ChatLimits(
                                 (int)
                                         node.optionalSize(
--- a/router/src/main/java/org/hornbeampass/router/front/ChatOrder.java
+++ b/router/src/main/java/org/hornbeampass/router/front/AdmittedChat.java
@@ -16,7 +16,7 @@
  * @param request what was asked
  * @param plan how it is to be run
  */
-public record ChatOrder(
+public record AdmittedChat(
         RequestKey key,
         ServingConfig.Caller caller,
         BudgetKey budget,
--- a/router/src/main/java/org/hornbeampass/router/front/ServiceOrder.java
+++ b/router/src/main/java/org/hornbeampass/router/front/AdmittedServiceCall.java
@@ -16,7 +16,7 @@
  * @param call what is to be sent
  * @param plan how it is to be run
  */
-public record ServiceOrder(
+public record AdmittedServiceCall(
         RequestKey key,
         ServingConfig.Caller caller,
         BudgetKey budget,
--- a/router/src/main/java/org/hornbeampass/router/front/FrontDoor.java
+++ b/router/src/main/java/org/hornbeampass/router/front/CallerHttpHandler.java
@@ -28,7 +28,7 @@
  * <p>A VM that does not take new requests refuses them as not run, names other addresses, and has
  * the connection closed; it still answers questions for addresses. Thread-safe.
  */
-public final class FrontDoor implements HttpHandler {
+public final class CallerHttpHandler implements HttpHandler {
     private static final String SERVICES = "/v1/services/";
     private static final String ADDRESSES_HEADER = "x-hornbeampass-addresses";
 
@@ -51,7 +51,7 @@
      * @param metricsText gives the metrics page
      * @param onRefused told of each refusal that no flow counts
      */
-    public FrontDoor(
+    public CallerHttpHandler(
             RequestAdmission admission,
             Supplier<ServingConfig> config,
             RequestRunner runner,
@@ -111,7 +111,7 @@
         if (refusedAsNotReady(nowMs, exchange)) {
             return;
         }
-        Either<Failure, ChatOrder> order = mAdmission.chat(nowMs, exchange, mConfig.get());
+        Either<Failure, AdmittedChat> order = mAdmission.chat(nowMs, exchange, mConfig.get());
         if (order.isLeft()) {
             refuse(exchange, order.getLeft());
             return;
@@ -120,14 +120,15 @@
                 nowMs,
                 order.get(),
                 exchange,
-                new CallerAnswer(exchange, order.get().key().request().value()));
+                new HttpCallerPort(exchange, order.get().key().request().value()));
     }
 
     private void service(long nowMs, HttpExchange exchange) {
         if (refusedAsNotReady(nowMs, exchange)) {
             return;
         }
-        Either<Failure, ServiceOrder> order = mAdmission.service(nowMs, exchange, mConfig.get());
+        Either<Failure, AdmittedServiceCall> order =
+                mAdmission.service(nowMs, exchange, mConfig.get());
         if (order.isLeft()) {
             refuse(exchange, order.getLeft());
             return;
@@ -136,7 +137,7 @@
                 nowMs,
                 order.get(),
                 exchange,
-                new CallerAnswer(exchange, order.get().key().request().value()));
+                new HttpCallerPort(exchange, order.get().key().request().value()));
     }
 
     private boolean refusedAsNotReady(long nowMs, HttpExchange exchange) {
@@ -159,7 +160,7 @@
 
     private void refuse(HttpExchange exchange, Failure failure) {
         mOnRefused.accept(failure.kind());
-        new CallerAnswer(exchange, "").fail(failure);
+        new HttpCallerPort(exchange, "").fail(failure);
     }
 
     /** One model as OpenAI clients read it. */
@@ -205,7 +206,7 @@
     private void ready(HttpExchange exchange) {
         Optional<Failure> refusal = mReadiness.refusal();
         if (refusal.isPresent()) {
-            new CallerAnswer(exchange, "").fail(refusal.get());
+            new HttpCallerPort(exchange, "").fail(refusal.get());
         } else {
             text(exchange, "ready\n");
         }
--- a/router/src/main/java/org/hornbeampass/router/front/CallerAnswer.java
+++ b/router/src/main/java/org/hornbeampass/router/front/HttpCallerPort.java
@@ -14,7 +14,7 @@
  *
  * <p>Thread-safe, as the exchange is.
  */
-final class CallerAnswer implements CallerPort {
+final class HttpCallerPort implements CallerPort {
     /** The header that tells the caller its request's id. */
     static final String REQUEST_ID = "x-request-id";
 
@@ -30,7 +30,7 @@
      * @param exchange the request
      * @param requestId its id; empty where it has none yet
      */
-    CallerAnswer(HttpExchange exchange, String requestId) {
+    HttpCallerPort(HttpExchange exchange, String requestId) {
         mExchange = exchange;
         mRequestId = requestId;
     }
--- a/router/src/main/java/org/hornbeampass/router/front/RequestAdmission.java
+++ b/router/src/main/java/org/hornbeampass/router/front/RequestAdmission.java
@@ -29,19 +29,19 @@
 public final class RequestAdmission {
     private static final String SERVICES = "/v1/services/";
 
-    private final FrontLimits mLimits;
+    private final RequestLimits mLimits;
     private final ChatRequestParser mParser;
     private final RequestIds mIds;
 
     /** Makes the checks of one VM. */
-    public RequestAdmission(VmId vm, FrontLimits limits) {
+    public RequestAdmission(VmId vm, RequestLimits limits) {
         mLimits = limits;
         mParser = new ChatRequestParser(limits.chat());
         mIds = new RequestIds(vm);
     }
 
     /** Returns the chat completion to serve, or why it is refused. */
-    public Either<Failure, ChatOrder> chat(
+    public Either<Failure, AdmittedChat> chat(
             long nowMs, HttpExchange exchange, ServingConfig config) {
         return RequestHead.read(nowMs, exchange, config, mLimits)
                 .flatMap(
@@ -50,7 +50,7 @@
                                         .flatMap(r -> chat(nowMs, head, r, exchange, config)));
     }
 
-    private Either<Failure, ChatOrder> chat(
+    private Either<Failure, AdmittedChat> chat(
             long nowMs,
             RequestHead head,
             ChatRequest request,
@@ -72,7 +72,7 @@
                         head.deadlineMs(),
                         JsonText.quote("chatcmpl-" + key.request()),
                         request.model().value());
-        return Either.right(new ChatOrder(key, head.caller(), head.budget(), request, plan));
+        return Either.right(new AdmittedChat(key, head.caller(), head.budget(), request, plan));
     }
 
     private static Optional<Failure> chatRefusal(
@@ -108,13 +108,13 @@
     }
 
     /** Returns the service call to make, or why it is refused. */
-    public Either<Failure, ServiceOrder> service(
+    public Either<Failure, AdmittedServiceCall> service(
             long nowMs, HttpExchange exchange, ServingConfig config) {
         return RequestHead.read(nowMs, exchange, config, mLimits)
                 .flatMap(head -> service(nowMs, head, exchange, config));
     }
 
-    private Either<Failure, ServiceOrder> service(
+    private Either<Failure, AdmittedServiceCall> service(
             long nowMs, RequestHead head, HttpExchange exchange, ServingConfig config) {
         String rest = exchange.path().substring(SERVICES.length());
         int slash = rest.indexOf('/');
@@ -155,10 +155,11 @@
         return query < 0 ? "/" : "/" + rest.substring(query);
     }
 
-    private ServiceOrder order(long nowMs, RequestHead head, ServiceCall call, boolean repeatable) {
+    private AdmittedServiceCall order(
+            long nowMs, RequestHead head, ServiceCall call, boolean repeatable) {
         RequestKey key =
                 mIds.key(nowMs, head.caller().spec().id(), head.idempotencyKey(), content(call));
-        return new ServiceOrder(
+        return new AdmittedServiceCall(
                 key,
                 head.caller(),
                 head.budget(),
--- a/router/src/main/java/org/hornbeampass/router/front/RequestHead.java
+++ b/router/src/main/java/org/hornbeampass/router/front/RequestHead.java
@@ -29,7 +29,7 @@
 
     /** Returns the checked headers, or the first fault. */
     static Either<Failure, RequestHead> read(
-            long nowMs, HttpExchange exchange, ServingConfig config, FrontLimits limits) {
+            long nowMs, HttpExchange exchange, ServingConfig config, RequestLimits limits) {
         Optional<ServingConfig.Caller> caller = config.caller(exchange.header("authorization"));
         if (caller.isEmpty()) {
             return Either.left(unknownKey());
@@ -95,7 +95,7 @@
     }
 
     private static Either<Failure, Long> deadline(
-            long nowMs, HttpExchange exchange, FrontLimits limits) {
+            long nowMs, HttpExchange exchange, RequestLimits limits) {
         Optional<String> text = exchange.header("x-deadline-ms");
         if (text.isEmpty()) {
             return Either.right(nowMs + limits.defaultDeadlineMs());
--- a/router/src/main/java/org/hornbeampass/router/front/FrontLimits.java
+++ b/router/src/main/java/org/hornbeampass/router/front/RequestLimits.java
@@ -11,9 +11,9 @@
  * @param defaultDeadlineMs the time that a request has where it names none, in milliseconds
  * @param maxDeadlineMs the longest time that a request may name, in milliseconds
  */
-public record FrontLimits(ChatLimits chat, long defaultDeadlineMs, long maxDeadlineMs) {
+public record RequestLimits(ChatLimits chat, long defaultDeadlineMs, long maxDeadlineMs) {
     /** Returns bounds that suit long documents and long answers. */
-    public static FrontLimits defaults() {
-        return new FrontLimits(ChatLimits.defaults(), 300_000, 3_600_000);
+    public static RequestLimits defaults() {
+        return new RequestLimits(ChatLimits.defaults(), 300_000, 3_600_000);
     }
 }
--- a/router/src/main/java/org/hornbeampass/router/front/RequestRunner.java
+++ b/router/src/main/java/org/hornbeampass/router/front/RequestRunner.java
@@ -17,8 +17,8 @@
      * @param exchange tells when the caller goes away and when it catches up
      * @param caller answered exactly once
      */
-    void chat(long nowMs, ChatOrder order, HttpExchange exchange, CallerPort caller);
+    void chat(long nowMs, AdmittedChat order, HttpExchange exchange, CallerPort caller);
 
     /** Runs a call to a plain service; the parameters are as for {@link #chat}. */
-    void service(long nowMs, ServiceOrder order, HttpExchange exchange, CallerPort caller);
+    void service(long nowMs, AdmittedServiceCall order, HttpExchange exchange, CallerPort caller);
 }
--- a/router/src/main/java/org/hornbeampass/router/serve/FlowRunner.java
+++ b/router/src/main/java/org/hornbeampass/router/serve/FlowRunner.java
@@ -11,9 +11,9 @@
 import org.hornbeampass.router.flow.FlowPorts;
 import org.hornbeampass.router.flow.ServiceFlow;
 import org.hornbeampass.router.flow.UpstreamPort;
-import org.hornbeampass.router.front.ChatOrder;
+import org.hornbeampass.router.front.AdmittedChat;
+import org.hornbeampass.router.front.AdmittedServiceCall;
 import org.hornbeampass.router.front.RequestRunner;
-import org.hornbeampass.router.front.ServiceOrder;
 import org.hornbeampass.router.front.ServingConfig;
 import org.hornbeampass.router.upstream.ChatDispatcher;
 import org.hornbeampass.router.upstream.ServiceDispatcher;
@@ -62,7 +62,7 @@
     }
 
     @Override
-    public void chat(long nowMs, ChatOrder order, HttpExchange exchange, CallerPort caller) {
+    public void chat(long nowMs, AdmittedChat order, HttpExchange exchange, CallerPort caller) {
         ChatRequest request = order.request();
         WorkTarget target =
                 request.adapter()
@@ -95,7 +95,8 @@
     }
 
     @Override
-    public void service(long nowMs, ServiceOrder order, HttpExchange exchange, CallerPort caller) {
+    public void service(
+            long nowMs, AdmittedServiceCall order, HttpExchange exchange, CallerPort caller) {
         Admitted admitted =
                 new Admitted(
                         nowMs,
--- a/router/src/test/java/org/hornbeampass/router/front/RequestAdmissionTest.java
+++ b/router/src/test/java/org/hornbeampass/router/front/RequestAdmissionTest.java
@@ -38,7 +38,7 @@
             "{\"model\":\"desk\",\"messages\":[{\"role\":\"user\",\"content\":\"hi\"}]}";
 
     private final RequestAdmission mAdmission =
-            new RequestAdmission(new VmId("vm-1", 7), FrontLimits.defaults());
+            new RequestAdmission(new VmId("vm-1", 7), RequestLimits.defaults());
     private final ServingConfig mConfig = ServingConfig.of(config());
     private final Map<String, String> mHeaders = new HashMap<>();
 
@@ -89,22 +89,22 @@
                 8);
     }
 
-    private Either<Failure, ChatOrder> chat(String body) {
+    private Either<Failure, AdmittedChat> chat(String body) {
         return mAdmission.chat(
                 1_000, new TestExchange("POST", "/v1/chat/completions", mHeaders, body), mConfig);
     }
 
-    private Either<Failure, ServiceOrder> service(String method, String target) {
+    private Either<Failure, AdmittedServiceCall> service(String method, String target) {
         return mAdmission.service(1_000, new TestExchange(method, target, mHeaders, "x"), mConfig);
     }
 
     @Test
     void goodRequest_drawsOnTheFirstBudget() {
-        ChatOrder order = chat(BODY).get();
+        AdmittedChat order = chat(BODY).get();
         assertThat(order.budget().budget()).isEqualTo(new BudgetId("a"));
         assertThat(order.plan().completionLimit()).isEqualTo(100);
         assertThat(order.plan().deadlineMs())
-                .isEqualTo(1_000 + FrontLimits.defaults().defaultDeadlineMs());
+                .isEqualTo(1_000 + RequestLimits.defaults().defaultDeadlineMs());
     }
 
     @ParameterizedTest
@@ -141,7 +141,7 @@
     @Test
     void sameKeyWithOtherBody_isAnotherRequest() {
         mHeaders.put("idempotency-key", "k1");
-        ChatOrder first = chat(BODY).get();
+        AdmittedChat first = chat(BODY).get();
         assertThat(chat(BODY).get().key()).isEqualTo(first.key());
         assertThat(chat(BODY.replace("hi", "ho")).get().key()).isNotEqualTo(first.key());
         assertThat(first.key().request().value()).isEqualTo("k1");
@@ -155,7 +155,7 @@
     @ParameterizedTest
     @CsvSource({"GET, true", "POST, false", "PUT, false", "DELETE, false"})
     void onlyAGet_mayBeRepeatedByDefault(String method, boolean repeatable) {
-        ServiceOrder order = service(method, "/v1/services/records/v1/x%2Fy?a=b").get();
+        AdmittedServiceCall order = service(method, "/v1/services/records/v1/x%2Fy?a=b").get();
         assertThat(order.plan().repeatable()).isEqualTo(repeatable);
         assertThat(order.call().target()).isEqualTo("/v1/x%2Fy?a=b");
     }
