--- a/coordination/src/main/java/org/hornbeampass/coordination/drain/package-info.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/drain/package-info.java
@@ -1,2 +1,2 @@
-/** Orders between routers to drain. */
+/** Messages by which one router orders another to drain. */
 package org.hornbeampass.coordination.drain;
--- a/coordination/src/main/java/org/hornbeampass/coordination/orders/FencingStatus.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/orders/FencingStatus.java
@@ -1,26 +1,33 @@
 package org.hornbeampass.coordination.orders;
 
 /**
- * How far an upstream is safe from a late order of a deposed writer.
+ * Whether an upstream is protected from a late order of a deposed writer, a VM that no longer holds
+ * the lease on orders.
  *
  * <p>Immutable; safe for use by any thread.
  */
 public enum FencingStatus {
-    /** Its order does not carry the present writer's fencing number yet, so any order may come. */
+    /**
+     * The stored order does not have the present writer's fencing number yet, so an order of any
+     * earlier writer may still arrive.
+     */
     UNCLAIMED,
-    /** It has taken the present writer's number and refuses older ones. */
+    /** The upstream has accepted the present writer's fencing number and refuses older ones. */
     FENCED,
-    /** Its order carries the present writer's number, but it does not check numbers. */
+    /**
+     * The stored order has the present writer's fencing number, but the upstream does not check
+     * fencing numbers.
+     */
     UNFENCED;
 
     private static final int UNFENCED_NEEDED = 2;
 
     /**
-     * Returns whether one ready copy is left for certain after one late order to an upstream that
-     * does not check numbers.
+     * Returns whether at least one ready copy is certain to remain after one late order to an
+     * upstream that does not check fencing numbers.
      *
-     * @param fenced ready copies at upstreams that check numbers
-     * @param unfenced ready copies at claimed upstreams that don't
+     * @param fenced ready copies at upstreams that check fencing numbers
+     * @param unfenced ready copies at claimed upstreams that don't check them
      */
     static boolean survivesLateOrder(int fenced, int unfenced) {
         return fenced >= 1 || unfenced >= UNFENCED_NEEDED;
--- a/coordination/src/main/java/org/hornbeampass/coordination/orders/OrderPlanner.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/orders/OrderPlanner.java
@@ -11,14 +11,22 @@
 import java.util.Optional;
 
 /**
- * Plans which upstreams load and unload what, a few steps at a time.
+ * Plans which upstreams load and unload which models and adapters, a few changes at a time.
  *
- * <p>Invariants: an unload leaves as many ready copies as are wanted, at least one that is safe
- * from late orders of a deposed writer or two of which such an order can take only one; an upstream
- * whose order this writer has not claimed yet does not count; at most a bounded number of upstreams
- * load one artifact, and at most a bounded number load at all, since they share the weight store's
- * rate; one unload at most for each artifact in a plan. A plan is worked out from its arguments
- * alone. Immutable; thread-safe.
+ * <p>Invariants:
+ *
+ * <ul>
+ *   <li>An unload leaves as many ready copies as are wanted. At least one of them is protected from
+ *       late orders of a deposed writer, or at least two are not protected, since one late order
+ *       can unload only one of them.
+ *   <li>A copy at an upstream whose order this writer has not claimed yet does not count towards
+ *       the copies that an unload must leave.
+ *   <li>The number of upstreams that load the same artifact, and the number that load anything, are
+ *       bounded, since all loads share the bandwidth of the weight store.
+ *   <li>A plan has at most one unload for each artifact.
+ * </ul>
+ *
+ * <p>A plan depends on its arguments only. Immutable; thread-safe.
  */
 public final class OrderPlanner {
     private final int mMaxLoadsPerArtifact;
@@ -27,8 +35,8 @@
     /**
      * Creates a planner.
      *
-     * @param maxLoadsPerArtifact how many upstreams load the same artifact at once
-     * @param maxLoads how many upstreams load at once
+     * @param maxLoadsPerArtifact how many upstreams may load the same artifact at once
+     * @param maxLoads how many upstreams may load at once
      */
     public OrderPlanner(int maxLoadsPerArtifact, int maxLoads) {
         if (maxLoadsPerArtifact < 1 || maxLoads < 1) {
@@ -39,10 +47,11 @@
     }
 
     /**
-     * Plans the next steps.
+     * Returns the next changes, loads before unloads.
      *
-     * @param upstreams all upstreams that take orders
-     * @param wanted how many copies of what are wanted; what is not named here is left as it is
+     * @param upstreams all upstreams that accept orders
+     * @param wanted the wanted number of copies of each model and adapter; those not listed are
+     *     left unchanged
      */
     public List<PlannedOrder> plan(List<OrderTarget> upstreams, List<WantedCopies> wanted) {
         List<OrderTarget> fleet = new ArrayList<>(upstreams);
@@ -59,33 +68,35 @@
 
     private void load(List<OrderTarget> fleet, WantedCopies want, List<PlannedOrder> orders) {
         WorkTarget target = want.target();
-        while (held(fleet, target) < want.copies()
-                && loading(fleet, target) < mMaxLoadsPerArtifact
-                && loadingAny(fleet, orders) < mMaxLoads) {
-            Optional<OrderTarget> place = bestPlace(fleet, target);
-            if (place.isEmpty()) {
+        while (countHeld(fleet, target) < want.copies()
+                && countLoading(fleet, target) < mMaxLoadsPerArtifact
+                && countLoadingAnything(fleet, orders) < mMaxLoads) {
+            Optional<OrderTarget> chosen = chooseUpstream(fleet, target);
+            if (chosen.isEmpty()) {
                 return;
             }
-            IntendedState state = place.get().intended().with(target, want.version());
-            replace(fleet, place.get().withIntended(state));
-            orders.add(new PlannedOrder(place.get().id(), Action.LOAD, target, state));
+            IntendedState state = chosen.get().intended().with(target, want.version());
+            replace(fleet, chosen.get().withIntended(state));
+            orders.add(new PlannedOrder(chosen.get().id(), Action.LOAD, target, state));
         }
     }
 
     private static Optional<PlannedOrder> unload(
             List<OrderTarget> fleet, List<WantedCopies> wanted, WantedCopies want) {
         WorkTarget target = want.target();
-        boolean surplus = held(fleet, target) > want.copies();
+        boolean surplus = countHeld(fleet, target) > want.copies();
         if (!surplus) {
             return Optional.empty();
         }
-        Optional<OrderTarget> victim =
+        Optional<OrderTarget> candidate =
                 fleet.stream()
                         .filter(u -> u.usable() && u.intended().holds(target))
-                        .filter(u -> enoughWithout(fleet, u, want))
-                        .filter(u -> adaptersAllow(fleet, wanted, u, want))
-                        .max(Comparator.comparingLong(u -> heldIn(fleet, target, u.domain())));
-        return victim.map(
+                        .filter(u -> hasEnoughCopiesWithout(fleet, u, want))
+                        .filter(u -> hasEnoughAdapterCopiesWithout(fleet, wanted, u, want))
+                        .max(
+                                Comparator.comparingLong(
+                                        u -> countHeldInDomain(fleet, target, u.domain())));
+        return candidate.map(
                 u -> {
                     IntendedState state = u.intended().without(target);
                     replace(fleet, u.withIntended(state));
@@ -93,12 +104,12 @@
                 });
     }
 
-    private static boolean enoughWithout(
-            List<OrderTarget> fleet, OrderTarget leaver, WantedCopies want) {
+    private static boolean hasEnoughCopiesWithout(
+            List<OrderTarget> fleet, OrderTarget excluded, WantedCopies want) {
         int fenced = 0;
         int unfenced = 0;
         for (OrderTarget each : fleet) {
-            if (!each.id().equals(leaver.id()) && each.serves(want.target())) {
+            if (!each.id().equals(excluded.id()) && each.serves(want.target())) {
                 fenced += each.fencingStatus() == FencingStatus.FENCED ? 1 : 0;
                 unfenced += each.fencingStatus() == FencingStatus.UNFENCED ? 1 : 0;
             }
@@ -107,11 +118,14 @@
                 && FencingStatus.survivesLateOrder(fenced, unfenced);
     }
 
-    /** Returns whether the adapters that go with a model are held often enough elsewhere. */
-    private static boolean adaptersAllow(
+    /**
+     * Returns whether the other upstreams have enough copies of each adapter that would be unloaded
+     * together with its model.
+     */
+    private static boolean hasEnoughAdapterCopiesWithout(
             List<OrderTarget> fleet,
             List<WantedCopies> wanted,
-            OrderTarget leaver,
+            OrderTarget excluded,
             WantedCopies want) {
         if (want.target().adapter().isPresent()) {
             return true;
@@ -119,35 +133,38 @@
         return wanted.stream()
                 .filter(w -> w.target().adapter().isPresent())
                 .filter(w -> w.target().model().equals(want.target().model()))
-                .filter(w -> leaver.intended().holds(w.target()))
-                .allMatch(w -> enoughWithout(fleet, leaver, w));
+                .filter(w -> excluded.intended().holds(w.target()))
+                .allMatch(w -> hasEnoughCopiesWithout(fleet, excluded, w));
     }
 
-    private static Optional<OrderTarget> bestPlace(List<OrderTarget> fleet, WorkTarget target) {
+    private static Optional<OrderTarget> chooseUpstream(
+            List<OrderTarget> fleet, WorkTarget target) {
         return fleet.stream()
                 .filter(u -> u.hasRoomFor(target))
                 .min(
                         Comparator.comparingLong(
-                                        (OrderTarget u) -> heldIn(fleet, target, u.domain()))
+                                        (OrderTarget u) ->
+                                                countHeldInDomain(fleet, target, u.domain()))
                                 .thenComparing(u -> u.intended().models().size())
                                 .thenComparing(OrderTarget::id));
     }
 
-    private static long held(List<OrderTarget> fleet, WorkTarget target) {
+    private static long countHeld(List<OrderTarget> fleet, WorkTarget target) {
         return fleet.stream().filter(u -> u.usable() && u.intended().holds(target)).count();
     }
 
-    private static long heldIn(List<OrderTarget> fleet, WorkTarget target, FailureDomain domain) {
+    private static long countHeldInDomain(
+            List<OrderTarget> fleet, WorkTarget target, FailureDomain domain) {
         return fleet.stream()
                 .filter(u -> u.domain().equals(domain) && u.intended().holds(target))
                 .count();
     }
 
-    private static long loading(List<OrderTarget> fleet, WorkTarget target) {
+    private static long countLoading(List<OrderTarget> fleet, WorkTarget target) {
         return fleet.stream().filter(u -> u.loading(target)).count();
     }
 
-    private static long loadingAny(List<OrderTarget> fleet, List<PlannedOrder> orders) {
+    private static long countLoadingAnything(List<OrderTarget> fleet, List<PlannedOrder> orders) {
         long before =
                 fleet.stream()
                         .filter(OrderTarget::usable)
--- a/coordination/src/main/java/org/hornbeampass/coordination/orders/OrderResult.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/orders/OrderResult.java
@@ -1,15 +1,15 @@
 package org.hornbeampass.coordination.orders;
 
 /**
- * What came of sending an order.
+ * The result of sending an order to an upstream.
  *
  * <p>Immutable; safe for use by any thread.
  */
 public enum OrderResult {
-    /** The upstream took it and works towards the state. */
+    /** The upstream accepted the order and is changing to the ordered state. */
     ACCEPTED,
-    /** The upstream refused its fencing number as old. */
+    /** The upstream refused the order because it has seen a greater fencing number. */
     OLD_FENCING,
-    /** No answer tells; it may have taken effect. */
+    /** No usable answer was received; the order may have taken effect. */
     UNKNOWN
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/orders/OrderSender.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/orders/OrderSender.java
@@ -7,15 +7,15 @@
 /**
  * Sends orders to upstreams.
  *
- * <p>Implementations are thread-safe and bound the time of each order: once {@code done} ran, the
- * order no longer sits in a queue of this VM.
+ * <p>Implementations are thread-safe and bound the time that each order takes: once {@code done}
+ * has run, the order is no longer queued on this VM.
  */
 @FunctionalInterface
 public interface OrderSender {
     /**
      * Sends one order.
      *
-     * @param done run exactly once, on any thread, with the time in milliseconds and the result
+     * @param done called exactly once, on any thread, with the time in milliseconds and the result
      */
     void send(
             long nowMs, UpstreamId upstream, StoredOrder order, BiConsumer<Long, OrderResult> done);
--- a/coordination/src/main/java/org/hornbeampass/coordination/orders/OrderSteps.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/orders/OrderSteps.java
@@ -9,33 +9,33 @@
 import java.util.Map;
 
 /**
- * Works out the single orders that bring an upstream from what it holds to what it should hold.
+ * Computes the single orders that change an upstream from its present state to its intended state.
  *
- * <p>Invariant: loads come before unloads, except where a version is replaced; equal states need
- * none. Stateless; thread-safe.
+ * <p>Invariant: loads come before unloads, except where a version is replaced; no step is needed if
+ * the states are equal. Stateless; thread-safe.
  */
 public final class OrderSteps {
     private OrderSteps() {}
 
-    /** One order in the form that engines take. */
+    /** One order in the form that model engines accept. */
     public sealed interface Step {}
 
-    /** Load a model's version. */
+    /** Loads a version of a model. */
     public record LoadModel(ModelId model, String version) implements Step {}
 
-    /** Load an adapter. */
+    /** Loads an adapter. */
     public record LoadAdapter(String adapter) implements Step {}
 
-    /** Unload a model. */
+    /** Unloads a model. */
     public record UnloadModel(ModelId model) implements Step {}
 
-    /** Unload an adapter. */
+    /** Unloads an adapter. */
     public record UnloadAdapter(String adapter) implements Step {}
 
-    /** Change the role. */
+    /** Changes the role. */
     public record SetRole(UpstreamRole role) implements Step {}
 
-    /** Returns the steps in the order in which they are to be given. */
+    /** Returns the steps in the order in which they must be sent. */
     public static List<Step> between(IntendedState held, IntendedState wanted) {
         List<Step> steps = new ArrayList<>();
         if (held.role() != wanted.role()) {
--- a/coordination/src/main/java/org/hornbeampass/coordination/orders/OrderTarget.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/orders/OrderTarget.java
@@ -10,16 +10,16 @@
 import java.util.Set;
 
 /**
- * One upstream as the planner sees it.
+ * The state of one upstream on which the planner bases its plans.
  *
  * <p>Immutable; safe for use by any thread.
  *
  * @param id the upstream
  * @param domain its failure domain
- * @param fencingStatus how far it is safe from late orders
+ * @param fencingStatus whether it is protected from late orders of a deposed writer
  * @param maxModels how many models it can hold
- * @param usable whether it is live, healthy and has reported lately
- * @param intended what it was last ordered to hold
+ * @param usable whether it is running, healthy and has reported its state recently
+ * @param intended the state that it was last ordered to reach
  * @param readyModels models that it reports as ready
  * @param readyAdapters adapters that it reports as ready
  */
@@ -42,7 +42,7 @@
         readyAdapters = Set.copyOf(readyAdapters);
     }
 
-    /** Returns whether it can serve a target now and is to go on doing so. */
+    /** Returns whether it can serve a target now and is intended to keep it loaded. */
     public boolean serves(WorkTarget target) {
         return usable
                 && intended.holds(target)
@@ -50,12 +50,12 @@
                 && target.adapter().map(readyAdapters::contains).orElse(true);
     }
 
-    /** Returns whether it was ordered to hold a target and is not ready for it yet. */
+    /** Returns whether it was ordered to load a target and is not ready to serve it yet. */
     public boolean loading(WorkTarget target) {
         return usable && intended.holds(target) && !serves(target);
     }
 
-    /** Returns whether a target can be added to what it holds. */
+    /** Returns whether a target can be added to its intended state. */
     public boolean hasRoomFor(WorkTarget target) {
         if (!usable || intended.holds(target)) {
             return false;
@@ -66,7 +66,7 @@
         return intended.models().size() < maxModels;
     }
 
-    /** Returns this upstream with another intended state. */
+    /** Returns a copy with another intended state. */
     public OrderTarget withIntended(IntendedState state) {
         return new OrderTarget(
                 id, domain, fencingStatus, maxModels, usable, state, readyModels, readyAdapters);
--- a/coordination/src/main/java/org/hornbeampass/coordination/orders/OrderWriter.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/orders/OrderWriter.java
@@ -17,24 +17,26 @@
 import java.util.function.BiConsumer;
 
 /**
- * Writes an upstream's intended state to the platform, then sends it, then checks it again.
+ * Writes an upstream's intended state to the platform, sends it, then checks the stored state
+ * again.
  *
- * <p>Invariants: nothing is sent that was not written first by a conditional update; a writer never
- * writes over a greater fencing number; after each order the stored state is read again, and where
- * a newer one stands there that one is sent, so that the last order which an upstream gets from a
- * writer that was paused is the newest. To upstreams that don't check fencing numbers at most one
- * order is under way at a time. Thread-safe; callbacks run with no lock held.
+ * <p>Invariants: an order is sent only after it was written by a conditional update. A writer never
+ * overwrites an order with a greater fencing number. After each order the stored order is read
+ * again, and if it is newer than the one sent, the newer one is sent too; hence the last order that
+ * an upstream receives from a writer that was paused is the newest. At most one order is in flight
+ * at a time to all upstreams that don't check fencing numbers. Thread-safe; callbacks run with no
+ * lock held.
  */
 public final class OrderWriter {
     private static final int MAX_TRIES = 4;
 
     private final Platform mPlatform;
-    private final OrderLease mFence;
+    private final OrderLease mLease;
     private final OrderSender mSender;
     private final String mWriter;
-    private final SerialStepRunner mUnfenced = new SerialStepRunner();
+    private final SerialStepRunner mUnfencedSteps = new SerialStepRunner();
 
-    /** One order on its way, with how often it may yet be tried. */
+    /** One order being applied, with the number of tries that remain. */
     private record Task(
             UpstreamId upstream,
             IntendedState state,
@@ -45,7 +47,7 @@
             return StoredOrder.PREFIX + upstream;
         }
 
-        private Task again() {
+        private Task nextTry() {
             return new Task(upstream, state, checksFencing, triesLeft - 1, done);
         }
 
@@ -57,26 +59,27 @@
     /**
      * Creates a writer.
      *
-     * @param platform keeps the intended states
-     * @param fence tells whether this VM is the writer
+     * @param platform stores the intended states
+     * @param lease provides the fencing number while this VM is the writer
      * @param sender sends orders
      * @param writer this VM's name, for operators
      */
-    public OrderWriter(Platform platform, OrderLease fence, OrderSender sender, String writer) {
+    public OrderWriter(Platform platform, OrderLease lease, OrderSender sender, String writer) {
         mPlatform = platform;
-        mFence = fence;
+        mLease = lease;
         mSender = sender;
         mWriter = writer;
     }
 
     /**
-     * Brings an upstream to a state; may be repeated at will.
+     * Writes and sends an order to bring an upstream to a state. Idempotent; may be repeated at any
+     * time.
      *
      * @param checksFencing whether the upstream refuses old fencing numbers
-     * @param done run exactly once with the time in milliseconds and the order that stands, or
-     *     {@code REVISION_CONFLICT} where another VM is the writer, {@code PLATFORM_UNAVAILABLE}
-     *     where the state could not be written, {@code UPSTREAM_FAILED} where it was written but
-     *     the upstream did not take it; a later repetition sends it again
+     * @param done called exactly once with the time in milliseconds and the order in force, or
+     *     {@code REVISION_CONFLICT} if another VM is the writer, {@code PLATFORM_UNAVAILABLE} if
+     *     the state could not be written, {@code UPSTREAM_FAILED} if it was written but the
+     *     upstream did not accept it; a later call sends it again
      */
     public void apply(
             long nowMs,
@@ -89,7 +92,7 @@
             read(nowMs, task);
             return;
         }
-        mUnfenced.run(
+        mUnfencedSteps.run(
                 nowMs,
                 (startMs, finished) ->
                         read(
@@ -106,12 +109,13 @@
     }
 
     /**
-     * Takes over an upstream's order as it stands under this VM's fencing number, and sends it, so
-     * that a deposed writer can neither write its order nor, where the upstream checks numbers,
-     * send one. A new writer does so for each upstream before it counts on it in a plan.
+     * Rewrites an upstream's stored order under this VM's fencing number and sends it, with its
+     * state unchanged. Afterwards a deposed writer can't overwrite the order, and it can't send one
+     * either if the upstream checks fencing numbers. A new writer does so for each upstream before
+     * it relies on that upstream in a plan.
      *
-     * @param done as in {@link #apply}; an upstream without an order is claimed as empty, so name
-     *     it to {@link #apply} instead
+     * @param done called as in {@link #apply}, or with {@code NOT_FOUND} if no order could be read
+     *     for the upstream; an upstream without an order is claimed by {@link #apply} instead
      */
     public void claim(
             long nowMs,
@@ -157,17 +161,17 @@
         } else if (reply instanceof PlatformReply.Missing) {
             write(nowMs, task, Optional.empty(), 0);
         } else {
-            read(nowMs, task.again());
+            read(nowMs, task.nextTry());
         }
     }
 
     private void write(long nowMs, Task task, Optional<StoredOrder> stored, long version) {
-        OptionalLong fencing = mFence.fencingNumber(nowMs);
+        OptionalLong fencing = mLease.fencingNumber(nowMs);
         boolean deposed =
                 fencing.isEmpty()
                         || stored.map(s -> s.fencing() > fencing.getAsLong()).orElse(false);
         if (deposed) {
-            task.fail(nowMs, ErrorKind.REVISION_CONFLICT, "another VM writes orders now");
+            task.fail(nowMs, ErrorKind.REVISION_CONFLICT, "another VM holds the lease on orders");
             return;
         }
         StoredOrder next =
@@ -176,7 +180,7 @@
                         stored.map(StoredOrder::generation).orElse(0L) + 1,
                         mWriter,
                         task.state());
-        if (stored.isPresent() && sameIntent(stored.get(), next)) {
+        if (stored.isPresent() && isSameIntent(stored.get(), next)) {
             send(nowMs, task, stored.get());
             return;
         }
@@ -191,18 +195,18 @@
                     if (reply instanceof PlatformReply.Written) {
                         send(now, task, next);
                     } else {
-                        read(now, task.again());
+                        read(now, task.nextTry());
                     }
                 });
     }
 
-    private static boolean sameIntent(StoredOrder stored, StoredOrder next) {
+    private static boolean isSameIntent(StoredOrder stored, StoredOrder next) {
         return stored.fencing() == next.fencing() && stored.state().equals(next.state());
     }
 
     private void send(long nowMs, Task task, StoredOrder order) {
-        if (mFence.fencingNumber(nowMs).isEmpty()) {
-            task.fail(nowMs, ErrorKind.REVISION_CONFLICT, "the lease on orders has ended");
+        if (mLease.fencingNumber(nowMs).isEmpty()) {
+            task.fail(nowMs, ErrorKind.REVISION_CONFLICT, "this VM's lease on orders has expired");
             return;
         }
         mSender.send(
@@ -211,34 +215,34 @@
 
     private void onSent(long nowMs, Task task, StoredOrder order, OrderResult result) {
         if (result == OrderResult.OLD_FENCING) {
-            task.fail(nowMs, ErrorKind.REVISION_CONFLICT, "another VM writes orders now");
+            task.fail(nowMs, ErrorKind.REVISION_CONFLICT, "another VM holds the lease on orders");
             return;
         }
         mPlatform.submit(
                 nowMs,
                 new PlatformCall.Get(task.key()),
-                (now, reply) -> onChecked(now, task, order, result, reply));
+                (now, reply) -> onReread(now, task, order, result, reply));
     }
 
-    private void onChecked(
+    private void onReread(
             long nowMs, Task task, StoredOrder sent, OrderResult result, PlatformReply reply) {
         Optional<StoredOrder> stored = decode(reply);
         if (stored.isPresent() && stored.get().newerThan(sent) && task.triesLeft() > 0) {
-            repair(nowMs, task.again(), stored.get());
+            resendNewer(nowMs, task.nextTry(), stored.get());
             return;
         }
         if (result != OrderResult.ACCEPTED) {
             task.fail(
                     nowMs,
                     ErrorKind.UPSTREAM_FAILED,
-                    "upstream " + task.upstream() + " did not confirm the order; it stands");
+                    "upstream " + task.upstream() + " did not confirm the order; it stays stored");
             return;
         }
         task.done().accept(nowMs, Either.right(sent));
     }
 
-    /** Sends a newer order of another writer, since the one sent just now may have undone it. */
-    private void repair(long nowMs, Task task, StoredOrder newer) {
+    /** Sends the newer order of another writer, since the order just sent may have undone it. */
+    private void resendNewer(long nowMs, Task task, StoredOrder newer) {
         mSender.send(
                 nowMs, task.upstream(), newer, (now, result) -> onSent(now, task, newer, result));
     }
--- a/coordination/src/main/java/org/hornbeampass/coordination/orders/SerialStepRunner.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/orders/SerialStepRunner.java
@@ -6,19 +6,20 @@
 import java.util.function.LongConsumer;
 
 /**
- * Runs asynchronous steps one after the other.
+ * Runs asynchronous steps one after the other, in the order of submission.
  *
- * <p>Invariant: a step starts only after the one before it has said that it finished. Thread-safe;
- * steps run with no lock held.
+ * <p>Invariant: a step starts only after the step before it has called its completion callback.
+ * Thread-safe; steps run with no lock held.
  */
 final class SerialStepRunner {
     private final ArrayDeque<BiConsumer<Long, LongConsumer>> mWaiting = new ArrayDeque<>();
     private boolean mBusy;
 
     /**
-     * Runs a step now, or once those before it have finished.
+     * Runs a step at once, or after all earlier steps have finished.
      *
-     * @param step takes the time in milliseconds and what it calls, with the time, when it finished
+     * @param step receives the time in milliseconds and a callback, which it must call once with
+     *     the time when it has finished
      */
     void run(long nowMs, BiConsumer<Long, LongConsumer> step) {
         synchronized (mWaiting) {
@@ -28,15 +29,15 @@
             }
             mBusy = true;
         }
-        step.accept(nowMs, this::finished);
+        step.accept(nowMs, this::onFinished);
     }
 
-    private void finished(long nowMs) {
+    private void onFinished(long nowMs) {
         Optional<BiConsumer<Long, LongConsumer>> next;
         synchronized (mWaiting) {
             next = Optional.ofNullable(mWaiting.pollFirst());
             mBusy = next.isPresent();
         }
-        next.ifPresent(step -> step.accept(nowMs, this::finished));
+        next.ifPresent(step -> step.accept(nowMs, this::onFinished));
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/orders/package-info.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/orders/package-info.java
@@ -1,2 +1,5 @@
-/** Orders to upstreams: what each should hold, written first, sent after, checked again. */
+/**
+ * Orders that tell upstreams which models and adapters to load: planned, stored on the platform,
+ * sent, and checked after sending.
+ */
 package org.hornbeampass.coordination.orders;
--- a/coordination/src/main/java/org/hornbeampass/coordination/slo/BucketRing.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/slo/BucketRing.java
@@ -3,11 +3,11 @@
 import java.util.Arrays;
 
 /**
- * Good and bad counts of all objectives in the newest buckets of time.
+ * A ring buffer of the good and bad counts of all objectives in the most recent time buckets.
  *
- * <p>Invariants: buckets are aligned to multiples of their width, so that the rings of several
- * routers can be added; a bucket is emptied before it is used for a later time; what is older than
- * the ring is dropped. Memory is fixed. Not thread-safe: guarded by the lock of {@link
+ * <p>Invariants: buckets are aligned to multiples of their width, so that the counts of several
+ * routers can be added; a bucket is cleared before it is reused for a later time; samples older
+ * than the ring are dropped. Memory use is fixed. Not thread-safe: guarded by the lock of {@link
  * BurnWindows}.
  */
 final class BucketRing {
@@ -45,7 +45,7 @@
         counts[slot * OBJECTIVES + objective.countIndex()]++;
     }
 
-    /** Returns the counts of the buckets that make up a window, the present one included. */
+    /** Returns the sum of the buckets of a window that ends with the present bucket. */
     Counts sum(long nowMs, long windowMs, Objective objective) {
         long newest = Math.floorDiv(nowMs, mWidthMs);
         long good = 0;
@@ -58,7 +58,7 @@
         return new Counts(good, bad);
     }
 
-    /** Returns the counts of one bucket, by its start over its width. */
+    /** Returns the counts of one bucket; its index is its start time divided by its width. */
     Counts at(long index, Objective objective) {
         int slot = slot(index);
         int cell = slot * OBJECTIVES + objective.countIndex();
--- a/coordination/src/main/java/org/hornbeampass/coordination/slo/BurnAlert.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/slo/BurnAlert.java
@@ -4,17 +4,20 @@
 import java.util.Optional;
 
 /**
- * The alerts, most urgent first: each is on while a long and a short window both burn faster than
- * its rate, so that it comes on for what matters and goes off soon after it has ended.
+ * Burn-rate alerts, the most urgent first.
+ *
+ * <p>An alert is active while the burn rates of a long and a short window both reach its threshold.
+ * The long window keeps short bursts from raising it; the short window lets it clear soon after the
+ * errors have ended.
  *
  * <p>Immutable; safe for use by any thread.
  */
 public enum BurnAlert {
-    /** Act now. */
+    /** Needs action at once: the budget burns fast. */
     PAGE_FAST(14.4, BurnWindow.H1, BurnWindow.M5),
-    /** Act now, less is burning. */
+    /** Needs action at once: the budget burns more slowly, but for longer. */
     PAGE_SLOW(6, BurnWindow.H6, BurnWindow.M30),
-    /** Look in working hours. */
+    /** Needs a look during working hours. */
     TICKET(1, BurnWindow.D3, BurnWindow.H6);
 
     private final double mRate;
@@ -27,19 +30,19 @@
         mShort = shortWindow;
     }
 
-    /** Returns the burn rate from which the alert is on. */
+    /** Returns the lowest burn rate at which the alert is active. */
     public double rate() {
         return mRate;
     }
 
-    /** Returns the most urgent alert that is on for an objective's burn rates by window. */
+    /** Returns the most urgent active alert for an objective's burn rates by window. */
     public static Optional<BurnAlert> mostUrgent(Map<BurnWindow, Double> rates) {
         for (BurnAlert alert : values()) {
-            double slower =
+            double lowerRate =
                     Math.min(
                             rates.getOrDefault(alert.mLong, 0.0),
                             rates.getOrDefault(alert.mShort, 0.0));
-            if (slower >= alert.mRate) {
+            if (lowerRate >= alert.mRate) {
                 return Optional.of(alert);
             }
         }
--- a/coordination/src/main/java/org/hornbeampass/coordination/slo/BurnCause.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/slo/BurnCause.java
@@ -8,14 +8,15 @@
 import java.util.Optional;
 
 /**
- * What a bad request is put down to.
+ * The cause to which a bad request is attributed.
  *
  * <p>Immutable; safe for use by any thread.
  *
- * @param objective the objective that it burned
- * @param organisation whose request it was; empty for those beyond the bound on causes
- * @param error the kind of error; empty where the answer was whole but late
- * @param upstream the upstream that served it, where one did
+ * @param objective the objective that the request missed
+ * @param organisation the organisation that sent the request; empty for requests beyond the bound
+ *     on causes
+ * @param error the kind of error; empty if the answer was complete but too slow
+ * @param upstream the upstream that served the request, if any
  * @param domain the failure domain of that upstream
  */
 public record BurnCause(
--- a/coordination/src/main/java/org/hornbeampass/coordination/slo/BurnPoint.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/slo/BurnPoint.java
@@ -1,13 +1,13 @@
 package org.hornbeampass.coordination.slo;
 
 /**
- * One bucket of one objective.
+ * The counts of one objective in one time bucket.
  *
  * <p>Immutable; safe for use by any thread.
  *
- * @param startMs when it starts, in milliseconds
- * @param widthMs how long it is, in milliseconds
+ * @param startMs the start of the bucket, in milliseconds since 1970
+ * @param widthMs the length of the bucket, in milliseconds
  * @param objective the objective
- * @param counts what was counted in it
+ * @param counts the requests counted in the bucket
  */
 public record BurnPoint(long startMs, long widthMs, Objective objective, Counts counts) {}
--- a/coordination/src/main/java/org/hornbeampass/coordination/slo/BurnReport.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/slo/BurnReport.java
@@ -11,14 +11,15 @@
 import java.util.Optional;
 
 /**
- * What one router, or several together, counted against objectives.
+ * The requests that one or several routers counted against objectives.
  *
  * <p>Immutable; safe for use by any thread.
  *
- * @param sinceMs when counting began, the latest of several routers, in milliseconds
+ * @param sinceMs when counting began, in milliseconds since 1970; the latest time if the report
+ *     covers several routers
  * @param scopes counts by scope and objective
- * @param causes what the bad requests of the last hour are put down to, the most frequent first
- * @param points the buckets of all together
+ * @param causes the causes of the bad requests of the last hour, the most frequent first
+ * @param points the counts of all organisations together, by time bucket
  */
 public record BurnReport(
         long sinceMs, List<ScopeBurn> scopes, List<CauseCount> causes, List<BurnPoint> points) {
@@ -29,13 +30,13 @@
         points = List.copyOf(points);
     }
 
-    /** The scope and objective that counts belong to. */
+    /** The scope and objective to which counts belong. */
     private record ScopeKey(Optional<OrganisationId> organisation, Objective objective) {}
 
-    /** The bucket that counts belong to. */
+    /** The time bucket and objective to which counts belong. */
     private record PointKey(long startMs, long widthMs, Objective objective) {}
 
-    /** Returns the reports of several routers together. */
+    /** Returns the sum of the reports of several routers. */
     public static BurnReport merged(List<BurnReport> reports) {
         Map<ScopeKey, ScopeBurn> scopes = new LinkedHashMap<>();
         Map<BurnCause, Long> causes = new HashMap<>();
@@ -52,10 +53,11 @@
                 points.merge(key, p.counts(), Counts::plus);
             }
         }
-        return new BurnReport(sinceMs, sorted(scopes), ranked(causes), ordered(points));
+        return new BurnReport(
+                sinceMs, sortedScopes(scopes), sortedCauses(causes), sortedPoints(points));
     }
 
-    private static List<ScopeBurn> sorted(Map<ScopeKey, ScopeBurn> scopes) {
+    private static List<ScopeBurn> sortedScopes(Map<ScopeKey, ScopeBurn> scopes) {
         List<ScopeBurn> list = new ArrayList<>(scopes.values());
         list.sort(
                 Comparator.comparing((ScopeBurn s) -> s.organisation().isPresent())
@@ -64,7 +66,7 @@
         return list;
     }
 
-    private static List<CauseCount> ranked(Map<BurnCause, Long> causes) {
+    private static List<CauseCount> sortedCauses(Map<BurnCause, Long> causes) {
         return causes.entrySet().stream()
                 .map(e -> new CauseCount(e.getKey(), e.getValue()))
                 .sorted(
@@ -74,7 +76,7 @@
                 .toList();
     }
 
-    private static List<BurnPoint> ordered(Map<PointKey, Counts> points) {
+    private static List<BurnPoint> sortedPoints(Map<PointKey, Counts> points) {
         return points.entrySet().stream()
                 .map(
                         e ->
--- a/coordination/src/main/java/org/hornbeampass/coordination/slo/BurnWindow.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/slo/BurnWindow.java
@@ -1,7 +1,7 @@
 package org.hornbeampass.coordination.slo;
 
 /**
- * The windows over which burn rates are taken.
+ * The time windows over which burn rates are computed.
  *
  * <p>Immutable; safe for use by any thread.
  */
@@ -14,15 +14,15 @@
 
     private final String mLabel;
     private final long mLengthMs;
-    private final boolean mFine;
+    private final boolean mMinuteBuckets;
 
-    BurnWindow(String label, long lengthMs, boolean fine) {
+    BurnWindow(String label, long lengthMs, boolean minuteBuckets) {
         mLabel = label;
         mLengthMs = lengthMs;
-        mFine = fine;
+        mMinuteBuckets = minuteBuckets;
     }
 
-    /** Returns the name for people. */
+    /** Returns the name shown to operators. */
     public String label() {
         return mLabel;
     }
@@ -32,8 +32,8 @@
         return mLengthMs;
     }
 
-    /** Returns whether the window is summed from one-minute buckets. */
+    /** Returns whether the window is summed from one-minute buckets instead of half-hour ones. */
     boolean usesMinuteBuckets() {
-        return mFine;
+        return mMinuteBuckets;
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/slo/BurnWindows.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/slo/BurnWindows.java
@@ -10,14 +10,14 @@
 import java.util.Optional;
 
 /**
- * Counts ended requests against objectives, in buckets of time, for one router.
+ * Counts the finished requests of one router against objectives, in time buckets.
  *
- * <p>Invariants: memory is bounded by {@link #MAX_SCOPES} organisations of about 8 KB each and by
- * the causes of each bucket; organisations beyond the bound count in all only. Thread-safe: one
- * lock guards all state, and nothing is called while it is held.
+ * <p>Invariants: memory use is bounded by {@link #MAX_SCOPES} organisations of about 8 KB each and
+ * by the number of causes in each bucket; requests of organisations beyond the bound are counted in
+ * the total only. Thread-safe: one lock guards all state, and no callback runs while it is held.
  */
 public final class BurnWindows {
-    /** The largest number of organisations that are counted on their own. */
+    /** The largest number of organisations that are counted individually. */
     public static final int MAX_SCOPES = 1_000;
 
     private static final long CAUSES_MS = 60_000;
@@ -32,17 +32,17 @@
     private final long mSinceMs;
 
     /**
-     * Starts counting.
+     * Creates empty counts; counting begins at {@code nowMs}.
      *
-     * @param nowMs the present time in milliseconds since 1970, as all routers have it
-     * @param objectives what is promised
+     * @param nowMs the wall-clock time in milliseconds since 1970, the same on all routers
+     * @param objectives the objectives to count against
      */
     public BurnWindows(long nowMs, Objectives objectives) {
         mSinceMs = nowMs;
         mObjectives = objectives;
     }
 
-    /** Counts a request that has ended. */
+    /** Counts a finished request. */
     public void record(long nowMs, SloSample sample) {
         synchronized (mLock) {
             Optional<ScopeBuckets> own = scope(nowMs, sample.organisation());
@@ -57,9 +57,9 @@
     }
 
     /**
-     * Returns what was counted.
+     * Returns the counts of all windows that end now.
      *
-     * @param nowMs the present time in milliseconds
+     * @param nowMs the wall-clock time in milliseconds since 1970
      */
     public BurnReport report(long nowMs) {
         synchronized (mLock) {
--- a/coordination/src/main/java/org/hornbeampass/coordination/slo/CauseCount.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/slo/CauseCount.java
@@ -1,11 +1,11 @@
 package org.hornbeampass.coordination.slo;
 
 /**
- * How many bad requests of the last hour are put down to a cause.
+ * The number of bad requests of the last hour that are attributed to one cause.
  *
  * <p>Immutable; safe for use by any thread.
  *
  * @param cause the cause
- * @param count how many
+ * @param count the number of requests
  */
 public record CauseCount(BurnCause cause, long count) {}
--- a/coordination/src/main/java/org/hornbeampass/coordination/slo/CauseRing.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/slo/CauseRing.java
@@ -8,10 +8,10 @@
 import java.util.Map;
 
 /**
- * What bad requests are put down to in the newest buckets of time.
+ * A ring buffer of the causes of bad requests in the most recent time buckets.
  *
- * <p>Invariant: a bucket has at most {@value #MAX_CAUSES} causes and one for the rest of each
- * objective. Not thread-safe: guarded by the lock of {@link BurnWindows}.
+ * <p>Invariant: a bucket has at most {@value #MAX_CAUSES} causes, and for each objective one more
+ * that stands for all others. Not thread-safe: guarded by the lock of {@link BurnWindows}.
  */
 final class CauseRing {
     private static final int MAX_CAUSES = 64;
@@ -19,7 +19,7 @@
     private final long mWidthMs;
     private final List<Bucket> mBuckets = new ArrayList<>();
 
-    /** The causes of one bucket. */
+    /** The number of bad requests by cause in one time bucket. */
     private static final class Bucket {
         private long mIndex = Long.MIN_VALUE;
         private final Object2ObjectHashMap<BurnCause, Long> mCounts = new Object2ObjectHashMap<>();
@@ -42,12 +42,12 @@
             bucket.mCounts.clear();
             bucket.mIndex = index;
         }
-        boolean room = bucket.mCounts.size() < MAX_CAUSES || bucket.mCounts.containsKey(cause);
-        BurnCause kept = room ? cause : BurnCause.other(cause.objective());
-        bucket.mCounts.merge(kept, 1L, Long::sum);
+        boolean hasRoom = bucket.mCounts.size() < MAX_CAUSES || bucket.mCounts.containsKey(cause);
+        BurnCause counted = hasRoom ? cause : BurnCause.other(cause.objective());
+        bucket.mCounts.merge(counted, 1L, Long::sum);
     }
 
-    /** Returns how many bad requests each cause had in a window. */
+    /** Returns the number of bad requests by cause in a window that ends now. */
     Map<BurnCause, Long> sum(long nowMs, long windowMs) {
         Map<BurnCause, Long> sums = new HashMap<>();
         long newest = Math.floorDiv(nowMs, mWidthMs);
--- a/coordination/src/main/java/org/hornbeampass/coordination/slo/Objective.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/slo/Objective.java
@@ -6,13 +6,13 @@
 import java.util.Optional;
 
 /**
- * What is promised of requests; each decides whether a request counts, and whether it was good.
+ * A service-level objective, which decides whether a request counts and whether it was good.
  *
- * <p>Faults of the caller (bad input, unknown keys, its own limits, a budget that is used up) count
- * for no objective. Immutable; safe for use by any thread.
+ * <p>Errors that the caller causes (bad input, unknown keys, its own limits, an exhausted budget)
+ * count for no objective. Immutable; safe for use by any thread.
  */
 public enum Objective {
-    /** The first token comes within a time. */
+    /** The first token arrives within a time limit. */
     FIRST_TOKEN(0, "first token") {
         @Override
         public Optional<Boolean> evaluate(SloSample sample, long thresholdMs) {
@@ -21,7 +21,7 @@
                     : Optional.empty();
         }
     },
-    /** The mean time between an answer's tokens is within a time. */
+    /** The mean time between an answer's tokens is within a time limit. */
     BETWEEN_TOKENS(1, "between tokens") {
         @Override
         public Optional<Boolean> evaluate(SloSample sample, long thresholdMs) {
@@ -30,42 +30,42 @@
                     : Optional.empty();
         }
     },
-    /** A request is not refused for want of capacity, grants or platform. */
+    /** A request is not refused because capacity, grants or the platform are unavailable. */
     REFUSALS(2, "refusals") {
         @Override
         public Optional<Boolean> evaluate(SloSample sample, long thresholdMs) {
-            return callersFault(sample)
+            return isCallerError(sample)
                     ? Optional.empty()
-                    : Optional.of(sample.error().filter(Objective::refusal).isEmpty());
+                    : Optional.of(sample.error().filter(Objective::isRefusal).isEmpty());
         }
     },
-    /** A request that was let in ends with a whole answer. */
+    /** An admitted request ends with a complete answer. */
     ERRORS(3, "errors") {
         @Override
         public Optional<Boolean> evaluate(SloSample sample, long thresholdMs) {
-            boolean refused = sample.error().filter(Objective::refusal).isPresent();
-            return refused || callersFault(sample)
+            boolean refused = sample.error().filter(Objective::isRefusal).isPresent();
+            return refused || isCallerError(sample)
                     ? Optional.empty()
                     : Optional.of(sample.error().isEmpty());
         }
     };
 
-    private static final int FIRST_OWN_FAULT = 500;
+    private static final int FIRST_SERVER_ERROR_STATUS = 500;
 
-    private final int mCell;
+    private final int mCountIndex;
     private final String mLabel;
 
-    Objective(int cell, String label) {
-        mCell = cell;
+    Objective(int countIndex, String label) {
+        mCountIndex = countIndex;
         mLabel = label;
     }
 
-    /** Returns the objective's place among the counts of a bucket, from 0. */
+    /** Returns the objective's index among the counts of a bucket, from 0. */
     int countIndex() {
-        return mCell;
+        return mCountIndex;
     }
 
-    /** Returns the name for people. */
+    /** Returns the name shown to operators. */
     public String label() {
         return mLabel;
     }
@@ -76,18 +76,19 @@
     }
 
     /**
-     * Returns whether a request was good; empty where it does not count.
+     * Returns whether a request was good; empty if it does not count for this objective.
      *
-     * @param sample the request
-     * @param thresholdMs the time that is promised, where the objective has one
+     * @param sample the finished request
+     * @param thresholdMs the time limit in milliseconds; ignored if the objective has none
      */
     public abstract Optional<Boolean> evaluate(SloSample sample, long thresholdMs);
 
-    private static boolean refusal(ErrorKind kind) {
-        return kind.httpStatus() >= FIRST_OWN_FAULT && kind.runState() == RunState.NOT_RUN;
+    private static boolean isRefusal(ErrorKind kind) {
+        return kind.httpStatus() >= FIRST_SERVER_ERROR_STATUS
+                && kind.runState() == RunState.NOT_RUN;
     }
 
-    private static boolean callersFault(SloSample sample) {
-        return sample.error().filter(k -> k.httpStatus() < FIRST_OWN_FAULT).isPresent();
+    private static boolean isCallerError(SloSample sample) {
+        return sample.error().filter(k -> k.httpStatus() < FIRST_SERVER_ERROR_STATUS).isPresent();
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/slo/Objectives.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/slo/Objectives.java
@@ -7,43 +7,48 @@
 import java.util.Optional;
 
 /**
- * What is promised in all, and to organisations that have their own terms.
+ * The terms of all objectives, with overrides for single organisations.
  *
- * <p>Invariant: each objective has terms in all. Immutable; safe for use by any thread.
+ * <p>Invariant: each objective has general terms. Immutable; safe for use by any thread.
  *
- * @param general the terms in all
- * @param overrides the terms of organisations that differ
+ * @param general the terms of the total, and of each organisation without an override
+ * @param overrides the terms by which single organisations differ
  */
 public record Objectives(
         Map<Objective, ObjectiveTerms> general,
         Map<OrganisationId, Map<Objective, ObjectiveTerms>> overrides) {
     private static final long FIRST_TOKEN_MS = 890;
     private static final long BETWEEN_TOKENS_MS = 45;
-    private static final double IN_TIME = 0.95;
-    private static final double SERVED = 0.999;
+    private static final double LATENCY_TARGET = 0.95;
+    private static final double AVAILABILITY_TARGET = 0.999;
 
-    /** Copies the maps and checks that each objective has terms. */
+    /** Copies the maps and checks that each objective has general terms. */
     public Objectives {
         general = Map.copyOf(general);
         overrides = Map.copyOf(overrides);
         for (Objective objective : Objective.values()) {
             if (!general.containsKey(objective)) {
-                throw new IllegalArgumentException("no terms for " + objective.label());
+                throw new IllegalArgumentException(
+                        "no general terms for objective " + objective.label());
             }
         }
     }
 
-    /** Returns the terms that hold where none are set. */
+    /** Returns the terms used if the settings give none. */
     public static Objectives defaults() {
         Map<Objective, ObjectiveTerms> terms = new EnumMap<>(Objective.class);
-        terms.put(Objective.FIRST_TOKEN, new ObjectiveTerms(FIRST_TOKEN_MS, IN_TIME));
-        terms.put(Objective.BETWEEN_TOKENS, new ObjectiveTerms(BETWEEN_TOKENS_MS, IN_TIME));
-        terms.put(Objective.REFUSALS, new ObjectiveTerms(0, SERVED));
-        terms.put(Objective.ERRORS, new ObjectiveTerms(0, SERVED));
+        terms.put(Objective.FIRST_TOKEN, new ObjectiveTerms(FIRST_TOKEN_MS, LATENCY_TARGET));
+        terms.put(Objective.BETWEEN_TOKENS, new ObjectiveTerms(BETWEEN_TOKENS_MS, LATENCY_TARGET));
+        terms.put(Objective.REFUSALS, new ObjectiveTerms(0, AVAILABILITY_TARGET));
+        terms.put(Objective.ERRORS, new ObjectiveTerms(0, AVAILABILITY_TARGET));
         return new Objectives(terms, Map.of());
     }
 
-    /** Returns the terms of one objective, in all or for an organisation. */
+    /**
+     * Returns the terms of one objective.
+     *
+     * @param organisation the organisation to which they apply; empty for the total
+     */
     public ObjectiveTerms terms(Optional<OrganisationId> organisation, Objective objective) {
         return organisation
                 .flatMap(id -> Optional.ofNullable(overrides.get(id)))
--- a/coordination/src/main/java/org/hornbeampass/coordination/slo/ScopeBuckets.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/slo/ScopeBuckets.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /**
- * The buckets of one scope: an organisation, or all together.
+ * The time buckets of one scope: a single organisation, or the total of all.
  *
  * <p>Not thread-safe: guarded by the lock of {@link BurnWindows}.
  */
@@ -18,7 +18,7 @@
     private final BucketRing mCoarse = new BucketRing(COARSE_MS, COARSE_BUCKETS);
     private long mLastMs;
 
-    /** Counts a request; {@code good} is whether it was good for the objective. */
+    /** Counts a request; {@code good} is whether it met the objective. */
     void add(long nowMs, Objective objective, boolean good) {
         mLastMs = Math.max(mLastMs, nowMs);
         mFine.add(nowMs, objective, good);
@@ -34,7 +34,7 @@
                 .sum(nowMs, window.lengthMs(), objective);
     }
 
-    /** Returns the buckets of the last hour and of the last three days that are not empty. */
+    /** Returns the non-empty minute buckets of the last hour and half-hour ones of three days. */
     List<BurnPoint> points(long nowMs) {
         List<BurnPoint> points = new ArrayList<>();
         add(points, mFine, nowMs, BurnWindow.H1);
--- a/coordination/src/main/java/org/hornbeampass/coordination/slo/ScopeBurn.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/slo/ScopeBurn.java
@@ -8,14 +8,14 @@
 import java.util.Optional;
 
 /**
- * What was counted for one objective of one scope, with what is promised.
+ * The counts of one objective for one scope, with the terms of the objective.
  *
  * <p>Immutable; safe for use by any thread.
  *
- * @param organisation the organisation; empty for all together
+ * @param organisation the organisation; empty for the total of all organisations
  * @param objective the objective
- * @param terms what is promised
- * @param counts counts by window; a window without any request is absent
+ * @param terms the threshold and target of the objective
+ * @param counts counts by window; windows without requests are absent
  */
 public record ScopeBurn(
         Optional<OrganisationId> organisation,
@@ -39,12 +39,14 @@
         return BurnRates.rate(counts(window), terms.target());
     }
 
-    /** Returns the share of the error budget of three days that is left. */
+    /**
+     * Returns the share of the three-day error budget that is left; negative if it is overspent.
+     */
     public double remaining() {
         return BurnRates.remaining(counts(BurnWindow.D3), terms.target());
     }
 
-    /** Returns the most urgent alert that is on. */
+    /** Returns the most urgent active alert. */
     public Optional<BurnAlert> alert() {
         Map<BurnWindow, Double> rates = new EnumMap<>(BurnWindow.class);
         for (BurnWindow window : BurnWindow.values()) {
@@ -53,7 +55,7 @@
         return BurnAlert.mostUrgent(rates);
     }
 
-    /** Returns the counts of two routers together; of two targets the stricter one holds. */
+    /** Returns the sum of the counts of two routers, with the terms of the higher target. */
     ScopeBurn plus(ScopeBurn other) {
         Map<BurnWindow, Counts> sums = new EnumMap<>(BurnWindow.class);
         sums.putAll(counts);
--- a/coordination/src/main/java/org/hornbeampass/coordination/slo/SloSample.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/slo/SloSample.java
@@ -10,15 +10,17 @@
 import java.util.OptionalLong;
 
 /**
- * One request that has ended, as far as objectives look at it.
+ * The properties of one finished request that objectives evaluate.
  *
  * <p>Immutable; safe for use by any thread.
  *
- * @param organisation whose request it was
- * @param firstTokenMs from its arrival to its first token, in milliseconds; empty where none came
- * @param betweenTokensMs the mean time between its tokens, in milliseconds; empty below two tokens
- * @param error how it failed; empty where it was answered whole
- * @param upstream the upstream that served it last, where one did
+ * @param organisation the organisation that sent the request
+ * @param firstTokenMs the time from its arrival to its first token, in milliseconds; empty if it
+ *     had no token
+ * @param betweenTokensMs the mean time between its tokens, in milliseconds; empty if it had fewer
+ *     than two tokens
+ * @param error the kind of error; empty if the answer was complete
+ * @param upstream the upstream that served it last, if any
  * @param domain the failure domain of that upstream
  */
 public record SloSample(
@@ -28,7 +30,7 @@
         Optional<ErrorKind> error,
         Optional<UpstreamId> upstream,
         Optional<FailureDomain> domain) {
-    /** Checks that no part is missing. */
+    /** Checks that no component is null. */
     public SloSample {
         Objects.requireNonNull(organisation, "organisation");
         Objects.requireNonNull(firstTokenMs, "firstTokenMs");
--- a/coordination/src/main/java/org/hornbeampass/coordination/slo/package-info.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/slo/package-info.java
@@ -1,2 +1,2 @@
-/** Service-level objectives: what counts against them, in time buckets, and burn rates. */
+/** Service-level objectives: counts of good and bad requests by time bucket, and burn rates. */
 package org.hornbeampass.coordination.slo;
--- a/coordination/src/test/java/org/hornbeampass/coordination/orders/DemandTrackerTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/orders/DemandTrackerTest.java
@@ -6,7 +6,7 @@
 import org.hornbeampass.state.upstream.WorkTarget;
 import org.junit.jupiter.api.Test;
 
-/** Tests {@link DemandTracker}. */
+/** Tests that {@link DemandTracker} follows lasting changes of demand and ignores short ones. */
 class DemandTrackerTest {
     private static final WorkTarget TARGET = WorkTarget.model(new ModelId("m"));
 
@@ -20,14 +20,14 @@
     }
 
     @Test
-    void lastingDemand_addsCopiesUntilItIsCarried() {
+    void lastingDemand_addsCopiesUntilTheySuffice() {
         observe(0, 60_000, 10);
 
         assertThat(observe(60_000, 1_200_000, 38)).isEqualTo(5);
     }
 
     @Test
-    void demandThatFalls_takesCopiesAwaySlowlyAndNotBelowTheFloor() {
+    void fallingDemand_removesCopiesSlowlyDownToTheMinimum() {
         mTracker.observe(0, TARGET, 40);
 
         assertThat(observe(0, 500_000, 1)).isEqualTo(5);
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void demandBetweenTheBounds_changesNothing() {
+    void demandBetweenThresholds_changesNothing() {
         mTracker.observe(0, TARGET, 40);
 
         assertThat(observe(0, 10_000_000, 30)).isEqualTo(5);
--- a/coordination/src/test/java/org/hornbeampass/coordination/orders/OrderPlannerTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/orders/OrderPlannerTest.java
@@ -14,7 +14,7 @@
 import java.util.Set;
 import java.util.stream.IntStream;
 
-/** Tests {@link OrderPlanner}: fleet and wanted copies → orders. */
+/** Tests the orders that {@link OrderPlanner} plans, and the steps of {@link OrderSteps}. */
 class OrderPlannerTest {
     private static final ModelId MODEL = new ModelId("m");
     private static final WorkTarget TARGET = WorkTarget.model(MODEL);
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void copies_areSpreadOverFailureDomains() {
+    void newCopy_isPlacedInAnotherFailureDomain() {
         List<OrderTarget> fleet =
                 List.of(
                         holding(0, FencingStatus.FENCED),
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void surplusCopy_isUnloadedOneAtATime() {
+    void surplusCopies_areUnloadedOneAtATime() {
         List<OrderTarget> fleet =
                 IntStream.range(0, 4).mapToObj(i -> holding(i, FencingStatus.FENCED)).toList();
 
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void copyIsKept_whereTheOthersAreNotClaimed() {
+    void copyIsKept_whileOtherCopiesAreUnclaimed() {
         List<OrderTarget> fleet =
                 List.of(holding(0, FencingStatus.FENCED), holding(1, FencingStatus.UNCLAIMED));
 
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void upstreamsThatIgnoreFencing_mustLeaveTwo() {
+    void unloadFromUnfencedUpstreams_leavesTwoCopies() {
         List<OrderTarget> two =
                 List.of(holding(0, FencingStatus.UNFENCED), holding(1, FencingStatus.UNFENCED));
         List<OrderTarget> three =
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void modelIsKept_whereItsAdapterHasNoOtherCopy() {
+    void modelIsKept_whileItsAdapterHasNoOtherCopy() {
         WorkTarget adapter = WorkTarget.adapter(MODEL, "a");
         OrderTarget withAdapter =
                 new OrderTarget(
@@ -106,7 +106,7 @@
 
     @Test
     void unusableUpstream_doesNotCountAsCopy() {
-        OrderTarget lost =
+        OrderTarget unusable =
                 new OrderTarget(
                         id(1),
                         new FailureDomain("d1"),
@@ -116,7 +116,7 @@
                         IntendedState.empty().with(TARGET, "1"),
                         Set.of(MODEL),
                         Set.of());
-        List<OrderTarget> fleet = List.of(holding(0, FencingStatus.FENCED), lost);
+        List<OrderTarget> fleet = List.of(holding(0, FencingStatus.FENCED), unusable);
 
         assertThat(mPlanner.plan(fleet, want(1))).isEmpty();
     }
--- a/coordination/src/test/java/org/hornbeampass/coordination/orders/OrderWriterTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/orders/OrderWriterTest.java
@@ -21,7 +21,7 @@
 import java.util.OptionalLong;
 import java.util.function.BiConsumer;
 
-/** Tests {@link OrderWriter} against a platform in memory and upstreams that note their orders. */
+/** Tests {@link OrderWriter} with an in-memory platform and a sender that records the orders. */
 class OrderWriterTest {
     private static final UpstreamId UPSTREAM = new UpstreamId("u");
     private static final IntendedState ONE =
@@ -30,75 +30,75 @@
             IntendedState.empty().with(WorkTarget.model(new ModelId("two")), "1");
 
     private final MemoryPlatform mPlatform = new MemoryPlatform();
-    private final List<StoredOrder> mGot = new ArrayList<>();
+    private final List<StoredOrder> mSent = new ArrayList<>();
     private final List<Either<Failure, StoredOrder>> mResults = new ArrayList<>();
-    private final List<Runnable> mPaused = new ArrayList<>();
+    private final List<Runnable> mDelayed = new ArrayList<>();
 
     @Test
     void order_isWrittenThenSent() {
-        writer(mPlatform, 1, this::accept).apply(0, UPSTREAM, ONE, true, this::note);
+        writer(mPlatform, 1, this::accept).apply(0, UPSTREAM, ONE, true, this::addResult);
 
-        assertThat(mGot).containsExactly(new StoredOrder(1, 1, "vm", ONE));
+        assertThat(mSent).containsExactly(new StoredOrder(1, 1, "vm", ONE));
         assertThat(mResults.get(0).get().state()).isEqualTo(ONE);
     }
 
     @Test
-    void sameOrderAgain_isSentAgainButNotWrittenAgain() {
+    void repeatedOrder_isSentAgainButNotWrittenAgain() {
         OrderWriter writer = writer(mPlatform, 1, this::accept);
-        writer.apply(0, UPSTREAM, ONE, true, this::note);
-        writer.apply(1, UPSTREAM, ONE, true, this::note);
+        writer.apply(0, UPSTREAM, ONE, true, this::addResult);
+        writer.apply(1, UPSTREAM, ONE, true, this::addResult);
 
-        assertThat(mGot).extracting(StoredOrder::generation).containsExactly(1L, 1L);
+        assertThat(mSent).extracting(StoredOrder::generation).containsExactly(1L, 1L);
     }
 
     @Test
     void writerWithoutLease_sendsNothing() {
         new OrderWriter(mPlatform, now -> OptionalLong.empty(), this::accept, "vm")
-                .apply(0, UPSTREAM, ONE, true, this::note);
+                .apply(0, UPSTREAM, ONE, true, this::addResult);
 
-        assertThat(mGot).isEmpty();
-        assertThat(kind(0)).isEqualTo(ErrorKind.REVISION_CONFLICT);
+        assertThat(mSent).isEmpty();
+        assertThat(errorKind(0)).isEqualTo(ErrorKind.REVISION_CONFLICT);
     }
 
     @Test
-    void deposedWriter_cannotWriteOverANewerOne() {
-        writer(mPlatform, 2, this::accept).apply(0, UPSTREAM, TWO, true, this::note);
-        writer(mPlatform, 1, this::accept).apply(1, UPSTREAM, ONE, true, this::note);
+    void deposedWriter_cannotOverwriteOrderOfNewerWriter() {
+        writer(mPlatform, 2, this::accept).apply(0, UPSTREAM, TWO, true, this::addResult);
+        writer(mPlatform, 1, this::accept).apply(1, UPSTREAM, ONE, true, this::addResult);
 
-        assertThat(mGot).hasSize(1);
-        assertThat(kind(1)).isEqualTo(ErrorKind.REVISION_CONFLICT);
+        assertThat(mSent).hasSize(1);
+        assertThat(errorKind(1)).isEqualTo(ErrorKind.REVISION_CONFLICT);
     }
 
     @Test
-    void claimByNewWriter_makesThePausedOnesWriteFail() {
-        writer(mPlatform, 1, this::accept).apply(0, UPSTREAM, ONE, true, this::note);
-        writer(pausingWrites(), 1, this::accept).apply(1, UPSTREAM, TWO, true, this::note);
-        writer(mPlatform, 2, this::accept).claim(2, UPSTREAM, true, this::note);
-        mGot.clear();
-        resume();
+    void delayedWriteAfterClaimByNewWriter_failsAndSendsNothing() {
+        writer(mPlatform, 1, this::accept).apply(0, UPSTREAM, ONE, true, this::addResult);
+        writer(delayingWrites(), 1, this::accept).apply(1, UPSTREAM, TWO, true, this::addResult);
+        writer(mPlatform, 2, this::accept).claim(2, UPSTREAM, true, this::addResult);
+        mSent.clear();
+        runDelayed();
 
-        assertThat(mGot).isEmpty();
-        assertThat(kind(2)).isEqualTo(ErrorKind.REVISION_CONFLICT);
+        assertThat(mSent).isEmpty();
+        assertThat(errorKind(2)).isEqualTo(ErrorKind.REVISION_CONFLICT);
     }
 
     @Test
-    void pausedOrderToUnfencedUpstream_isFollowedByTheNewestOne() {
-        writer(mPlatform, 1, this::pause).apply(0, UPSTREAM, ONE, false, this::note);
-        writer(mPlatform, 2, this::accept).apply(1, UPSTREAM, TWO, false, this::note);
-        resume();
+    void delayedOrderToUnfencedUpstream_isFollowedByNewestOrder() {
+        writer(mPlatform, 1, this::acceptLater).apply(0, UPSTREAM, ONE, false, this::addResult);
+        writer(mPlatform, 2, this::accept).apply(1, UPSTREAM, TWO, false, this::addResult);
+        runDelayed();
 
-        assertThat(mGot).extracting(StoredOrder::state).containsExactly(TWO, ONE, TWO);
+        assertThat(mSent).extracting(StoredOrder::state).containsExactly(TWO, ONE, TWO);
     }
 
     @Test
     void unfencedUpstreams_getOneOrderAtATime() {
-        OrderWriter writer = writer(mPlatform, 1, this::pause);
-        writer.apply(0, UPSTREAM, ONE, false, this::note);
-        writer.apply(0, new UpstreamId("v"), ONE, false, this::note);
+        OrderWriter writer = writer(mPlatform, 1, this::acceptLater);
+        writer.apply(0, UPSTREAM, ONE, false, this::addResult);
+        writer.apply(0, new UpstreamId("v"), ONE, false, this::addResult);
 
-        assertThat(mPaused).hasSize(1);
-        mPaused.remove(0).run();
-        assertThat(mPaused).hasSize(1);
+        assertThat(mDelayed).hasSize(1);
+        mDelayed.remove(0).run();
+        assertThat(mDelayed).hasSize(1);
     }
 
     @Test
@@ -123,30 +123,30 @@
                                                         : reply));
                     }
                 };
-        writer(losesFirstWrite, 1, this::accept).apply(0, UPSTREAM, ONE, true, this::note);
+        writer(losesFirstWrite, 1, this::accept).apply(0, UPSTREAM, ONE, true, this::addResult);
 
         assertThat(mResults.get(0).get().generation()).isEqualTo(1);
-        assertThat(mGot).hasSize(1);
+        assertThat(mSent).hasSize(1);
     }
 
     @Test
-    void upstreamThatDoesNotConfirm_isReportedAndTheOrderStands() {
+    void unconfirmedOrder_failsButStaysStored() {
         writer(mPlatform, 1, (now, u, o, done) -> done.accept(now, OrderResult.UNKNOWN))
-                .apply(0, UPSTREAM, ONE, true, this::note);
+                .apply(0, UPSTREAM, ONE, true, this::addResult);
 
-        assertThat(kind(0)).isEqualTo(ErrorKind.UPSTREAM_FAILED);
-        writer(mPlatform, 1, this::accept).claim(1, UPSTREAM, true, this::note);
-        assertThat(mGot).extracting(StoredOrder::state).containsExactly(ONE);
+        assertThat(errorKind(0)).isEqualTo(ErrorKind.UPSTREAM_FAILED);
+        writer(mPlatform, 1, this::accept).claim(1, UPSTREAM, true, this::addResult);
+        assertThat(mSent).extracting(StoredOrder::state).containsExactly(ONE);
     }
 
     private static OrderWriter writer(Platform platform, long fencing, OrderSender sender) {
         return new OrderWriter(platform, now -> OptionalLong.of(fencing), sender, "vm");
     }
 
-    private Platform pausingWrites() {
+    private Platform delayingWrites() {
         return (nowMs, call, done) -> {
             if (call.kind() == PlatformCall.Kind.WRITE) {
-                mPaused.add(() -> mPlatform.submit(nowMs, call, done));
+                mDelayed.add(() -> mPlatform.submit(nowMs, call, done));
             } else {
                 mPlatform.submit(nowMs, call, done);
             }
@@ -158,29 +158,29 @@
             UpstreamId upstream,
             StoredOrder order,
             BiConsumer<Long, OrderResult> done) {
-        mGot.add(order);
+        mSent.add(order);
         done.accept(nowMs, OrderResult.ACCEPTED);
     }
 
-    private void pause(
+    private void acceptLater(
             long nowMs,
             UpstreamId upstream,
             StoredOrder order,
             BiConsumer<Long, OrderResult> done) {
-        mPaused.add(() -> accept(nowMs, upstream, order, done));
+        mDelayed.add(() -> accept(nowMs, upstream, order, done));
     }
 
-    private void resume() {
-        while (!mPaused.isEmpty()) {
-            mPaused.remove(0).run();
+    private void runDelayed() {
+        while (!mDelayed.isEmpty()) {
+            mDelayed.remove(0).run();
         }
     }
 
-    private void note(long nowMs, Either<Failure, StoredOrder> result) {
+    private void addResult(long nowMs, Either<Failure, StoredOrder> result) {
         mResults.add(result);
     }
 
-    private ErrorKind kind(int index) {
+    private ErrorKind errorKind(int index) {
         return mResults.get(index).getLeft().kind();
     }
 }
--- a/coordination/src/test/java/org/hornbeampass/coordination/orders/PlannerProperties.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/orders/PlannerProperties.java
@@ -20,8 +20,11 @@
 import java.util.stream.LongStream;
 
 /**
- * Schedules of changing demand, loads that take their time, and late orders of a deposed writer:
- * the last ready copy stays.
+ * Checks over random schedules that {@link OrderPlanner} never gives up the last ready copy of a
+ * model and bounds concurrent loads.
+ *
+ * <p>Demand changes at each step, loads take several steps, and a deposed writer may still send one
+ * late order to an upstream that does not check fencing numbers.
  */
 class PlannerProperties {
     private static final int UPSTREAMS = 6;
@@ -29,18 +32,18 @@
     private static final int MAX_PER_ARTIFACT = 2;
     private static final List<ModelId> MODELS = List.of(new ModelId("a"), new ModelId("b"));
 
-    /** What the planner is told; mutants distort it. */
+    /** A fault injected into the planner or its input, which the check must detect. */
     private enum Mutant {
         NONE,
-        /** As if all upstreams checked fencing numbers. */
-        TAKES_ALL_AS_FENCED,
-        /** As if a copy that loads were ready. */
-        TAKES_LOADING_AS_READY,
-        /** As if loads were not bounded. */
+        /** Reports every upstream as checking fencing numbers. */
+        TREATS_ALL_AS_FENCED,
+        /** Reports copies as ready while they load. */
+        TREATS_LOADING_AS_READY,
+        /** Does not bound the number of loads. */
         LOADS_ALL_AT_ONCE
     }
 
-    /** One schedule over a small fleet. */
+    /** One random schedule for a few upstreams. */
     private static final class Schedule {
         private final SplittableRandom mRandom;
         private final Mutant mMutant;
@@ -74,10 +77,11 @@
                     int copies = 1 + mRandom.nextInt(4);
                     wanted.add(new WantedCopies(WorkTarget.model(model), "1", copies));
                 }
-                for (PlannedOrder order : mPlanner.plan(told(), wanted)) {
+                for (PlannedOrder order : mPlanner.plan(plannerInput(), wanted)) {
                     apply(order);
-                    if (order.action() == PlannedOrder.Action.UNLOAD && lost(order.target())) {
-                        return Optional.of("step " + step + ": last copy lost by " + order);
+                    if (order.action() == PlannedOrder.Action.UNLOAD
+                            && isLastCopyLost(order.target())) {
+                        return Optional.of("step " + step + ": last copy given up by " + order);
                     }
                 }
                 for (WantedCopies want : wanted) {
@@ -86,13 +90,13 @@
                         return Optional.of("step " + step + ": " + loading + " loads at once");
                     }
                 }
-                finishSome();
+                finishRandomLoads();
             }
             return Optional.empty();
         }
 
-        /** Returns whether one late order could leave no ready copy. */
-        private boolean lost(WorkTarget target) {
+        /** Returns whether one late order could leave no ready copy of a model. */
+        private boolean isLastCopyLost(WorkTarget target) {
             long fenced = ready(target, FencingStatus.FENCED);
             long unfenced = ready(target, FencingStatus.UNFENCED);
             return fenced == 0 && unfenced <= 1;
@@ -109,7 +113,7 @@
                     u -> u.id().equals(order.upstream()) ? u.withIntended(order.state()) : u);
         }
 
-        private void finishSome() {
+        private void finishRandomLoads() {
             mFleet.replaceAll(
                     u ->
                             mRandom.nextInt(3) == 0
@@ -117,17 +121,17 @@
                                     : u);
         }
 
-        private List<OrderTarget> told() {
-            return mFleet.stream().map(this::told).toList();
+        private List<OrderTarget> plannerInput() {
+            return mFleet.stream().map(this::plannerInput).toList();
         }
 
-        private OrderTarget told(OrderTarget target) {
+        private OrderTarget plannerInput(OrderTarget target) {
             FencingStatus guard =
-                    mMutant == Mutant.TAKES_ALL_AS_FENCED
+                    mMutant == Mutant.TREATS_ALL_AS_FENCED
                             ? FencingStatus.FENCED
                             : target.fencingStatus();
             Set<ModelId> ready =
-                    mMutant == Mutant.TAKES_LOADING_AS_READY
+                    mMutant == Mutant.TREATS_LOADING_AS_READY
                             ? target.intended().models().keySet()
                             : target.readyModels();
             return with(target, guard, ready);
@@ -148,12 +152,12 @@
     }
 
     @Property(seed = "14", tries = 300)
-    void lastReadyCopy_staysAndLoadsAreBounded(@ForAll long seed) {
+    void lastReadyCopyIsKept_andLoadsAreBounded(@ForAll long seed) {
         assertThat(new Schedule(seed, Mutant.NONE).run()).isEmpty();
     }
 
     @Test
-    void mutants_areCaught() {
+    void mutants_areDetected() {
         for (Mutant mutant : Mutant.values()) {
             boolean caught =
                     LongStream.range(0, 200)
--- a/coordination/src/test/java/org/hornbeampass/coordination/slo/BurnRatesTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/slo/BurnRatesTest.java
@@ -9,7 +9,7 @@
 
 import java.util.Map;
 
-/** Tests {@link BurnRates} and {@link BurnAlert} on known figures. */
+/** Tests {@link BurnRates} and {@link BurnAlert} with computed examples. */
 class BurnRatesTest {
     @ParameterizedTest
     @CsvSource({
@@ -20,7 +20,7 @@
         "0, 10, 0.95, 20",
         "0, 0, 0.95, 0",
     })
-    void rate_isTheBadShareOverTheBudget(long good, long bad, double target, double rate) {
+    void rate_isBadShareDividedByTheBudget(long good, long bad, double target, double rate) {
         assertThat(BurnRates.rate(new Counts(good, bad), target)).isCloseTo(rate, within(1e-9));
     }
 
@@ -32,7 +32,7 @@
         "99800, 200, 0.999, -1, -100",
         "0, 0, 0.999, 1, 0",
     })
-    void remaining_isWhatIsLeftOfTheBudget(
+    void remaining_isUnusedShareOfTheBudget(
             long good, long bad, double target, double remaining, long badLeft) {
         Counts period = new Counts(good, bad);
 
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void alert_needsTheLongAndTheShortWindow() {
+    void alert_requiresTheLongAndTheShortWindow() {
         assertThat(BurnAlert.mostUrgent(Map.of(BurnWindow.H1, 20.0, BurnWindow.M5, 20.0)))
                 .contains(BurnAlert.PAGE_FAST);
         assertThat(BurnAlert.mostUrgent(Map.of(BurnWindow.H1, 20.0, BurnWindow.M5, 0.0))).isEmpty();
--- a/coordination/src/test/java/org/hornbeampass/coordination/slo/BurnWindowsTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/slo/BurnWindowsTest.java
@@ -14,7 +14,7 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 
-/** Tests {@link BurnWindows} and {@link BurnReport}. */
+/** Tests that {@link BurnWindows} counts by window and cause, and merging {@link BurnReport}s. */
 class BurnWindowsTest {
     private static final long MINUTE_MS = 60_000;
     private static final long HOUR_MS = 3_600_000;
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void counts_leaveEachWindowInTime() {
+    void counts_expireFromEachWindow() {
         record(START_MS, 0, 10);
 
         assertThat(errors(mWindows.report(START_MS + 4 * MINUTE_MS)).counts(BurnWindow.M5).bad())
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void bucketThatIsUsedAgain_isEmptiedFirst() {
+    void reusedBucket_isClearedFirst() {
         record(START_MS, 0, 10);
         record(START_MS + 61 * MINUTE_MS, 5, 0);
 
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void organisationsTerms_holdForItAlone() {
+    void organisationOverrides_applyToThatOrganisationOnly() {
         OrganisationId strict = new OrganisationId("strict");
         Objectives objectives =
                 new Objectives(
@@ -105,7 +105,7 @@
     }
 
     @Test
-    void organisationsAreBounded_andStillCountInAll() {
+    void organisationsBeyondTheBound_countInTheTotalOnly() {
         for (int i = 0; i < BurnWindows.MAX_SCOPES + 50; i++) {
             mWindows.record(START_MS, sample("o" + i, Optional.empty()));
         }
@@ -122,7 +122,7 @@
     }
 
     @Test
-    void causes_nameKindUpstreamAndDomain_theMostFrequentFirst() {
+    void causes_includeErrorUpstreamAndDomain_mostFrequentFirst() {
         record(START_MS, 0, 3);
         mWindows.record(START_MS, sample("o", Optional.of(ErrorKind.NO_UPSTREAM)));
 
@@ -148,7 +148,7 @@
     }
 
     @Test
-    void merged_addsRoutersUp() {
+    void merged_sumsCountsOfSeveralRouters() {
         record(START_MS, 90, 10);
         BurnWindows other = new BurnWindows(START_MS + MINUTE_MS, Objectives.defaults());
         other.record(START_MS + MINUTE_MS, sample("o", Optional.empty()));
--- a/coordination/src/test/java/org/hornbeampass/coordination/slo/ObjectiveTest.java
+++ b/coordination/src/test/java/org/hornbeampass/coordination/slo/ObjectiveTest.java
@@ -11,7 +11,7 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 
-/** Tests which requests count against which {@link Objective}. */
+/** Tests which requests count as good or bad for each {@link Objective}. */
 class ObjectiveTest {
     @ParameterizedTest
     @CsvSource({
@@ -35,23 +35,23 @@
             ErrorKind kind, String refusals, String errors) {
         SloSample sample = sample(Optional.of(kind), OptionalLong.empty(), OptionalLong.empty());
 
-        assertThat(word(Objective.REFUSALS.evaluate(sample, 0))).isEqualTo(refusals);
-        assertThat(word(Objective.ERRORS.evaluate(sample, 0))).isEqualTo(errors);
-        assertThat(word(Objective.FIRST_TOKEN.evaluate(sample, 890))).isEqualTo("-");
+        assertThat(outcome(Objective.REFUSALS.evaluate(sample, 0))).isEqualTo(refusals);
+        assertThat(outcome(Objective.ERRORS.evaluate(sample, 0))).isEqualTo(errors);
+        assertThat(outcome(Objective.FIRST_TOKEN.evaluate(sample, 890))).isEqualTo("-");
     }
 
     @Test
-    void wholeAnswer_isGood_andTimedByItsTokens() {
+    void fullAnswer_isGood_andLatencyIsCheckedAgainstThreshold() {
         SloSample sample = sample(Optional.empty(), OptionalLong.of(890), OptionalLong.of(46));
 
-        assertThat(word(Objective.REFUSALS.evaluate(sample, 0))).isEqualTo("good");
-        assertThat(word(Objective.ERRORS.evaluate(sample, 0))).isEqualTo("good");
-        assertThat(word(Objective.FIRST_TOKEN.evaluate(sample, 890))).isEqualTo("good");
-        assertThat(word(Objective.FIRST_TOKEN.evaluate(sample, 889))).isEqualTo("bad");
-        assertThat(word(Objective.BETWEEN_TOKENS.evaluate(sample, 45))).isEqualTo("bad");
+        assertThat(outcome(Objective.REFUSALS.evaluate(sample, 0))).isEqualTo("good");
+        assertThat(outcome(Objective.ERRORS.evaluate(sample, 0))).isEqualTo("good");
+        assertThat(outcome(Objective.FIRST_TOKEN.evaluate(sample, 890))).isEqualTo("good");
+        assertThat(outcome(Objective.FIRST_TOKEN.evaluate(sample, 889))).isEqualTo("bad");
+        assertThat(outcome(Objective.BETWEEN_TOKENS.evaluate(sample, 45))).isEqualTo("bad");
     }
 
-    private static String word(Optional<Boolean> good) {
+    private static String outcome(Optional<Boolean> good) {
         return good.map(g -> g ? "good" : "bad").orElse("-");
     }
 
--- a/router/src/main/java/org/hornbeampass/router/front/AdmittedServiceCall.java
+++ b/router/src/main/java/org/hornbeampass/router/front/AdmittedServiceCall.java
@@ -6,15 +6,16 @@
 import org.hornbeampass.state.requests.RequestKey;
 
 /**
- * A call to a plain service that may be made: its caller is known and its terms allow it.
+ * A call to a plain service that may be made: the caller is known, and the terms of the caller's
+ * organisation allow the call.
  *
- * <p>Immutable once made: the body is not changed. Safe for use by any thread.
+ * <p>Immutable, provided that nobody changes the array of the body. Safe for use by any thread.
  *
  * @param key the request's key
- * @param caller who sent it
- * @param budget the budget on whose statement it stands
- * @param call what is to be sent
- * @param plan how it is to be run
+ * @param caller the organisation that sent it, with its terms
+ * @param budget the budget on whose statement the call is listed
+ * @param call the call to send to an instance of the service
+ * @param plan the deadline, and whether the call may be repeated
  */
 public record AdmittedServiceCall(
         RequestKey key,
--- a/router/src/main/java/org/hornbeampass/router/front/CallerHttpHandler.java
+++ b/router/src/main/java/org/hornbeampass/router/front/CallerHttpHandler.java
@@ -23,10 +23,11 @@
 import java.util.function.Supplier;
 
 /**
- * What callers meet: finds the path, checks the request, and hands it on.
+ * Handles the HTTP requests of callers: dispatches by path, checks the request and passes it to the
+ * {@link RequestRunner}.
  *
- * <p>A VM that does not take new requests refuses them as not run, names other addresses, and has
- * the connection closed; it still answers questions for addresses. Thread-safe.
+ * <p>A VM that does not accept new requests refuses them as not run, lists the addresses of other
+ * VMs, and has the connection closed; it still answers queries for addresses. Thread-safe.
  */
 public final class CallerHttpHandler implements HttpHandler {
     private static final String SERVICES = "/v1/services/";
@@ -41,15 +42,15 @@
     private final Consumer<ErrorKind> mOnRefused;
 
     /**
-     * Makes the front door.
+     * Creates a handler.
      *
      * @param admission checks requests
-     * @param config gives the configuration in force
+     * @param config provides the configuration in force
      * @param runner runs requests
-     * @param addresses answers which addresses to use
-     * @param readiness tells whether new requests are taken
-     * @param metricsText gives the metrics page
-     * @param onRefused told of each refusal that no flow counts
+     * @param addresses provides the addresses that callers should use
+     * @param readiness decides whether new requests are accepted
+     * @param metricsText provides the metrics page
+     * @param onRefused called for each refusal before a request runs, which the runner can't count
      */
     public CallerHttpHandler(
             RequestAdmission admission,
@@ -72,17 +73,19 @@
     public void handle(long nowMs, HttpExchange exchange) {
         String path = exchange.path();
         switch (path) {
-            case "/v1/chat/completions" -> onlyFor("POST", exchange, () -> chat(nowMs, exchange));
-            case "/v1/models" -> onlyFor("GET", exchange, () -> models(exchange));
-            case "/v1/addresses" -> onlyFor("GET", exchange, () -> addresses(nowMs, exchange));
-            case "/healthz" -> onlyFor("GET", exchange, () -> text(exchange, "ok\n"));
-            case "/readyz" -> onlyFor("GET", exchange, () -> ready(exchange));
-            case "/metrics" -> onlyFor("GET", exchange, () -> metrics(exchange));
-            default -> other(nowMs, path, exchange);
+            case "/v1/chat/completions" ->
+                    requireMethod("POST", exchange, () -> chat(nowMs, exchange));
+            case "/v1/models" -> requireMethod("GET", exchange, () -> models(exchange));
+            case "/v1/addresses" ->
+                    requireMethod("GET", exchange, () -> addresses(nowMs, exchange));
+            case "/healthz" -> requireMethod("GET", exchange, () -> text(exchange, "ok\n"));
+            case "/readyz" -> requireMethod("GET", exchange, () -> ready(exchange));
+            case "/metrics" -> requireMethod("GET", exchange, () -> metrics(exchange));
+            default -> handleOtherPath(nowMs, path, exchange);
         }
     }
 
-    private void other(long nowMs, String path, HttpExchange exchange) {
+    private void handleOtherPath(long nowMs, String path, HttpExchange exchange) {
         if (path.startsWith(SERVICES) && path.length() > SERVICES.length()) {
             service(nowMs, exchange);
             return;
@@ -91,11 +94,11 @@
                 exchange,
                 Failure.of(
                         ErrorKind.NOT_FOUND,
-                        "nothing is at this path; use /v1/chat/completions, /v1/models,"
+                        "this path does not exist; use /v1/chat/completions, /v1/models,"
                                 + " /v1/addresses or /v1/services/NAME/…"));
     }
 
-    private void onlyFor(String method, HttpExchange exchange, Runnable action) {
+    private void requireMethod(String method, HttpExchange exchange, Runnable action) {
         if (method.equals(exchange.method())) {
             action.run();
             return;
@@ -104,43 +107,43 @@
                 exchange,
                 Failure.of(
                         ErrorKind.METHOD_NOT_ALLOWED,
-                        exchange.method() + " is not possible here; use " + method));
+                        exchange.method() + " is not allowed at this path; use " + method));
     }
 
     private void chat(long nowMs, HttpExchange exchange) {
-        if (refusedAsNotReady(nowMs, exchange)) {
+        if (refuseIfNotReady(nowMs, exchange)) {
             return;
         }
-        Either<Failure, AdmittedChat> order = mAdmission.chat(nowMs, exchange, mConfig.get());
-        if (order.isLeft()) {
-            refuse(exchange, order.getLeft());
+        Either<Failure, AdmittedChat> admitted = mAdmission.chat(nowMs, exchange, mConfig.get());
+        if (admitted.isLeft()) {
+            refuse(exchange, admitted.getLeft());
             return;
         }
         mRunner.chat(
                 nowMs,
-                order.get(),
+                admitted.get(),
                 exchange,
-                new HttpCallerPort(exchange, order.get().key().request().value()));
+                new HttpCallerPort(exchange, admitted.get().key().request().value()));
     }
 
     private void service(long nowMs, HttpExchange exchange) {
-        if (refusedAsNotReady(nowMs, exchange)) {
+        if (refuseIfNotReady(nowMs, exchange)) {
             return;
         }
-        Either<Failure, AdmittedServiceCall> order =
+        Either<Failure, AdmittedServiceCall> admitted =
                 mAdmission.service(nowMs, exchange, mConfig.get());
-        if (order.isLeft()) {
-            refuse(exchange, order.getLeft());
+        if (admitted.isLeft()) {
+            refuse(exchange, admitted.getLeft());
             return;
         }
         mRunner.service(
                 nowMs,
-                order.get(),
+                admitted.get(),
                 exchange,
-                new HttpCallerPort(exchange, order.get().key().request().value()));
+                new HttpCallerPort(exchange, admitted.get().key().request().value()));
     }
 
-    private boolean refusedAsNotReady(long nowMs, HttpExchange exchange) {
+    private boolean refuseIfNotReady(long nowMs, HttpExchange exchange) {
         Optional<Failure> refusal = mReadiness.refusal();
         if (refusal.isEmpty()) {
             return false;
@@ -163,10 +166,10 @@
         new HttpCallerPort(exchange, "").fail(failure);
     }
 
-    /** One model as OpenAI clients read it. */
+    /** One model in the format of the OpenAI API. */
     private record Model(String id, String object, long created, String owned_by) {}
 
-    /** The list of models as OpenAI clients read it. */
+    /** The list of models in the format of the OpenAI API. */
     private record ModelList(String object, List<Model> data) {}
 
     private void models(HttpExchange exchange) {
@@ -190,8 +193,8 @@
         AddressQuery query =
                 new AddressQuery(
                         config.caller(exchange.header("authorization")).map(c -> c.spec().id()),
-                        named(exchange, "domain").map(FailureDomain::new),
-                        named(exchange, "region").map(Region::new));
+                        nonBlankQuery(exchange, "domain").map(FailureDomain::new),
+                        nonBlankQuery(exchange, "region").map(Region::new));
         AddressAnswer answer = mAddresses.answer(nowMs, query);
         json(
                 exchange,
@@ -199,7 +202,7 @@
                 Map.of("cache-control", "max-age=" + Math.max(1, answer.keepMs() / 1000)));
     }
 
-    private static Optional<String> named(HttpExchange exchange, String parameter) {
+    private static Optional<String> nonBlankQuery(HttpExchange exchange, String parameter) {
         return exchange.query(parameter).filter(value -> !value.isBlank());
     }
 
@@ -222,8 +225,9 @@
                 200, Map.of("content-type", "text/plain"), text.getBytes(StandardCharsets.UTF_8));
     }
 
-    private static void json(HttpExchange exchange, Object value, Map<String, String> more) {
-        Map<String, String> headers = new HashMap<>(more);
+    private static void json(
+            HttpExchange exchange, Object value, Map<String, String> extraHeaders) {
+        Map<String, String> headers = new HashMap<>(extraHeaders);
         headers.put("content-type", "application/json");
         exchange.respond(200, headers, Json.encode(value).getBytes(StandardCharsets.UTF_8));
     }
--- a/router/src/main/java/org/hornbeampass/router/front/CallerKeys.java
+++ b/router/src/main/java/org/hornbeampass/router/front/CallerKeys.java
@@ -16,43 +16,46 @@
 import java.util.Optional;
 
 /**
- * Finds the organisation that a caller's key belongs to, by the key's SHA-256.
+ * Finds the organisation to which a caller's key belongs, by the SHA-256 hash of the key.
  *
- * <p>Keys themselves are neither kept nor logged. The hashes are found by their first four bytes
+ * <p>Keys themselves are neither stored nor logged. Hashes are looked up by their first four bytes
  * and compared in constant time. Immutable; safe for use by any thread.
  */
 final class CallerKeys {
     private static final String SCHEME = "Bearer ";
     private static final int HASH_BYTES = 32;
 
-    private final Map<Integer, List<Entry>> mByStart;
+    private final Map<Integer, List<Entry>> mByHashPrefix;
 
-    /** One key of one organisation. */
+    /** The hash of one key and the organisation that owns the key. */
     @SuppressWarnings("ArrayRecordComponent")
     private record Entry(byte[] hash, OrganisationId organisation) {}
 
-    private CallerKeys(Map<Integer, List<Entry>> byStart) {
-        mByStart = byStart;
+    private CallerKeys(Map<Integer, List<Entry>> byHashPrefix) {
+        mByHashPrefix = byHashPrefix;
     }
 
     /**
-     * Returns the index of all keys of a configuration; hashes that are not SHA-256 are left out.
+     * Returns the index of all keys of a configuration; values that are not SHA-256 hashes in
+     * hexadecimal are skipped.
      */
     static CallerKeys of(ConfigSnapshot config) {
-        Map<Integer, List<Entry>> byStart = new HashMap<>();
+        Map<Integer, List<Entry>> byHashPrefix = new HashMap<>();
         for (OrganisationSpec organisation : config.organisations().values()) {
             for (String hex : organisation.keyHashes().values()) {
                 parse(hex)
                         .ifPresent(
                                 hash ->
-                                        byStart.computeIfAbsent(start(hash), s -> new ArrayList<>())
+                                        byHashPrefix
+                                                .computeIfAbsent(
+                                                        hashPrefix(hash), s -> new ArrayList<>())
                                                 .add(new Entry(hash, organisation.id())));
             }
         }
-        return new CallerKeys(byStart);
+        return new CallerKeys(byHashPrefix);
     }
 
-    /** Returns whose key an {@code Authorization} header carries. */
+    /** Returns the organisation that owns the key in an {@code Authorization} header. */
     Optional<OrganisationId> organisation(Optional<String> authorization) {
         if (authorization.isEmpty()
                 || !authorization.get().regionMatches(true, 0, SCHEME, 0, SCHEME.length())) {
@@ -60,7 +63,7 @@
         }
         byte[] hash = sha256(authorization.get().substring(SCHEME.length()).strip());
         Optional<OrganisationId> found = Optional.empty();
-        for (Entry entry : mByStart.getOrDefault(start(hash), List.of())) {
+        for (Entry entry : mByHashPrefix.getOrDefault(hashPrefix(hash), List.of())) {
             if (MessageDigest.isEqual(hash, entry.hash())) {
                 found = Optional.of(entry.organisation());
             }
@@ -77,7 +80,7 @@
         }
     }
 
-    private static int start(byte[] hash) {
+    private static int hashPrefix(byte[] hash) {
         return ByteBuffer.wrap(hash).getInt();
     }
 
@@ -90,7 +93,7 @@
         try {
             return MessageDigest.getInstance("SHA-256").digest(bytes);
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("each Java runtime has SHA-256", e);
+            throw new IllegalStateException("every Java runtime must support SHA-256", e);
         }
     }
 }
--- a/router/src/main/java/org/hornbeampass/router/front/HttpCallerPort.java
+++ b/router/src/main/java/org/hornbeampass/router/front/HttpCallerPort.java
@@ -10,12 +10,12 @@
 import java.util.Map;
 
 /**
- * Answers one caller over HTTP, with the request's id on each answer.
+ * Answers one caller over HTTP and adds the request's id to each answer.
  *
- * <p>Thread-safe, as the exchange is.
+ * <p>Thread-safe if the exchange is.
  */
 final class HttpCallerPort implements CallerPort {
-    /** The header that tells the caller its request's id. */
+    /** The response header with the request's id. */
     static final String REQUEST_ID = "x-request-id";
 
     private static final byte[] EVENT_START = "data: ".getBytes(StandardCharsets.UTF_8);
@@ -25,10 +25,10 @@
     private final String mRequestId;
 
     /**
-     * Makes the answer of one request.
+     * Creates the port for one request.
      *
      * @param exchange the request
-     * @param requestId its id; empty where it has none yet
+     * @param requestId its id; an empty string if it has none yet
      */
     HttpCallerPort(HttpExchange exchange, String requestId) {
         mExchange = exchange;
@@ -75,8 +75,8 @@
         mExchange.abort();
     }
 
-    private Map<String, String> headers(Map<String, String> own) {
-        Map<String, String> headers = new HashMap<>(own);
+    private Map<String, String> headers(Map<String, String> extra) {
+        Map<String, String> headers = new HashMap<>(extra);
         if (!mRequestId.isEmpty()) {
             headers.put(REQUEST_ID, mRequestId);
         }
--- a/router/src/main/java/org/hornbeampass/router/front/Readiness.java
+++ b/router/src/main/java/org/hornbeampass/router/front/Readiness.java
@@ -5,12 +5,12 @@
 import java.util.Optional;
 
 /**
- * Tells whether this VM takes new requests.
+ * Decides whether this VM accepts new requests.
  *
  * <p>Implementations are thread-safe and never block.
  */
 @FunctionalInterface
 public interface Readiness {
-    /** Returns why not: {@code NOT_READY} or {@code SHUTTING_DOWN}; empty where it does. */
+    /** Returns {@code NOT_READY} or {@code SHUTTING_DOWN}; empty if new requests are accepted. */
     Optional<Failure> refusal();
 }
--- a/router/src/main/java/org/hornbeampass/router/front/RequestAdmission.java
+++ b/router/src/main/java/org/hornbeampass/router/front/RequestAdmission.java
@@ -22,9 +22,11 @@
 import java.util.Optional;
 
 /**
- * Decides whether a request may be served at all, by its key, its shape and its caller's terms.
+ * Decides whether a request may be served, by its API key, its format and the terms of the caller's
+ * organisation.
  *
- * <p>Has no effects, so that a refused request has changed nothing. Thread-safe.
+ * <p>Has no side effects besides using up generated ids, so a refused request has changed nothing.
+ * Thread-safe.
  */
 public final class RequestAdmission {
     private static final String SERVICES = "/v1/services/";
@@ -33,14 +35,14 @@
     private final ChatRequestParser mParser;
     private final RequestIds mIds;
 
-    /** Makes the checks of one VM. */
+    /** Creates the checks of one VM; its name and incarnation go into the ids of requests. */
     public RequestAdmission(VmId vm, RequestLimits limits) {
         mLimits = limits;
         mParser = new ChatRequestParser(limits.chat());
         mIds = new RequestIds(vm);
     }
 
-    /** Returns the chat completion to serve, or why it is refused. */
+    /** Returns the chat completion to serve, or the reason to refuse it. */
     public Either<Failure, AdmittedChat> chat(
             long nowMs, HttpExchange exchange, ServingConfig config) {
         return RequestHead.read(nowMs, exchange, config, mLimits)
@@ -78,7 +80,7 @@
     private static Optional<Failure> chatRefusal(
             OrganisationTerms terms, ChatRequest request, ServingConfig config) {
         if (!terms.workKinds().contains(WorkKind.CHAT)) {
-            return notPermitted("chat completions are not among your organisation's kinds of work");
+            return notPermitted("your organisation's terms do not allow chat completions");
         }
         if (!terms.models().contains(request.model()) || !config.hasModel(request.model())) {
             return Optional.of(
@@ -87,7 +89,7 @@
                             "field model is \""
                                     + request.model()
                                     + "\", which your organisation can't use; GET /v1/models lists"
-                                    + " those that it can"));
+                                    + " the models that it can use"));
         }
         if (request.adapter().isPresent() && !terms.adapters().contains(request.adapter().get())) {
             return notPermitted(
@@ -107,7 +109,7 @@
                 : Optional.empty();
     }
 
-    /** Returns the service call to make, or why it is refused. */
+    /** Returns the service call to make, or the reason to refuse it. */
     public Either<Failure, AdmittedServiceCall> service(
             long nowMs, HttpExchange exchange, ServingConfig config) {
         return RequestHead.read(nowMs, exchange, config, mLimits)
@@ -125,7 +127,7 @@
                             ErrorKind.NOT_FOUND,
                             "service \""
                                     + name
-                                    + "\" is not among those that your organisation can call"));
+                                    + "\" does not exist or your organisation may not call it"));
         }
         return workKind(head.caller().terms(), exchange)
                 .map(
@@ -138,11 +140,12 @@
                                             exchange.header("content-type")
                                                     .orElse("application/octet-stream"),
                                             exchange.body());
-                            return order(nowMs, head, call, kind == WorkKind.SERVICE_REPEATABLE);
+                            return admitService(
+                                    nowMs, head, call, kind == WorkKind.SERVICE_REPEATABLE);
                         });
     }
 
-    /** Returns the path and query below the service, as they came. */
+    /** Returns the path and query after the name of the service, without decoding them. */
     private static String target(HttpExchange exchange) {
         String raw = exchange.rawTarget();
         int start = raw.indexOf(SERVICES);
@@ -155,10 +158,11 @@
         return query < 0 ? "/" : "/" + rest.substring(query);
     }
 
-    private AdmittedServiceCall order(
+    private AdmittedServiceCall admitService(
             long nowMs, RequestHead head, ServiceCall call, boolean repeatable) {
         RequestKey key =
-                mIds.key(nowMs, head.caller().spec().id(), head.idempotencyKey(), content(call));
+                mIds.key(
+                        nowMs, head.caller().spec().id(), head.idempotencyKey(), digestInput(call));
         return new AdmittedServiceCall(
                 key,
                 head.caller(),
@@ -167,7 +171,7 @@
                 new ServicePlan(repeatable, head.deadlineMs()));
     }
 
-    private static byte[] content(ServiceCall call) {
+    private static byte[] digestInput(ServiceCall call) {
         ByteArrayOutputStream content = new ByteArrayOutputStream(call.body().length + 64);
         String start = call.method() + " " + call.service() + call.target() + "\n";
         content.writeBytes(start.getBytes(StandardCharsets.UTF_8));
@@ -176,35 +180,36 @@
     }
 
     /**
-     * Returns the kind of work that a call is: a GET may be repeated; any other call only where the
-     * caller says so in {@code x-work-kind} or where its terms allow no other.
+     * Returns the kind of work of a call. By default a GET is repeatable if the terms allow it, and
+     * any other call only if the terms allow no other kind of service call. The caller can choose
+     * the kind with the header {@code x-work-kind}.
      */
     private static Either<Failure, WorkKind> workKind(
             OrganisationTerms terms, HttpExchange exchange) {
-        boolean mayOnce = terms.workKinds().contains(WorkKind.SERVICE_ONCE);
-        boolean mayRepeat = terms.workKinds().contains(WorkKind.SERVICE_REPEATABLE);
-        WorkKind byDefault =
-                mayRepeat && ("GET".equals(exchange.method()) || !mayOnce)
+        boolean allowsOnce = terms.workKinds().contains(WorkKind.SERVICE_ONCE);
+        boolean allowsRepeatable = terms.workKinds().contains(WorkKind.SERVICE_REPEATABLE);
+        WorkKind defaultKind =
+                allowsRepeatable && ("GET".equals(exchange.method()) || !allowsOnce)
                         ? WorkKind.SERVICE_REPEATABLE
                         : WorkKind.SERVICE_ONCE;
         Optional<String> header = exchange.header("x-work-kind");
-        Optional<WorkKind> asked =
-                header.map(RequestAdmission::parseKind).orElse(Optional.of(byDefault));
-        if (asked.isEmpty()) {
+        Optional<WorkKind> requested =
+                header.map(RequestAdmission::parseKind).orElse(Optional.of(defaultKind));
+        if (requested.isEmpty()) {
             return Either.left(
                     Failure.of(
                             ErrorKind.FIELD_INVALID,
                             "header x-work-kind is not a kind of service call; give"
                                     + " service_repeatable or service_once"));
         }
-        return terms.workKinds().contains(asked.get())
-                ? Either.right(asked.get())
+        return terms.workKinds().contains(requested.get())
+                ? Either.right(requested.get())
                 : Either.left(
                         Failure.of(
                                 ErrorKind.NOT_PERMITTED,
                                 "calls of kind "
-                                        + asked.get().name().toLowerCase(Locale.ROOT)
-                                        + " are not among your organisation's kinds of work"));
+                                        + requested.get().name().toLowerCase(Locale.ROOT)
+                                        + " are not allowed by your organisation's terms"));
     }
 
     private static Optional<WorkKind> parseKind(String text) {
--- a/router/src/main/java/org/hornbeampass/router/front/RequestHead.java
+++ b/router/src/main/java/org/hornbeampass/router/front/RequestHead.java
@@ -11,14 +11,14 @@
 import java.util.Optional;
 
 /**
- * What a request's headers say, checked against the terms of the organisation that sent it.
+ * The headers of a request, checked against the configuration of the organisation that sent it.
  *
  * <p>Immutable; safe for use by any thread.
  *
- * @param caller who sent it
- * @param idempotencyKey the caller's own id for it, if any
- * @param budget the budget that it draws on
- * @param deadlineMs when it is given up, in milliseconds since 1970
+ * @param caller the organisation that sent it, with its terms
+ * @param idempotencyKey the caller's idempotency key, if any
+ * @param budget the budget to which it is billed
+ * @param deadlineMs the deadline of the request, in milliseconds since 1970
  */
 record RequestHead(
         ServingConfig.Caller caller,
@@ -27,7 +27,7 @@
         long deadlineMs) {
     private static final int MAX_KEY_CHARS = 200;
 
-    /** Returns the checked headers, or the first fault. */
+    /** Returns the checked headers, or a failure that names the first invalid header. */
     static Either<Failure, RequestHead> read(
             long nowMs, HttpExchange exchange, ServingConfig config, RequestLimits limits) {
         Optional<ServingConfig.Caller> caller = config.caller(exchange.header("authorization"));
@@ -46,12 +46,12 @@
                 .map(at -> new RequestHead(caller.get(), key.get(), budget.get(), at));
     }
 
-    /** Returns the failure of a request without a known key. */
+    /** Returns the failure of a request without a known API key. */
     static Failure unknownKey() {
         return Failure.of(
                 ErrorKind.KEY_MISSING_OR_UNKNOWN,
-                "header authorization carries no known key; send \"Bearer <key>\" with a key of"
-                        + " your organisation");
+                "header authorization does not contain a known key; send \"Bearer <key>\" with a"
+                        + " key of your organisation");
     }
 
     private static Either<Failure, Optional<String>> idempotencyKey(HttpExchange exchange) {
@@ -84,14 +84,14 @@
         return name.isPresent()
                 ? invalid(
                         "x-budget",
-                        "\"" + shown(name.get()) + "\"",
+                        "\"" + truncate(name.get()) + "\"",
                         "name a budget of your organisation or leave it out")
                 : Either.left(
                         Failure.of(
                                 ErrorKind.BUDGET_EXHAUSTED,
                                 "organisation "
                                         + caller.spec().id()
-                                        + " has no budget; have an operator create one"));
+                                        + " has no budget; ask an operator to create one"));
     }
 
     private static Either<Failure, Long> deadline(
@@ -105,7 +105,7 @@
                 ? Either.right(nowMs + ms)
                 : invalid(
                         "x-deadline-ms",
-                        "\"" + shown(text.get()) + "\"",
+                        "\"" + truncate(text.get()) + "\"",
                         "give milliseconds from now, 1 to " + limits.maxDeadlineMs());
     }
 
@@ -117,14 +117,14 @@
         }
     }
 
-    private static <T> Either<Failure, T> invalid(String header, String value, String mend) {
+    private static <T> Either<Failure, T> invalid(String header, String value, String remedy) {
         return Either.left(
                 Failure.of(
                         ErrorKind.FIELD_INVALID,
-                        "header " + header + " is " + value + "; " + mend));
+                        "header " + header + " is " + value + "; " + remedy));
     }
 
-    private static String shown(String text) {
+    private static String truncate(String text) {
         return text.length() <= 60 ? text : text.substring(0, 60) + "…";
     }
 }
--- a/router/src/main/java/org/hornbeampass/router/front/RequestIds.java
+++ b/router/src/main/java/org/hornbeampass/router/front/RequestIds.java
@@ -10,11 +10,11 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Gives each request the key under which it is billed and claimed.
+ * Assigns each request the key under which it is billed and claimed.
  *
- * <p>Invariants: an id that is made here is never made twice, since each life of a VM has its own
- * incarnation; it ends with the time, so that the log need not remember it for good. A caller's own
- * key is kept as it is, with a digest of the content. Thread-safe.
+ * <p>Invariants: a generated id is never generated twice, since each start of a VM has a new
+ * incarnation; it ends with the time, so that the shard log need not keep it forever. A caller's
+ * idempotency key is used unchanged, together with a digest of the content. Thread-safe.
  */
 final class RequestIds {
     private static final int DIGEST_BYTES = 16;
@@ -31,24 +31,28 @@
     /**
      * Returns a request's key.
      *
-     * @param nowMs the present time in milliseconds
-     * @param organisation who sent it
-     * @param callersKey the caller's own id for it, if any
-     * @param content what two requests of the same id must have in common
+     * @param nowMs the present time in milliseconds since 1970
+     * @param organisation the organisation that sent it
+     * @param idempotencyKey the caller's idempotency key, if any
+     * @param content the bytes that must be equal in two requests with the same idempotency key
      */
     RequestKey key(
-            long nowMs, OrganisationId organisation, Optional<String> callersKey, byte[] content) {
-        if (callersKey.isPresent()) {
-            return new RequestKey(organisation, new RequestId(callersKey.get()), digest(content));
+            long nowMs,
+            OrganisationId organisation,
+            Optional<String> idempotencyKey,
+            byte[] content) {
+        if (idempotencyKey.isPresent()) {
+            return new RequestKey(
+                    organisation, new RequestId(idempotencyKey.get()), digest(content));
         }
-        return new RequestKey(organisation, fresh(nowMs), NO_DIGEST);
+        return new RequestKey(organisation, newId(nowMs), NO_DIGEST);
     }
 
     private static String digest(byte[] content) {
         return HexFormat.of().formatHex(CallerKeys.sha256(content), 0, DIGEST_BYTES);
     }
 
-    private RequestId fresh(long nowMs) {
+    private RequestId newId(long nowMs) {
         String number = Long.toString(mCount.incrementAndGet(), Character.MAX_RADIX);
         String time = Long.toString(nowMs);
         String padded = "0".repeat(Math.max(0, TIME_DIGITS - time.length())) + time;
--- a/router/src/main/java/org/hornbeampass/router/front/RequestLimits.java
+++ b/router/src/main/java/org/hornbeampass/router/front/RequestLimits.java
@@ -8,8 +8,9 @@
  * <p>Immutable; safe for use by any thread.
  *
  * @param chat bounds on chat completion bodies
- * @param defaultDeadlineMs the time that a request has where it names none, in milliseconds
- * @param maxDeadlineMs the longest time that a request may name, in milliseconds
+ * @param defaultDeadlineMs the time from arrival to deadline if a request sets none, in
+ *     milliseconds
+ * @param maxDeadlineMs the longest time to its deadline that a request may set, in milliseconds
  */
 public record RequestLimits(ChatLimits chat, long defaultDeadlineMs, long maxDeadlineMs) {
     /** Returns bounds that suit long documents and long answers. */
--- a/router/src/main/java/org/hornbeampass/router/front/RequestRunner.java
+++ b/router/src/main/java/org/hornbeampass/router/front/RequestRunner.java
@@ -4,7 +4,7 @@
 import org.hornbeampass.transport.http.HttpExchange;
 
 /**
- * Runs requests that may be served.
+ * Runs admitted requests.
  *
  * <p>Implementations are thread-safe and never block.
  */
@@ -12,13 +12,13 @@
     /**
      * Runs a chat completion.
      *
-     * @param nowMs the present time in milliseconds
-     * @param order the request
-     * @param exchange tells when the caller goes away and when it catches up
-     * @param caller answered exactly once
+     * @param nowMs the present time in milliseconds since 1970
+     * @param request the admitted request
+     * @param exchange reports when the caller disconnects and when its connection is writable again
+     * @param caller receives exactly one answer
      */
-    void chat(long nowMs, AdmittedChat order, HttpExchange exchange, CallerPort caller);
+    void chat(long nowMs, AdmittedChat request, HttpExchange exchange, CallerPort caller);
 
     /** Runs a call to a plain service; the parameters are as for {@link #chat}. */
-    void service(long nowMs, AdmittedServiceCall order, HttpExchange exchange, CallerPort caller);
+    void service(long nowMs, AdmittedServiceCall request, HttpExchange exchange, CallerPort caller);
 }
--- a/router/src/main/java/org/hornbeampass/router/front/ServingConfig.java
+++ b/router/src/main/java/org/hornbeampass/router/front/ServingConfig.java
@@ -14,9 +14,9 @@
 import java.util.Set;
 
 /**
- * One revision of the configuration, indexed for what each request asks of it.
+ * One revision of the configuration, indexed for the lookups that each request needs.
  *
- * <p>Immutable; safe for use by any thread. Made once for each revision.
+ * <p>Immutable; safe for use by any thread. Created once for each revision.
  */
 public final class ServingConfig {
     private final ConfigSnapshot mSnapshot;
@@ -28,8 +28,8 @@
     /**
      * An organisation with its terms in force.
      *
-     * @param spec the organisation as operators set it
-     * @param terms its terms in force
+     * @param spec the organisation as configured by operators
+     * @param terms its terms in force, from its template and its overrides
      */
     public record Caller(OrganisationSpec spec, OrganisationTerms terms) {}
 
@@ -61,12 +61,12 @@
         return new ServingConfig(snapshot, callers, models, services);
     }
 
-    /** Returns the configuration itself. */
+    /** Returns the configuration that is indexed. */
     public ConfigSnapshot snapshot() {
         return mSnapshot;
     }
 
-    /** Returns the organisation whose key an {@code Authorization} header carries. */
+    /** Returns the organisation that owns the key in an {@code Authorization} header. */
     public Optional<Caller> caller(Optional<String> authorization) {
         return mKeys.organisation(authorization).map(mCallers::get);
     }
--- a/router/src/main/java/org/hornbeampass/router/front/package-info.java
+++ b/router/src/main/java/org/hornbeampass/router/front/package-info.java
@@ -1,2 +1,2 @@
-/** What callers meet: paths, keys, checks of their requests, and the answers. */
+/** The HTTP interface for callers: paths, API keys, checks of requests, and answers. */
 package org.hornbeampass.router.front;
--- a/router/src/test/java/org/hornbeampass/router/front/ErrorPageTest.java
+++ b/router/src/test/java/org/hornbeampass/router/front/ErrorPageTest.java
@@ -10,7 +10,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** Holds docs/ERRORS.md to the list of kinds. */
+/** Checks that docs/ERRORS.md describes every error kind as the code defines it. */
 class ErrorPageTest {
     private static final Path PAGE = Path.of("..", "docs", "ERRORS.md");
 
--- a/router/src/test/java/org/hornbeampass/router/front/RequestAdmissionTest.java
+++ b/router/src/test/java/org/hornbeampass/router/front/RequestAdmissionTest.java
@@ -30,7 +30,7 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Requests and whether they may be served. */
+/** Tests which requests {@link RequestAdmission} admits, and the errors for those it refuses. */
 class RequestAdmissionTest {
     private static final String KEY = "the-key";
     private static final OrganisationId ORGANISATION = new OrganisationId("iblei");
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void goodRequest_drawsOnTheFirstBudget() {
+    void validRequest_usesTheFirstBudget() {
         AdmittedChat order = chat(BODY).get();
         assertThat(order.budget().budget()).isEqualTo(new BudgetId("a"));
         assertThat(order.plan().completionLimit()).isEqualTo(100);
@@ -116,7 +116,8 @@
         "x-deadline-ms, 0,             FIELD_INVALID,          x-deadline-ms is \"0\"",
         "idempotency-key, a b,         FIELD_INVALID,          idempotency-key"
     })
-    void faultyHeader_isNamed(String header, String value, ErrorKind kind, String message) {
+    void invalidHeader_isNamedInTheError(
+            String header, String value, ErrorKind kind, String message) {
         mHeaders.put(header, value);
         Failure failure = chat(BODY).getLeft();
         assertThat(failure.kind()).isEqualTo(kind);
@@ -133,13 +134,13 @@
                 "desk | absent                      | MODEL_UNKNOWN",
                 "desk | desk\",\"adapter\":\"other  | NOT_PERMITTED"
             })
-    void whatTheTermsForbid_isRefused(String from, String to, ErrorKind kind) {
+    void requestOutsideTheTerms_isRefused(String from, String to, ErrorKind kind) {
         String body = BODY.replace(from, to).replace("\"101\"", "101");
         assertThat(chat(body).getLeft().kind()).isEqualTo(kind);
     }
 
     @Test
-    void sameKeyWithOtherBody_isAnotherRequest() {
+    void sameIdempotencyKeyWithDifferentBody_givesDifferentRequestKey() {
         mHeaders.put("idempotency-key", "k1");
         AdmittedChat first = chat(BODY).get();
         assertThat(chat(BODY).get().key()).isEqualTo(first.key());
@@ -148,20 +149,20 @@
     }
 
     @Test
-    void requestsWithoutAKey_areNeverTheSame() {
+    void requestsWithoutIdempotencyKey_getDistinctKeys() {
         assertThat(chat(BODY).get().key()).isNotEqualTo(chat(BODY).get().key());
     }
 
     @ParameterizedTest
     @CsvSource({"GET, true", "POST, false", "PUT, false", "DELETE, false"})
-    void onlyAGet_mayBeRepeatedByDefault(String method, boolean repeatable) {
+    void onlyGet_isRepeatableByDefault(String method, boolean repeatable) {
         AdmittedServiceCall order = service(method, "/v1/services/records/v1/x%2Fy?a=b").get();
         assertThat(order.plan().repeatable()).isEqualTo(repeatable);
         assertThat(order.call().target()).isEqualTo("/v1/x%2Fy?a=b");
     }
 
     @Test
-    void callerMaySayThatACallCanBeRepeated() {
+    void workKindHeader_makesPostRepeatable() {
         mHeaders.put("x-work-kind", "service_repeatable");
         assertThat(service("POST", "/v1/services/records/a").get().plan().repeatable()).isTrue();
     }
--- a/router/src/test/java/org/hornbeampass/router/front/TestExchange.java
+++ b/router/src/test/java/org/hornbeampass/router/front/TestExchange.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** A request without a connection; answers are not kept. */
+/** A request without a connection; answers are discarded. */
 record TestExchange(String method, String rawTarget, Map<String, String> headers, String text)
         implements HttpExchange {
     @Override
