--- a/router/src/test/java/org/hornbeampass/router/front/RequestAdmissionTest.java
+++ b/router/src/test/java/org/hornbeampass/router/front/RequestAdmissionTest.java
@@ -30,7 +30,7 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Requests and whether they may be served. */
+/** Tests which requests {@link RequestAdmission} admits, and the errors for those it refuses. */
 class RequestAdmissionTest {
     private static final String KEY = "the-key";
     private static final OrganisationId ORGANISATION = new OrganisationId("iblei");
@@ -38,7 +38,7 @@
             "{\"model\":\"desk\",\"messages\":[{\"role\":\"user\",\"content\":\"hi\"}]}";
 
     private final RequestAdmission mAdmission =
-            new RequestAdmission(new VmId("vm-1", 7), FrontLimits.defaults());
+            new RequestAdmission(new VmId("vm-1", 7), RequestLimits.defaults());
     private final ServingConfig mConfig = ServingConfig.of(config());
     private final Map<String, String> mHeaders = new HashMap<>();
 
@@ -89,22 +89,22 @@
                 8);
     }
 
-    private Either<Failure, ChatOrder> chat(String body) {
+    private Either<Failure, AdmittedChat> chat(String body) {
         return mAdmission.chat(
                 1_000, new TestExchange("POST", "/v1/chat/completions", mHeaders, body), mConfig);
     }
 
-    private Either<Failure, ServiceOrder> service(String method, String target) {
+    private Either<Failure, AdmittedServiceCall> service(String method, String target) {
         return mAdmission.service(1_000, new TestExchange(method, target, mHeaders, "x"), mConfig);
     }
 
     @Test
-    void goodRequest_drawsOnTheFirstBudget() {
-        ChatOrder order = chat(BODY).get();
+    void validRequest_usesTheFirstBudget() {
+        AdmittedChat order = chat(BODY).get();
         assertThat(order.budget().budget()).isEqualTo(new BudgetId("a"));
         assertThat(order.plan().completionLimit()).isEqualTo(100);
         assertThat(order.plan().deadlineMs())
-                .isEqualTo(1_000 + FrontLimits.defaults().defaultDeadlineMs());
+                .isEqualTo(1_000 + RequestLimits.defaults().defaultDeadlineMs());
     }
 
     @ParameterizedTest
@@ -116,7 +116,8 @@
         "x-deadline-ms, 0,             FIELD_INVALID,          x-deadline-ms is \"0\"",
         "idempotency-key, a b,         FIELD_INVALID,          idempotency-key"
     })
-    void faultyHeader_isNamed(String header, String value, ErrorKind kind, String message) {
+    void invalidHeader_isNamedInTheError(
+            String header, String value, ErrorKind kind, String message) {
         mHeaders.put(header, value);
         Failure failure = chat(BODY).getLeft();
         assertThat(failure.kind()).isEqualTo(kind);
@@ -133,35 +134,35 @@
                 "desk | absent                      | MODEL_UNKNOWN",
                 "desk | desk\",\"adapter\":\"other  | NOT_PERMITTED"
             })
-    void whatTheTermsForbid_isRefused(String from, String to, ErrorKind kind) {
+    void requestOutsideTheTerms_isRefused(String from, String to, ErrorKind kind) {
         String body = BODY.replace(from, to).replace("\"101\"", "101");
         assertThat(chat(body).getLeft().kind()).isEqualTo(kind);
     }
 
     @Test
-    void sameKeyWithOtherBody_isAnotherRequest() {
+    void sameIdempotencyKeyWithDifferentBody_givesDifferentRequestKey() {
         mHeaders.put("idempotency-key", "k1");
-        ChatOrder first = chat(BODY).get();
+        AdmittedChat first = chat(BODY).get();
         assertThat(chat(BODY).get().key()).isEqualTo(first.key());
         assertThat(chat(BODY.replace("hi", "ho")).get().key()).isNotEqualTo(first.key());
         assertThat(first.key().request().value()).isEqualTo("k1");
     }
 
     @Test
-    void requestsWithoutAKey_areNeverTheSame() {
+    void requestsWithoutIdempotencyKey_getDistinctKeys() {
         assertThat(chat(BODY).get().key()).isNotEqualTo(chat(BODY).get().key());
     }
 
     @ParameterizedTest
     @CsvSource({"GET, true", "POST, false", "PUT, false", "DELETE, false"})
-    void onlyAGet_mayBeRepeatedByDefault(String method, boolean repeatable) {
-        ServiceOrder order = service(method, "/v1/services/records/v1/x%2Fy?a=b").get();
+    void onlyGet_isRepeatableByDefault(String method, boolean repeatable) {
+        AdmittedServiceCall order = service(method, "/v1/services/records/v1/x%2Fy?a=b").get();
         assertThat(order.plan().repeatable()).isEqualTo(repeatable);
         assertThat(order.call().target()).isEqualTo("/v1/x%2Fy?a=b");
     }
 
     @Test
-    void callerMaySayThatACallCanBeRepeated() {
+    void workKindHeader_makesPostRepeatable() {
         mHeaders.put("x-work-kind", "service_repeatable");
         assertThat(service("POST", "/v1/services/records/a").get().plan().repeatable()).isTrue();
     }
