--- a/experiment/src/main/java/org/hornbeampass/experiment/fleet/LinkTable.java
+++ b/experiment/src/main/java/org/hornbeampass/experiment/fleet/LinkTable.java
@@ -3,7 +3,7 @@
 import org.hornbeampass.coordination.platform.Platform;
 import org.hornbeampass.coordination.platform.PlatformCall;
 import org.hornbeampass.coordination.platform.PlatformReply;
-import org.hornbeampass.router.daemon.RouterHooks;
+import org.hornbeampass.router.daemon.LinkFaults;
 
 import java.util.Collection;
 import java.util.Map;
@@ -58,20 +58,20 @@
     }
 
     /** Returns the hooks of one router. */
-    RouterHooks hooks(String vmName) {
-        return new RouterHooks() {
+    LinkFaults hooks(String vmName) {
+        return new LinkFaults() {
             @Override
             public Platform platform(Platform platform) {
                 return (nowMs, call, done) -> submit(vmName, platform, nowMs, call, done);
             }
 
             @Override
-            public boolean sendsTo(String other) {
+            public boolean deliversTo(String other) {
                 return open(vmName, other);
             }
 
             @Override
-            public boolean hears(String other) {
+            public boolean receivesFrom(String other) {
                 return open(other, vmName);
             }
         };
--- a/router/src/main/java/org/hornbeampass/router/daemon/Coordination.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/Coordination.java
@@ -54,7 +54,7 @@
     private final OrganisationLimits mLimits;
     private final TargetQueues mQueues;
     private final CallBudget mCalls;
-    private final ConfigInForce mInForce = new ConfigInForce();
+    private final CurrentConfig mInForce = new CurrentConfig();
 
     /**
      * Makes the parts.
@@ -160,7 +160,7 @@
     }
 
     /** Does what is due often: platform calls that wait, and bills. */
-    void tickOften(long nowMs) {
+    void tickFast(long nowMs) {
         mCalls.tick(nowMs);
         mRequests.tick(nowMs);
     }
@@ -182,7 +182,7 @@
         return mConfig;
     }
 
-    ConfigInForce inForce() {
+    CurrentConfig currentConfig() {
         return mInForce;
     }
 
@@ -207,7 +207,7 @@
         return mRequests;
     }
 
-    UpstreamTable table() {
+    UpstreamTable upstreamTable() {
         return mTable;
     }
 
--- a/router/src/main/java/org/hornbeampass/router/daemon/ConfigInForce.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/CurrentConfig.java
@@ -12,7 +12,7 @@
  * <p>Invariant: it never goes back to an older revision, also where two are applied at once.
  * Thread-safe.
  */
-final class ConfigInForce implements Supplier<ServingConfig> {
+final class CurrentConfig implements Supplier<ServingConfig> {
     private final AtomicReference<ServingConfig> mConfig =
             new AtomicReference<>(ServingConfig.of(ConfigSnapshot.empty()));
 
--- a/router/src/main/java/org/hornbeampass/router/daemon/LateHandler.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/DeferredHandler.java
@@ -14,7 +14,7 @@
  *
  * <p>Thread-safe.
  */
-final class LateHandler implements HttpHandler {
+final class DeferredHandler implements HttpHandler {
     private volatile Optional<HttpHandler> mHandler = Optional.empty();
 
     void set(HttpHandler handler) {
--- a/router/src/main/java/org/hornbeampass/router/daemon/HookedPeers.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/FaultInjectingPeers.java
@@ -19,13 +19,13 @@
  *
  * <p>Thread-safe.
  */
-final class HookedPeers implements PeerNetwork {
+final class FaultInjectingPeers implements PeerNetwork {
     private final PeerNetwork mPeers;
-    private final RouterHooks mHooks;
+    private final LinkFaults mHooks;
     private final EventLoops mLoops;
     private final Clock mClock;
 
-    HookedPeers(PeerNetwork peers, RouterHooks hooks, EventLoops loops, Clock clock) {
+    FaultInjectingPeers(PeerNetwork peers, LinkFaults hooks, EventLoops loops, Clock clock) {
         mPeers = peers;
         mHooks = hooks;
         mLoops = loops;
@@ -34,7 +34,7 @@
 
     @Override
     public void send(String vmName, PeerMessage message) {
-        if (mHooks.sendsTo(vmName)) {
+        if (mHooks.deliversTo(vmName)) {
             mPeers.send(vmName, message);
         }
     }
@@ -46,7 +46,7 @@
             PeerMessage request,
             long timeoutMs,
             BiConsumer<Long, Either<Failure, PeerMessage>> done) {
-        if (!mHooks.sendsTo(vmName)) {
+        if (!mHooks.deliversTo(vmName)) {
             timeOut(vmName, nowMs + timeoutMs, done);
             return;
         }
@@ -56,7 +56,7 @@
                 request,
                 timeoutMs,
                 (at, reply) -> {
-                    if (mHooks.hears(vmName)) {
+                    if (mHooks.receivesFrom(vmName)) {
                         done.accept(at, reply);
                     } else {
                         timeOut(vmName, nowMs + timeoutMs, done);
--- a/router/src/main/java/org/hornbeampass/router/daemon/FleetView.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/FleetView.java
@@ -57,7 +57,7 @@
 
     private final Platform mPlatform;
     private final Membership mMembership;
-    private final VmList mList;
+    private final VmListReader mList;
     private final ListedVm mSelf;
     private final MemberHomes mHomes = new MemberHomes();
     private final Function<List<Member>, BroadcastPaths> mFleetPaths;
@@ -97,7 +97,7 @@
         List<Seed> seeds = seeds(settings.seeds());
         mHasSeeds = seeds.stream().anyMatch(s -> !s.name().equals(vm.name()));
         mMembership = new Membership(self, peers, seeds, MembershipSettings.defaults(), random);
-        mList = new VmList(mMembership, platform, random);
+        mList = new VmListReader(mMembership, platform, random);
     }
 
     private static String text(InetSocketAddress address) {
@@ -165,13 +165,13 @@
     }
 
     /** Returns whom this VM tells what it has in progress. */
-    BroadcastPaths paths() {
+    BroadcastPaths broadcastPaths() {
         return mFleetPaths.apply(mMembership.view().live());
     }
 
     /** Returns whether this VM is the one of those that are up that keeps a kind of record. */
-    boolean keeps(String kind) {
-        List<String> names = new ArrayList<>(others());
+    boolean isRecordOwner(String kind) {
+        List<String> names = new ArrayList<>(otherLiveNames());
         String self = mSelf.vm().name();
         names.add(self);
         return RendezvousHash.choose(kind, names).filter(self::equals).isPresent();
@@ -211,7 +211,7 @@
     }
 
     /** Returns how many VMs share the fleet's bounds: all that were up of late. */
-    int vms() {
+    int sharingVmCount() {
         MembershipView view = mMembership.view();
         int known = view.members().size() - view.leaving().size() - view.gone().size();
         mMostVms = Math.max(mMostVms, known);
@@ -219,7 +219,7 @@
     }
 
     /** Returns the names of other VMs that are up. */
-    List<String> others() {
+    List<String> otherLiveNames() {
         MembershipView view = mMembership.view();
         return view.live().stream()
                 .map(Member::name)
@@ -231,7 +231,7 @@
      * Returns the addresses that callers should use. Where most VMs seem to be gone at once, it is
      * this VM that is cut off: callers may still reach the others, which stay in the answer.
      */
-    List<InetSocketAddress> callersAddresses(boolean withSelf) {
+    List<InetSocketAddress> callerAddresses(boolean withSelf) {
         MembershipView view = mMembership.view();
         List<Member> usable = new ArrayList<>(view.live());
         int others = view.members().size() - view.leaving().size() - 1;
--- a/router/src/main/java/org/hornbeampass/router/daemon/Hornbeampassd.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/Hornbeampassd.java
@@ -107,7 +107,7 @@
                         + daemon.operatorsAddress()
                         + " peers="
                         + daemon.peersAddress());
-        daemon.drained().join();
+        daemon.shutDownFuture().join();
         return 0;
     }
 
--- a/router/src/main/java/org/hornbeampass/router/daemon/LineLogging.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/LineLogging.java
@@ -38,7 +38,7 @@
      * Puts this configuration in force, where the runtime's properties ask for it; to be called
      * before anything is logged.
      */
-    public static void installIfAskedFor() {
+    public static void installIfRequested() {
         if (LINES.equals(System.getProperty(PROPERTY))) {
             Configurator.initialize(new LineLogging());
         }
--- a/router/src/main/java/org/hornbeampass/router/daemon/RouterHooks.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/LinkFaults.java
@@ -8,9 +8,9 @@
  * <p>Invariant: a hook can only take links away, never change what goes over them. Implementations
  * are thread-safe and must not block.
  */
-public interface RouterHooks {
+public interface LinkFaults {
     /** Leaves every link as it is. */
-    RouterHooks NONE = new RouterHooks() {};
+    LinkFaults NONE = new LinkFaults() {};
 
     /** Returns the platform as the router reaches it. */
     default Platform platform(Platform platform) {
@@ -18,12 +18,12 @@
     }
 
     /** Returns whether what this router sends to another one arrives there. */
-    default boolean sendsTo(String vmName) {
+    default boolean deliversTo(String vmName) {
         return true;
     }
 
     /** Returns whether what another router answers arrives here. */
-    default boolean hears(String vmName) {
+    default boolean receivesFrom(String vmName) {
         return true;
     }
 }
--- a/router/src/main/java/org/hornbeampass/router/daemon/OperatorSide.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/OperatorApi.java
@@ -22,11 +22,11 @@
  *
  * <p>Stateless; safe for use by any thread.
  */
-final class OperatorSide {
+final class OperatorApi {
     /** For how long the platform may say nothing about the configuration while all is well. */
     private static final long SILENT_MS = 120_000;
 
-    private OperatorSide() {}
+    private OperatorApi() {}
 
     /** Starts answering operators, and the orders that other routers carry for them. */
     static void start(
--- a/router/src/main/java/org/hornbeampass/router/daemon/PeerAddresses.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/PeerAddresses.java
@@ -13,7 +13,7 @@
     private PeerAddresses() {}
 
     /** Returns the address as membership knows it; empty while the parts are being made. */
-    static Optional<InetSocketAddress> of(AtomicReference<Coordination> parts, String vmName) {
+    static Optional<InetSocketAddress> resolve(AtomicReference<Coordination> parts, String vmName) {
         return Optional.ofNullable(parts.get())
                 .flatMap(p -> p.membership().peerAddress(vmName))
                 .flatMap(PeerAddresses::parse);
--- a/router/src/main/java/org/hornbeampass/router/daemon/PeerRoutes.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/PeerMessageHandlers.java
@@ -22,8 +22,8 @@
  *
  * <p>Stateless; safe for use by any thread.
  */
-final class PeerRoutes {
-    private PeerRoutes() {}
+final class PeerMessageHandlers {
+    private PeerMessageHandlers() {}
 
     /** Registers each handler. */
     static void register(PeerTransport peers, Coordination parts) {
--- a/router/src/main/java/org/hornbeampass/router/daemon/Rehearsal.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/Rehearsal.java
@@ -44,7 +44,7 @@
      * @param platforms makes the client of the store
      * @param script the store, and what callers ask
      */
-    static void run(WireFormat wire, PlatformFactory platforms, RehearsalScript script)
+    static void run(WireFormat wire, PlatformFactory platforms, RehearsalEnvironment script)
             throws IOException {
         List<InetSocketAddress> peers = new ArrayList<>();
         for (String host : HOSTS) {
@@ -57,7 +57,7 @@
                         settings(script, peers.get(i), peers.get(HOSTS.size() - 1 - i));
                 RelayDaemon router = RelayDaemon.start(settings, wire, platforms);
                 routers.add(router);
-                RelayDaemonCommand.reloadOnHangUp(Path.of(NO_FILE), "", settings, router);
+                RelayDaemonCommand.reloadOnSighup(Path.of(NO_FILE), "", settings, router);
                 RelayDaemonCommand.logStarted(settings);
             }
             ask(script, routers);
@@ -73,7 +73,7 @@
     }
 
     private static RelayDaemonSettings settings(
-            RehearsalScript script, InetSocketAddress own, InetSocketAddress seed)
+            RehearsalEnvironment script, InetSocketAddress own, InetSocketAddress seed)
             throws IOException {
         String text =
                 String.format(
@@ -104,7 +104,8 @@
         return read.get();
     }
 
-    private static void ask(RehearsalScript script, List<RelayDaemon> routers) throws IOException {
+    private static void ask(RehearsalEnvironment script, List<RelayDaemon> routers)
+            throws IOException {
         for (RelayDaemon router : routers) {
             askUntilServed(router, script.requests().get(0));
         }
@@ -113,7 +114,7 @@
                 for (String request : script.requests()) {
                     ask(router.callersAddress(), request);
                 }
-                for (String question : script.addressQuestions()) {
+                for (String question : script.addressRequests()) {
                     ask(router.directoryAddress(), question);
                 }
             }
--- a/router/src/main/java/org/hornbeampass/router/daemon/RehearsalScript.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/RehearsalEnvironment.java
@@ -9,7 +9,7 @@
  *
  * <p>Implementations are safe for use by any thread.
  */
-public interface RehearsalScript extends AutoCloseable {
+public interface RehearsalEnvironment extends AutoCloseable {
     /** Returns where the store listens. */
     URI platform();
 
@@ -17,7 +17,7 @@
     List<String> requests();
 
     /** Returns the texts of questions for addresses, each of which closes its connection. */
-    List<String> addressQuestions();
+    List<String> addressRequests();
 
     @Override
     void close();
--- a/router/src/main/java/org/hornbeampass/router/daemon/RelayDaemon.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/RelayDaemon.java
@@ -123,13 +123,13 @@
         mViews = views();
         mBudgets = budgets(ip);
         mBudgetMetrics = new BudgetMetrics(mMetrics, mBudgets);
-        mLoads = new LoadExchange(mUpstreamRegistry, mPeers, mFleet::paths);
+        mLoads = new LoadExchange(mUpstreamRegistry, mPeers, mFleet::broadcastPaths);
         mSignals =
                 new SignalExchange(
                         mUpstreamRegistry,
                         mSignalTable,
                         mPeers,
-                        mFleet::paths,
+                        mFleet::broadcastPaths,
                         new SignalLog(mLog));
         mLoans = new EscrowLoans(mBudgets, mPeers, mFleet.homes(), mRandom);
         mPool = new UpstreamPool(mLoops, mClock);
@@ -177,7 +177,7 @@
                 mLoans,
                 mLog,
                 mRandom,
-                mFleet::vms,
+                mFleet::sharingVmCount,
                 mViews::configMayBeBehind);
     }
 
@@ -186,7 +186,7 @@
     }
 
     private int vms() {
-        return mFleet.vms();
+        return mFleet.sharingVmCount();
     }
 
     private StoreChanges changes() {
@@ -203,7 +203,7 @@
                 mWire.configPrefix(),
                 mWire.upstreamPrefix(),
                 mPeers,
-                mFleet::others,
+                mFleet::otherLiveNames,
                 mLog,
                 mFleet.membership()::announceRevision,
                 mFleet.membership()::announceUpstreamsRevision,
@@ -229,8 +229,8 @@
         return new Quarantine(
                 mStore,
                 mPeers,
-                mFleet::paths,
-                () -> mFleet.keeps("quarantines"),
+                mFleet::broadcastPaths,
+                () -> mFleet.isRecordOwner("quarantines"),
                 mRandom,
                 new QuarantineLog(mLog));
     }
@@ -249,7 +249,7 @@
         mPeers.on(Gossip.class, membership::onGossip);
         mPeers.on(IndirectPing.class, membership::onIndirectPing);
         mPeers.on(SyncRequest.class, membership::onSyncRequest);
-        mPeers.on(ViewChangesRequest.class, mViews.news()::onRequest);
+        mPeers.on(ViewChangesRequest.class, mViews.viewExchange()::onRequest);
         mPeers.on(LoanRequest.class, mLoans::onRequest);
         mPeers.on(TokenTransfer.class, mLoans::onTransfer);
         mPeers.on(InFlightReport.class, mLoads::onReport);
@@ -275,7 +275,7 @@
         mMetrics.register("permits_unanswered", (Gauge<Long>) permits::unanswered);
         mMetrics.register("permits_used", (Gauge<Long>) permits::used);
         mMetrics.register("permits_expired", (Gauge<Long>) permits::expired);
-        mMetrics.register("vms", (Gauge<Integer>) mFleet::vms);
+        mMetrics.register("vms", (Gauge<Integer>) mFleet::sharingVmCount);
         mMetrics.register("caller_connections", (Gauge<Integer>) this::connections);
         mMetrics.register("upstream_connections_opened", (Gauge<Long>) mPool::opened);
     }
@@ -307,7 +307,7 @@
         }
         String body =
                 mWire.addresses(
-                        mFleet.callersAddresses(ready()), mSettings.keepAddressesMs() / 1_000.0);
+                        mFleet.callerAddresses(ready()), mSettings.keepAddressesMs() / 1_000.0);
         respond(caller, 200, body);
         return CallerListener.IGNORING;
     }
@@ -334,7 +334,7 @@
     }
 
     private boolean ready() {
-        return mParts.routes().isPresent() && !mShutdown.begun();
+        return mParts.routes().isPresent() && !mShutdown.hasBegun();
     }
 
     private void tick(long nowMs) {
--- a/router/src/main/java/org/hornbeampass/router/daemon/RelayDaemonCommand.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/RelayDaemonCommand.java
@@ -34,7 +34,8 @@
      * @param script what is served
      * @return the exit code
      */
-    public static int rehearse(WireFormat wire, PlatformFactory platforms, RehearsalScript script) {
+    public static int rehearse(
+            WireFormat wire, PlatformFactory platforms, RehearsalEnvironment script) {
         try {
             Rehearsal.run(wire, platforms, script);
             return 0;
@@ -88,8 +89,8 @@
             System.err.println(e.getMessage());
             return EXIT_LISTEN;
         }
-        SettingsReload reload = reloadOnHangUp(file, text, settings, daemon);
-        daemon.every(SettingsReload.LOOK_MS, reload::look);
+        SettingsReload reload = reloadOnSighup(file, text, settings, daemon);
+        daemon.every(SettingsReload.CHECK_INTERVAL_MS, reload::checkFile);
         Runtime.getRuntime().addShutdownHook(new Thread(() -> onSignal(daemon), "shutdown"));
         logStarted(settings);
         daemon.shutDownFuture().join();
@@ -97,10 +98,10 @@
     }
 
     /** Lets a router read its settings again at SIGHUP. */
-    static SettingsReload reloadOnHangUp(
+    static SettingsReload reloadOnSighup(
             Path file, String text, RelayDaemonSettings settings, RelayDaemon daemon) {
         SettingsReload reload = new SettingsReload(file, text, settings, daemon::apply);
-        HangUp.handle(reload::onSignal);
+        SighupHandler.handle(reload::onSignal);
         return reload;
     }
 
--- a/router/src/main/java/org/hornbeampass/router/daemon/RelayDaemonSettings.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/RelayDaemonSettings.java
@@ -49,7 +49,7 @@
      * Returns these settings with all of newer ones that can change while the daemon runs: bounds
      * of retries, seeds, and how long addresses may be kept.
      */
-    RelayDaemonSettings adopt(RelayDaemonSettings newer) {
+    RelayDaemonSettings withReloadable(RelayDaemonSettings newer) {
         return new RelayDaemonSettings(
                 name,
                 region,
--- a/router/src/main/java/org/hornbeampass/router/daemon/RelayShutdown.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/RelayShutdown.java
@@ -50,7 +50,7 @@
         mParts = parts;
     }
 
-    boolean begun() {
+    boolean hasBegun() {
         return mBegun;
     }
 
--- a/router/src/main/java/org/hornbeampass/router/daemon/RevisionNews.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/RevisionTracker.java
@@ -19,7 +19,7 @@
  * <p>Invariant: a revision that this VM has seen itself leads to no question. Confined to one event
  * loop.
  */
-final class RevisionNews {
+final class RevisionTracker {
     /**
      * How long this VM's own watch may be behind another VM's, in milliseconds, before that one is
      * asked: a slow store takes some 350 for an answer, and a question would ask for the same.
@@ -53,7 +53,7 @@
      * @param announce tells others a revision, at a time in milliseconds
      * @param ask asks the VM of a name for its view, at a time in milliseconds
      */
-    RevisionNews(
+    RevisionTracker(
             String view,
             RelayLog log,
             BiConsumer<Long, Long> announce,
@@ -74,7 +74,7 @@
     }
 
     /** Takes how new another VM's view is. */
-    void onHeard(long nowMs, VmId from, long revision) {
+    void onPeerRevision(long nowMs, VmId from, long revision) {
         if (revision > mHeard) {
             mHeard = revision;
             mHeardMs = nowMs;
@@ -88,7 +88,7 @@
     }
 
     /** Returns whether another VM was heard of lately whose view is newer than this one's. */
-    boolean behind(long nowMs) {
+    boolean isBehind(long nowMs) {
         return mHeard > mNewest && nowMs - mHeardMs < BEHIND_MS;
     }
 
--- a/router/src/main/java/org/hornbeampass/router/daemon/RouterDaemon.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/RouterDaemon.java
@@ -51,14 +51,14 @@
     private final Shutdown mShutdown;
     private final AtomicBoolean mClosed = new AtomicBoolean();
 
-    private RouterDaemon(RouterSettings settings, RouterHooks hooks, Clock clock) {
+    private RouterDaemon(RouterSettings settings, LinkFaults hooks, Clock clock) {
         mClock = clock;
         long nowMs = clock.nowMs();
         mVm = new VmId(settings.place().name(), settings.place().incarnation().orElse(nowMs));
         AtomicReference<Coordination> parts = new AtomicReference<>();
         mNetwork =
                 new RouterNetwork(
-                        mVm, settings, clock, name -> PeerAddresses.of(parts, name), hooks);
+                        mVm, settings, clock, name -> PeerAddresses.resolve(parts, name), hooks);
         mTimers = new WheelTimers(clock, mVm.name() + "-timers");
         mMetrics = new RouterMetrics(new MetricRegistry());
         mParts =
@@ -72,20 +72,24 @@
         parts.set(mParts);
         mRunner = new FlowRunner(serveParts(settings));
         mShutdown = new Shutdown(mParts, mNetwork, mRunner, mTimers, settings.execution());
-        PeerRoutes.register(mNetwork.peers(), mParts);
+        PeerMessageHandlers.register(mNetwork.peers(), mParts);
         mNetwork.callersHandler().set(frontDoor(settings));
-        OperatorSide.start(settings, mParts, mNetwork, mMetrics, nowMs, new Drain());
+        OperatorApi.start(settings, mParts, mNetwork, mMetrics, nowMs, new Drain());
         mTicks = new TickLoop(mNetwork.control(), clock);
-        mTicks.every(TickLoop.OFTEN_MS, mParts::tickOften);
-        mTicks.every(TickLoop.SELDOM_MS, mParts::tick);
+        mTicks.every(TickLoop.FAST_INTERVAL_MS, mParts::tickFast);
+        mTicks.every(TickLoop.SLOW_INTERVAL_MS, mParts::tick);
         LoadPoller news =
                 new LoadPoller(
-                        mParts.table(), mParts.config()::snapshot, mNetwork.platform(), clock);
-        mTicks.every(TickLoop.SELDOM_MS, news::tick);
-        VmList list =
-                new VmList(mParts.membership(), mParts.backgroundPlatform(), new Random(nowMs));
-        mTicks.every(TickLoop.SELDOM_MS, list::tick);
-        mTicks.every(TickLoop.SELDOM_MS, this::endWhereSuperseded);
+                        mParts.upstreamTable(),
+                        mParts.config()::snapshot,
+                        mNetwork.platform(),
+                        clock);
+        mTicks.every(TickLoop.SLOW_INTERVAL_MS, news::tick);
+        VmListReader list =
+                new VmListReader(
+                        mParts.membership(), mParts.backgroundPlatform(), new Random(nowMs));
+        mTicks.every(TickLoop.SLOW_INTERVAL_MS, list::tick);
+        mTicks.every(TickLoop.SLOW_INTERVAL_MS, this::endWhereSuperseded);
         ControlMetrics.register(
                 mMetrics.registry(), mParts, mNetwork.peers().counters(), news, mRunner);
     }
@@ -96,7 +100,7 @@
      * @throws IllegalStateException if an address can't be listened on
      */
     public static RouterDaemon start(RouterSettings settings) {
-        return start(settings, RouterHooks.NONE);
+        return start(settings, LinkFaults.NONE);
     }
 
     /**
@@ -104,7 +108,7 @@
      *
      * @throws IllegalStateException if an address can't be listened on
      */
-    public static RouterDaemon start(RouterSettings settings, RouterHooks hooks) {
+    public static RouterDaemon start(RouterSettings settings, LinkFaults hooks) {
         return new RouterDaemon(settings, hooks, Clock.monotonic());
     }
 
@@ -144,7 +148,7 @@
         AttemptContext upstreams =
                 new AttemptContext(
                         mVm,
-                        mParts.table(),
+                        mParts.upstreamTable(),
                         mParts.chooser(),
                         new RetryPolicy(),
                         RetryBudget.defaults(),
@@ -168,7 +172,7 @@
     private FrontDoor frontDoor(RouterSettings settings) {
         return new FrontDoor(
                 new RequestAdmission(mVm, settings.limits().front()),
-                mParts.inForce(),
+                mParts.currentConfig(),
                 mRunner,
                 mParts.addresses(),
                 this::notReady,
@@ -178,7 +182,7 @@
 
     /** Returns why this router takes no new requests; empty where it does. */
     public Optional<Failure> notReady() {
-        if (mShutdown.begun()) {
+        if (mShutdown.hasBegun()) {
             return Optional.of(
                     Failure.retryAfter(
                             ErrorKind.SHUTTING_DOWN,
@@ -226,7 +230,7 @@
     }
 
     /** Returns a future that is completed once nothing is left to do after a shutdown began. */
-    public CompletableFuture<Void> drained() {
+    public CompletableFuture<Void> shutDownFuture() {
         return mShutdown.done();
     }
 
--- a/router/src/main/java/org/hornbeampass/router/daemon/RouterNetwork.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/RouterNetwork.java
@@ -43,8 +43,8 @@
     private final PeerNetwork mPeerNetwork;
     private final HttpClient mUpstreams;
     private final HttpClient mPlatform;
-    private final LateHandler mCallersHandler = new LateHandler();
-    private final LateHandler mOperatorsHandler = new LateHandler();
+    private final DeferredHandler mCallersHandler = new DeferredHandler();
+    private final DeferredHandler mOperatorsHandler = new DeferredHandler();
 
     /**
      * Starts listening.
@@ -57,7 +57,7 @@
             RouterSettings settings,
             Clock clock,
             Function<String, Optional<InetSocketAddress>> addresses,
-            RouterHooks hooks) {
+            LinkFaults hooks) {
         mServing = EventLoops.create(settings.execution().workers(), self.name() + "-serving");
         mControl = EventLoops.create(CONTROL_THREADS, self.name() + "-control");
         RouterSettings.Listen listen = settings.listen();
@@ -75,9 +75,9 @@
                         clock,
                         addresses);
         mPeerNetwork =
-                hooks == RouterHooks.NONE
+                hooks == LinkFaults.NONE
                         ? mPeers
-                        : new HookedPeers(mPeers, hooks, mControl, clock);
+                        : new FaultInjectingPeers(mPeers, hooks, mControl, clock);
         mUpstreams =
                 NettyHttpClient.create(
                         mServing,
@@ -136,11 +136,11 @@
         return mControl;
     }
 
-    LateHandler callersHandler() {
+    DeferredHandler callersHandler() {
         return mCallersHandler;
     }
 
-    LateHandler operatorsHandler() {
+    DeferredHandler operatorsHandler() {
         return mOperatorsHandler;
     }
 
--- a/router/src/main/java/org/hornbeampass/router/daemon/SettingsReload.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/SettingsReload.java
@@ -21,7 +21,7 @@
     private static final Logger LOG = LogManager.getLogger("decisions");
 
     /** How often the file is looked at without a signal, in milliseconds; it has some 2 KB. */
-    static final long LOOK_MS = 2_000;
+    static final long CHECK_INTERVAL_MS = 2_000;
 
     private final Path mFile;
     private final Consumer<RelayDaemonSettings> mApply;
@@ -34,7 +34,8 @@
      * @param file the settings file
      * @param text what it held at the start
      * @param settings the settings in force
-     * @param apply takes settings of which {@link RelayDaemonSettings#adopt} says what is in force
+     * @param apply takes settings of which {@link RelayDaemonSettings#withReloadable} says what is
+     *     in force
      */
     SettingsReload(
             Path file,
@@ -56,7 +57,7 @@
     }
 
     /** Reads the settings without a signal: silent where nothing changed. */
-    synchronized void look() {
+    synchronized void checkFile() {
         Optional<String> text = read();
         if (text.isPresent() && !text.get().equals(mText)) {
             take(text.get(), "file");
@@ -83,7 +84,7 @@
             return;
         }
         List<String> restart = mSettings.changesThatNeedRestart(read.get());
-        RelayDaemonSettings adopted = mSettings.adopt(read.get());
+        RelayDaemonSettings adopted = mSettings.withReloadable(read.get());
         boolean changed = !adopted.equals(mSettings);
         mSettings = adopted;
         mApply.accept(adopted);
--- a/router/src/main/java/org/hornbeampass/router/daemon/Shutdown.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/Shutdown.java
@@ -41,7 +41,7 @@
     }
 
     /** Returns whether the shutdown has begun, so that new requests are refused. */
-    boolean begun() {
+    boolean hasBegun() {
         return mBegun.get();
     }
 
--- a/router/src/main/java/org/hornbeampass/router/daemon/HangUp.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/SighupHandler.java
@@ -12,10 +12,10 @@
  * by name so that a runtime without it only lacks the reload. Stateless; safe for use by any
  * thread.
  */
-final class HangUp {
-    private static final Logger LOG = LogManager.getLogger(HangUp.class);
+final class SighupHandler {
+    private static final Logger LOG = LogManager.getLogger(SighupHandler.class);
 
-    private HangUp() {}
+    private SighupHandler() {}
 
     /** Runs an action at each SIGHUP, on a thread of its own. */
     static void handle(Runnable action) {
@@ -24,7 +24,7 @@
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
             Object proxy =
                     Proxy.newProxyInstance(
-                            HangUp.class.getClassLoader(),
+                            SighupHandler.class.getClassLoader(),
                             new Class<?>[] {handler},
                             (self, method, args) -> {
                                 if (method.getName().equals("handle")) {
--- a/router/src/main/java/org/hornbeampass/router/daemon/StoreViews.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/StoreViews.java
@@ -44,8 +44,8 @@
     private final WatchedView mConfig;
     private final WatchedView mUpstreams;
     private final ViewExchange mNews;
-    private final RevisionNews mConfigNews;
-    private final RevisionNews mUpstreamsNews;
+    private final RevisionTracker mConfigNews;
+    private final RevisionTracker mUpstreamsNews;
     private long mWatchAnewAtMs = Long.MAX_VALUE;
     private long mWatchedAnewMs;
 
@@ -101,13 +101,13 @@
                         others,
                         random);
         mConfigNews =
-                new RevisionNews(
+                new RevisionTracker(
                         "configuration",
                         log,
                         announceConfig,
                         (nowMs, name) -> mNews.requestNow(nowMs, configPrefix, name));
         mUpstreamsNews =
-                new RevisionNews(
+                new RevisionTracker(
                         "upstreams",
                         log,
                         announceUpstreams,
@@ -125,11 +125,11 @@
                 taker);
     }
 
-    private RevisionNews configNews() {
+    private RevisionTracker configNews() {
         return mConfigNews;
     }
 
-    private RevisionNews upstreamsNews() {
+    private RevisionTracker upstreamsNews() {
         return mUpstreamsNews;
     }
 
@@ -146,7 +146,7 @@
      * the store does not answer.
      */
     boolean configMayBeBehind(long nowMs) {
-        return mConfigNews.behind(nowMs)
+        return mConfigNews.isBehind(nowMs)
                 || mConfig.receiving(nowMs)
                 || mConfig.failingForMs(nowMs) >= ViewExchange.MIN_FAILING_MS;
     }
@@ -170,18 +170,18 @@
     }
 
     /** Returns what answers other VMs' questions. */
-    ViewExchange news() {
+    ViewExchange viewExchange() {
         return mNews;
     }
 
     @Override
     public void onPeerRevision(long nowMs, VmId from, long revision) {
-        mConfigNews.onHeard(nowMs, from, revision);
+        mConfigNews.onPeerRevision(nowMs, from, revision);
     }
 
     @Override
     public void onPeerUpstreamsRevision(long nowMs, VmId from, long revision) {
-        mUpstreamsNews.onHeard(nowMs, from, revision);
+        mUpstreamsNews.onPeerRevision(nowMs, from, revision);
     }
 
     /** Does what is due. */
--- a/router/src/main/java/org/hornbeampass/router/daemon/TickLoop.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/TickLoop.java
@@ -19,10 +19,10 @@
  */
 final class TickLoop implements AutoCloseable {
     /** How often what callers wait for is driven, in milliseconds. */
-    static final long OFTEN_MS = 10;
+    static final long FAST_INTERVAL_MS = 10;
 
     /** How often the rest is driven, in milliseconds. */
-    static final long SELDOM_MS = 100;
+    static final long SLOW_INTERVAL_MS = 100;
 
     private static final Logger LOG = LogManager.getLogger(TickLoop.class);
 
--- a/router/src/main/java/org/hornbeampass/router/daemon/VmList.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/VmListReader.java
@@ -19,7 +19,7 @@
  * <p>The first {@value #READERS} live VMs of each failure domain read it often, and others hear
  * what it says by gossip; all others read it seldom, as a check. Used on the control loop only.
  */
-final class VmList {
+final class VmListReader {
     private static final String PREFIX = "vms/";
     private static final int READERS = 2;
     private static final int PAGE = 500;
@@ -38,7 +38,7 @@
     private long mNextMs;
     private boolean mReading;
 
-    VmList(Membership membership, Platform platform, Random random) {
+    VmListReader(Membership membership, Platform platform, Random random) {
         mMembership = membership;
         mPlatform = platform;
         mRandom = random;
--- a/router/src/test/java/org/hornbeampass/router/daemon/ConfigurationOnThinLinksTest.java
+++ b/router/src/test/java/org/hornbeampass/router/daemon/ConfigurationOnSlowLinksTest.java
@@ -19,7 +19,7 @@
  * four seconds later, at a processor that was 5 % busy and a link that was full. With a listing
  * after a failed watch, and nothing else changed, the test passes.
  */
-class ConfigurationOnThinLinksTest {
+class ConfigurationOnSlowLinksTest {
     /** A configuration of some 250 routes, and one of some 2,000. */
     private static final int SMALL_BYTES = 60_000;
 
@@ -39,7 +39,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void configurationThatGrowsAfterACut_isInForceEverywhereInTime(long seed) {
-        ThinLinkFleet fleet = new ThinLinkFleet(8, 40, seed);
+        SlowLinkFleet fleet = new SlowLinkFleet(8, 40, seed);
         long version = 1;
         fleet.writeConfig(0, version, SMALL_BYTES);
         for (long t = 4_000; t < 6_800; t += SMALL_GAP_MS) {
--- a/router/src/test/java/org/hornbeampass/router/daemon/CopiesFromOtherVmsTest.java
+++ b/router/src/test/java/org/hornbeampass/router/daemon/CopiesFromOtherVmsTest.java
@@ -40,8 +40,8 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void vmsThatAreCutOff_getALargeConfigurationFromOthers(long seed) {
-        ThinLinkFleet fleet = new ThinLinkFleet(WIDE, THIN, seed);
-        List<ThinLinkFleet.Vm> cut = fleet.vms().subList(WIDE + THIN / 2, WIDE + THIN);
+        SlowLinkFleet fleet = new SlowLinkFleet(WIDE, THIN, seed);
+        List<SlowLinkFleet.Vm> cut = fleet.vms().subList(WIDE + THIN / 2, WIDE + THIN);
         fleet.writeConfig(0, 1, LARGE_BYTES);
         fleet.cut(cut, 5_000, 30_000);
         fleet.writeConfig(WRITTEN_MS, 2, LARGE_BYTES);
@@ -57,7 +57,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void vmsThatReadALargeConfiguration_askNobodyElseForIt(long seed) {
-        ThinLinkFleet fleet = new ThinLinkFleet(WIDE, THIN, seed);
+        SlowLinkFleet fleet = new SlowLinkFleet(WIDE, THIN, seed);
         fleet.writeConfig(0, 1, LARGEST_BYTES);
         fleet.time().runUntil(WRITTEN_MS);
         long before = fleet.bytes();
--- a/router/src/test/java/org/hornbeampass/router/daemon/WholePathTest.java
+++ b/router/src/test/java/org/hornbeampass/router/daemon/EndToEndTest.java
@@ -23,7 +23,7 @@
 import java.util.stream.Collectors;
 
 /** The whole path over real sockets: a caller, a router, an engine, a service and a platform. */
-class WholePathTest {
+class EndToEndTest {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     private final HttpClient mClient = HttpClient.newHttpClient();
--- a/router/src/test/java/org/hornbeampass/router/daemon/RevisionNewsTest.java
+++ b/router/src/test/java/org/hornbeampass/router/daemon/RevisionTrackerTest.java
@@ -12,15 +12,15 @@
 import java.util.List;
 
 /** Checks when a VM asks another one whose view of the store is newer. */
-class RevisionNewsTest {
+class RevisionTrackerTest {
     private static final VmId PEER = new VmId("peer", 1);
     private static final VmId OTHER = new VmId("other", 1);
     private static final long HEARD_MS = 1_000;
 
     private final List<Long> mAnnounced = new ArrayList<>();
     private final List<String> mAsked = new ArrayList<>();
-    private final RevisionNews mNews =
-            new RevisionNews(
+    private final RevisionTracker mNews =
+            new RevisionTracker(
                     "configuration",
                     new RelayLog(new MetricRegistry()),
                     (nowMs, revision) -> mAnnounced.add(revision),
@@ -42,7 +42,7 @@
 
     @Test
     void revisionThatTheOwnWatchBringsInTime_leadsToNoQuestion() {
-        mNews.onHeard(HEARD_MS, PEER, 9);
+        mNews.onPeerRevision(HEARD_MS, PEER, 9);
         runUntil(HEARD_MS + 200);
         mNews.onChange(HEARD_MS + 250, 9);
         runUntil(HEARD_MS + 5_000);
@@ -51,7 +51,7 @@
 
     @Test
     void revisionThatTheOwnWatchMisses_isAskedForOnceWithinASecond() {
-        mNews.onHeard(HEARD_MS, PEER, 9);
+        mNews.onPeerRevision(HEARD_MS, PEER, 9);
         runUntil(HEARD_MS + 1_000);
         assertThat(mAsked).containsExactly("peer");
         runUntil(HEARD_MS + 5_000);
@@ -61,24 +61,24 @@
     @Test
     void viewIsBehind_fromTheNewsOfAChangeUntilItComes() {
         mNews.onChange(1, 8);
-        assertThat(mNews.behind(HEARD_MS)).isFalse();
-        mNews.onHeard(HEARD_MS, PEER, 9);
-        assertThat(mNews.behind(HEARD_MS)).isTrue();
+        assertThat(mNews.isBehind(HEARD_MS)).isFalse();
+        mNews.onPeerRevision(HEARD_MS, PEER, 9);
+        assertThat(mNews.isBehind(HEARD_MS)).isTrue();
         mNews.onChange(HEARD_MS + 300, 9);
-        assertThat(mNews.behind(HEARD_MS + 300)).isFalse();
+        assertThat(mNews.isBehind(HEARD_MS + 300)).isFalse();
     }
 
     @Test
     void revisionThatNeverComes_countsForSomeSeconds() {
-        mNews.onHeard(HEARD_MS, PEER, 9);
-        assertThat(mNews.behind(HEARD_MS + 9_000)).isTrue();
-        assertThat(mNews.behind(HEARD_MS + 11_000)).isFalse();
+        mNews.onPeerRevision(HEARD_MS, PEER, 9);
+        assertThat(mNews.isBehind(HEARD_MS + 9_000)).isTrue();
+        assertThat(mNews.isBehind(HEARD_MS + 11_000)).isFalse();
     }
 
     @Test
     void olderRevision_leadsToNoQuestion() {
         mNews.onChange(1, 9);
-        mNews.onHeard(HEARD_MS, PEER, 8);
+        mNews.onPeerRevision(HEARD_MS, PEER, 8);
         runUntil(HEARD_MS + 5_000);
         assertThat(mAsked).isEmpty();
     }
@@ -86,7 +86,7 @@
     @Test
     void storm_doesNotPutTheQuestionOff() {
         for (int i = 0; i < 10; i++) {
-            mNews.onHeard(HEARD_MS + 50L * i, i % 2 == 0 ? PEER : OTHER, 10 + i);
+            mNews.onPeerRevision(HEARD_MS + 50L * i, i % 2 == 0 ? PEER : OTHER, 10 + i);
         }
         runUntil(HEARD_MS + 500);
         assertThat(mAsked).containsExactly("other");
--- a/router/src/test/java/org/hornbeampass/router/daemon/SettingsReloadTest.java
+++ b/router/src/test/java/org/hornbeampass/router/daemon/SettingsReloadTest.java
@@ -46,7 +46,7 @@
     @Test
     void unchangedFile_isReadAgainOnASignalOnly() throws IOException {
         SettingsReload reload = reload();
-        reload.look();
+        reload.checkFile();
         assertThat(mApplied).isEmpty();
         reload.onSignal();
         assertThat(mApplied).hasSize(1);
@@ -56,11 +56,11 @@
     void changedFile_isInForceWithoutASignal() throws IOException {
         SettingsReload reload = reload();
         write(TEXT.replace("127.0.0.1:6", "127.0.0.1:7").replace("\"extra\": 56", "\"extra\": 9"));
-        reload.look();
+        reload.checkFile();
         assertThat(mApplied).hasSize(1);
         assertThat(mApplied.get(0).seeds().get(0).getPort()).isEqualTo(7);
         assertThat(mApplied.get(0).relay().retryExtra()).isEqualTo(9);
-        reload.look();
+        reload.checkFile();
         assertThat(mApplied).hasSize(1);
     }
 
@@ -69,7 +69,7 @@
         SettingsReload reload = reload();
         String changed = TEXT.replace("127.0.0.1:1", "127.0.0.1:9").replace("vm-1", "vm-2");
         write(changed);
-        reload.look();
+        reload.checkFile();
         assertThat(mApplied.get(0).name()).isEqualTo("vm-1");
         RelayDaemonSettings before = RelaySettingsFile.read("a", TEXT).get();
         RelayDaemonSettings after = RelaySettingsFile.read("b", changed).get();
@@ -80,11 +80,11 @@
     void faultyFile_changesNothingUntilItIsMended() throws IOException {
         SettingsReload reload = reload();
         write(TEXT.replace("\"ratio\": 0.2", "\"ratio\": -1"));
-        reload.look();
+        reload.checkFile();
         reload.onSignal();
         assertThat(mApplied).isEmpty();
         write(TEXT.replace("\"ratio\": 0.2", "\"ratio\": 0.3"));
-        reload.look();
+        reload.checkFile();
         assertThat(mApplied.get(0).relay().retryRatio()).isEqualTo(0.3);
     }
 }
--- a/router/src/test/java/org/hornbeampass/router/daemon/ThinLinkFleet.java
+++ b/router/src/test/java/org/hornbeampass/router/daemon/SlowLinkFleet.java
@@ -36,11 +36,11 @@
  * wide. A VM that is cut off from the store hears nothing more on calls that wait, notices after
  * {@link #SILENCE_MS}, and can't connect. Confined to one thread.
  */
-final class ThinLinkFleet {
+final class SlowLinkFleet {
     static final String CONFIG = "config/main";
 
     /** What the smallest links of the users' VMs carry: 7 Mbit/s. */
-    static final double THIN_BYTES_PER_MS = 875;
+    static final double SLOW_BYTES_PER_MS = 875;
 
     private static final double WIDE_BYTES_PER_MS = 17_500;
     private static final int HEAD_BYTES = 200;
@@ -64,12 +64,12 @@
      * Starts the VMs.
      *
      * @param wide how many have links of 140 Mbit/s
-     * @param thin how many have links of {@link #THIN_BYTES_PER_MS}
+     * @param thin how many have links of {@link #SLOW_BYTES_PER_MS}
      */
-    ThinLinkFleet(int wide, int thin, long seed) {
+    SlowLinkFleet(int wide, int thin, long seed) {
         mRandom = new Random(seed);
         for (int i = 0; i < wide + thin; i++) {
-            mVms.add(new Vm("vm-" + i, i < wide ? WIDE_BYTES_PER_MS : THIN_BYTES_PER_MS));
+            mVms.add(new Vm("vm-" + i, i < wide ? WIDE_BYTES_PER_MS : SLOW_BYTES_PER_MS));
         }
         mTime.every(0, TICK_MS, () -> mStore.expireWatches(mTime.nowMs()));
         mVms.forEach(Vm::start);
@@ -332,7 +332,7 @@
                 PeerMessage request,
                 AtomicBoolean open,
                 BiConsumer<Long, Either<Failure, PeerMessage>> done) {
-            mViews.news()
+            mViews.viewExchange()
                     .onRequest(
                             mTime.nowMs(),
                             new VmId(asker.mName, 1),
