--- a/router/src/main/java/org/hornbeampass/router/daemon/BudgetMetrics.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/BudgetMetrics.java
@@ -6,7 +6,7 @@
 import org.hornbeampass.coordination.escrow.EscrowBook;
 
 /**
- * Puts what this VM holds of each budget into its registry.
+ * Publishes the tokens that this VM holds of each budget as metrics.
  *
  * <p>Confined to one event loop.
  */
@@ -19,18 +19,21 @@
         mBudgets = budgets;
     }
 
-    /** Takes the figures of this moment; they are read now and then, and change often. */
+    /**
+     * Updates the gauges. Called when the metrics are read, since the amounts change far more often
+     * than they are read.
+     */
     void refresh() {
         mBudgets.holdings()
                 .forEach(
                         (organisation, holding) -> {
-                            set("granted", organisation, holding.granted());
-                            set("free", organisation, holding.free());
-                            set("spent", organisation, holding.spent());
+                            setGauge("granted", organisation, holding.granted());
+                            setGauge("free", organisation, holding.free());
+                            setGauge("spent", organisation, holding.spent());
                         });
     }
 
-    private void set(String part, String organisation, long tokens) {
+    private void setGauge(String part, String organisation, long tokens) {
         String name = "budget_" + part + "_tokens{organisation=\"" + organisation + "\"}";
         DefaultSettableGauge<Long> gauge =
                 mMetrics.gauge(name, () -> new DefaultSettableGauge<>(0L));
--- a/router/src/main/java/org/hornbeampass/router/daemon/ControlMetrics.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/ControlMetrics.java
@@ -13,7 +13,7 @@
 import java.util.function.LongSupplier;
 
 /**
- * Puts the figures of a router's coordination parts into its registry.
+ * Registers the metrics of a router's coordination components.
  *
  * <p>Stateless; safe for use by any thread.
  */
@@ -22,32 +22,38 @@
 
     static void register(
             MetricRegistry registry,
-            Coordination parts,
+            Coordination coordination,
             PeerCounters peers,
-            LoadPoller news,
+            LoadPoller loadPoller,
             FlowRunner runner) {
         for (PlatformCall.Kind kind : PlatformCall.Kind.values()) {
             for (CallPriority priority : CallPriority.values()) {
-                String name = name(kind) + "." + name(priority);
-                gauge(registry, "platform.sent." + name, () -> parts.calls().sent(kind, priority));
+                String name = metricName(kind) + "." + metricName(priority);
+                gauge(
+                        registry,
+                        "platform.sent." + name,
+                        () -> coordination.calls().sent(kind, priority));
                 gauge(
                         registry,
                         "platform.refused." + name,
-                        () -> parts.calls().refused(kind, priority));
+                        () -> coordination.calls().refused(kind, priority));
             }
-            gauge(registry, "platform.queued." + name(kind), () -> parts.calls().queued(kind));
+            gauge(
+                    registry,
+                    "platform.queued." + metricName(kind),
+                    () -> coordination.calls().queued(kind));
         }
         gauge(registry, "control.peer_bytes_sent", peers::bytesSent);
         gauge(registry, "control.peer_bytes_received", peers::bytesReceived);
-        gauge(registry, "control.upstream_news_bytes", news::bytes);
+        gauge(registry, "control.upstream_news_bytes", loadPoller::bytes);
         gauge(registry, "requests.running", runner::running);
-        gauge(registry, "requests.waiting", () -> parts.queues().waiting());
-        gauge(registry, "bills.not_durable", () -> parts.requests().waiting());
-        gauge(registry, "config.revision", () -> parts.config().snapshot().revision());
-        gauge(registry, "members.live", () -> parts.membership().view().live().size());
+        gauge(registry, "requests.waiting", () -> coordination.queues().waiting());
+        gauge(registry, "bills.not_durable", () -> coordination.requests().waiting());
+        gauge(registry, "config.revision", () -> coordination.config().snapshot().revision());
+        gauge(registry, "members.live", () -> coordination.membership().view().live().size());
     }
 
-    private static String name(Enum<?> constant) {
+    private static String metricName(Enum<?> constant) {
         return constant.name().toLowerCase(Locale.ROOT);
     }
 
--- a/router/src/main/java/org/hornbeampass/router/daemon/Coordination.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/Coordination.java
@@ -37,10 +37,10 @@
 import java.util.stream.Collectors;
 
 /**
- * The coordination parts of one router, and how news flows between them.
+ * The coordination components of one router, and the listeners that connect them.
  *
- * <p>Lock order: no part holds its lock while it calls another, so each lock is a leaf; where two
- * parts must be called together, they are called one after the other. Thread-safe.
+ * <p>Lock order: no component holds its lock while it calls another, so each lock is a leaf; where
+ * two components must be called together, they are called one after the other. Thread-safe.
  */
 final class Coordination {
     private final Membership mMembership;
@@ -49,21 +49,21 @@
     private final BudgetLedger mBudgets;
     private final BudgetAdmin mAccounts;
     private final RequestLedger mRequests;
-    private final UpstreamTable mTable;
+    private final UpstreamTable mUpstreamTable;
     private final UpstreamChooser mChooser;
     private final OrganisationLimits mLimits;
     private final TargetQueues mQueues;
     private final CallBudget mCalls;
-    private final CurrentConfig mInForce = new CurrentConfig();
+    private final CurrentConfig mCurrentConfig = new CurrentConfig();
 
     /**
-     * Makes the parts.
+     * Creates the components.
      *
-     * @param self this VM as others see it
-     * @param settings its settings
-     * @param platform the platform without a limit of its own
-     * @param network its network
-     * @param nowMs the present time in milliseconds
+     * @param self this VM's entry in the membership
+     * @param settings the settings of this router
+     * @param platform the platform, whose calls are limited here by {@link CallBudget}
+     * @param network the listeners and clients of this router
+     * @param nowMs the current time in milliseconds
      */
     Coordination(
             Member self,
@@ -114,14 +114,16 @@
                         mMembership::isProvedGone,
                         LedgerSettings.standard(),
                         random.nextLong());
-        mTable =
+        mUpstreamTable =
                 new UpstreamTable(
                         new Placement(vm.name(), self.domain(), self.region()),
                         RoutingSettings.defaults());
-        mChooser = new UpstreamChooser(mTable, RoutingPolicy.PREDICTED_WAIT, random.nextLong());
+        mChooser =
+                new UpstreamChooser(
+                        mUpstreamTable, RoutingPolicy.PREDICTED_WAIT, random.nextLong());
         mLimits = new OrganisationLimits(vm.name());
         mQueues = new TargetQueues(settings.limits().serve().maxWaiting());
-        mMembership.addListener(new MembershipNews());
+        mMembership.addListener(new MembershipUpdates());
         mConfig.addListener(this::applyConfig);
     }
 
@@ -129,7 +131,10 @@
         return mMembership.view().live().stream().map(Member::vm).toList();
     }
 
-    /** Returns an organisation's limit, on which all VMs agree, as a bound of its demand. */
+    /**
+     * Returns an organisation's rate limit, as an upper bound of its demand that is the same on all
+     * VMs.
+     */
     private double limitPerSecond(OrganisationId organisation) {
         return mConfig.snapshot()
                 .terms(organisation)
@@ -138,15 +143,15 @@
     }
 
     private void applyConfig(long nowMs, ConfigSnapshot snapshot) {
-        mTable.applyConfig(nowMs, snapshot);
+        mUpstreamTable.applyConfig(nowMs, snapshot);
         mLimits.applyConfig(nowMs, snapshot);
         mBudgets.onConfig(nowMs, snapshot);
-        mQueues.resize(nowMs, snapshot, mTable.status(nowMs));
-        mInForce.apply(snapshot);
+        mQueues.resize(nowMs, snapshot, mUpstreamTable.status(nowMs));
+        mCurrentConfig.apply(snapshot);
     }
 
-    /** Passes on what is heard of other VMs. */
-    private final class MembershipNews implements MembershipListener {
+    /** Passes membership changes on to the rate limits and the budgets. */
+    private final class MembershipUpdates implements MembershipListener {
         @Override
         public void onChange(long nowMs, MembershipView view) {
             Set<String> names = view.live().stream().map(Member::name).collect(Collectors.toSet());
@@ -159,19 +164,19 @@
         }
     }
 
-    /** Does what is due often: platform calls that wait, and bills. */
+    /** Sends queued platform calls and bills; called every {@link TickLoop#FAST_INTERVAL_MS}. */
     void tickFast(long nowMs) {
         mCalls.tick(nowMs);
         mRequests.tick(nowMs);
     }
 
-    /** Does what is due a few times a second. */
+    /** Runs periodic work; called every {@link TickLoop#SLOW_INTERVAL_MS}. */
     void tick(long nowMs) {
         mMembership.tick(nowMs);
         mConfig.tick(nowMs);
         mBudgets.tick(nowMs);
         mQueues.expire(nowMs);
-        mQueues.resize(nowMs, mConfig.snapshot(), mTable.status(nowMs));
+        mQueues.resize(nowMs, mConfig.snapshot(), mUpstreamTable.status(nowMs));
     }
 
     Membership membership() {
@@ -183,7 +188,7 @@
     }
 
     CurrentConfig currentConfig() {
-        return mInForce;
+        return mCurrentConfig;
     }
 
     AddressBook addresses() {
@@ -194,7 +199,7 @@
         return mBudgets;
     }
 
-    /** Returns the platform for reads that can wait. */
+    /** Returns a view of the platform whose calls are sent at background priority. */
     Platform backgroundPlatform() {
         return mCalls.lane(CallPriority.BACKGROUND);
     }
@@ -208,7 +213,7 @@
     }
 
     UpstreamTable upstreamTable() {
-        return mTable;
+        return mUpstreamTable;
     }
 
     UpstreamChooser chooser() {
--- a/router/src/main/java/org/hornbeampass/router/daemon/CurrentConfig.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/CurrentConfig.java
@@ -9,8 +9,8 @@
 /**
  * Holds the newest configuration, indexed for serving.
  *
- * <p>Invariant: it never goes back to an older revision, also where two are applied at once.
- * Thread-safe.
+ * <p>Invariant: the revision never decreases, even when two configurations are applied
+ * concurrently. Thread-safe.
  */
 final class CurrentConfig implements Supplier<ServingConfig> {
     private final AtomicReference<ServingConfig> mConfig =
@@ -20,8 +20,10 @@
         ServingConfig next = ServingConfig.of(snapshot);
         mConfig.accumulateAndGet(
                 next,
-                (now, given) ->
-                        given.snapshot().revision() > now.snapshot().revision() ? given : now);
+                (current, other) ->
+                        other.snapshot().revision() > current.snapshot().revision()
+                                ? other
+                                : current);
     }
 
     @Override
--- a/router/src/main/java/org/hornbeampass/router/daemon/DeferredHandler.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/DeferredHandler.java
@@ -9,8 +9,8 @@
 import java.util.Optional;
 
 /**
- * Answers "not ready" until the real handler is known, since a listener starts before the parts
- * that need its address.
+ * Forwards requests to a handler that is set later, and answers "not ready" until then. A listener
+ * starts before the components that need its address.
  *
  * <p>Thread-safe.
  */
@@ -29,7 +29,7 @@
             return;
         }
         ErrorAnswer answer =
-                ErrorAnswer.of(Failure.of(ErrorKind.NOT_READY, "the router starts; retry"));
+                ErrorAnswer.of(Failure.of(ErrorKind.NOT_READY, "the router is starting; retry"));
         exchange.respond(answer.status(), answer.headers(), answer.body());
     }
 }
--- a/router/src/main/java/org/hornbeampass/router/daemon/FaultInjectingPeers.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/FaultInjectingPeers.java
@@ -14,27 +14,27 @@
 import java.util.function.BiConsumer;
 
 /**
- * The links to other routers as the hooks leave them: what is cut is lost, and a request whose
- * question or answer is lost ends at its timeout.
+ * Sends messages to other routers over links that an experiment may cut. Messages on a cut link are
+ * lost, and a request whose message or reply is lost fails at its timeout.
  *
  * <p>Thread-safe.
  */
 final class FaultInjectingPeers implements PeerNetwork {
     private final PeerNetwork mPeers;
-    private final LinkFaults mHooks;
+    private final LinkFaults mFaults;
     private final EventLoops mLoops;
     private final Clock mClock;
 
-    FaultInjectingPeers(PeerNetwork peers, LinkFaults hooks, EventLoops loops, Clock clock) {
+    FaultInjectingPeers(PeerNetwork peers, LinkFaults faults, EventLoops loops, Clock clock) {
         mPeers = peers;
-        mHooks = hooks;
+        mFaults = faults;
         mLoops = loops;
         mClock = clock;
     }
 
     @Override
     public void send(String vmName, PeerMessage message) {
-        if (mHooks.deliversTo(vmName)) {
+        if (mFaults.deliversTo(vmName)) {
             mPeers.send(vmName, message);
         }
     }
@@ -46,8 +46,8 @@
             PeerMessage request,
             long timeoutMs,
             BiConsumer<Long, Either<Failure, PeerMessage>> done) {
-        if (!mHooks.deliversTo(vmName)) {
-            timeOut(vmName, nowMs + timeoutMs, done);
+        if (!mFaults.deliversTo(vmName)) {
+            failAtTimeout(vmName, nowMs + timeoutMs, done);
             return;
         }
         mPeers.request(
@@ -55,16 +55,16 @@
                 vmName,
                 request,
                 timeoutMs,
-                (at, reply) -> {
-                    if (mHooks.receivesFrom(vmName)) {
-                        done.accept(at, reply);
+                (doneMs, reply) -> {
+                    if (mFaults.receivesFrom(vmName)) {
+                        done.accept(doneMs, reply);
                     } else {
-                        timeOut(vmName, nowMs + timeoutMs, done);
+                        failAtTimeout(vmName, nowMs + timeoutMs, done);
                     }
                 });
     }
 
-    private void timeOut(
+    private void failAtTimeout(
             String vmName, long atMs, BiConsumer<Long, Either<Failure, PeerMessage>> done) {
         Failure lost =
                 Failure.of(ErrorKind.DEADLINE_EXCEEDED, "no answer from " + vmName + " in time");
--- a/router/src/main/java/org/hornbeampass/router/daemon/FleetView.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/FleetView.java
@@ -27,48 +27,50 @@
 import java.util.function.Function;
 
 /**
- * Which VMs of the fleet are up, for address answers and for shares of fleet-wide bounds.
+ * This VM's view of which VMs of the fleet are up, for answers about addresses and for its share of
+ * fleet-wide limits.
  *
- * <p>VMs are named by their IP numbers among each other, so that a seed's name is known from its
+ * <p>VMs use their IP addresses as names among each other, so that a seed's name is known from its
  * address. Confined to one event loop.
  */
 final class FleetView implements PermitHomeResolver {
-    private static final String PREFIX = "vms/";
+    private static final String VM_PREFIX = "vms/";
 
-    /** How long to wait before registering again after a failed call, in milliseconds. */
+    /** Delay before the registration is retried after a failed call, in milliseconds. */
     private static final long RETRY_MS = 1_000;
 
-    /** How long it takes a new VM to hear of all others, in milliseconds. */
-    private static final long SETTLE_MS = 4_000;
+    /** Time in which a new VM learns of all others, in milliseconds. */
+    private static final long DISCOVERY_MS = 4_000;
 
     /**
-     * For how long after its start a VM that was told of others holds no pool, unless it is asked
-     * as a home, in milliseconds: it would choose homes among the few that it knows. A seed answers
-     * within some hundred, or is asked again after a second; 19 VMs that started at once made 130
-     * writes in the first five seconds.
+     * Time after its start in which a VM with seeds holds no pool, unless another VM addresses it
+     * as a home, in milliseconds: it would choose homes among the few VMs that it knows. A seed
+     * answers within some hundred milliseconds, or is asked again after a second. Without the
+     * delay, 19 VMs that started at once made 130 writes in the first five seconds.
      */
-    private static final long NEWCOMER_MS = 2_000;
+    private static final long MIN_HOME_AGE_MS = 2_000;
 
     /**
-     * How many VMs are taken to share the fleet's bounds until a new VM has heard of the others: a
-     * VM that thinks that it is alone takes whole budgets, and leaves none to the others.
+     * Number of VMs that a new VM assumes to share the fleet's limits until it has learned of the
+     * others: a VM that considers itself the only one takes whole budgets and leaves nothing for
+     * the others.
      */
-    private static final int VMS_UNTIL_KNOWN = 8;
+    private static final int ASSUMED_VMS = 8;
 
     private final Platform mPlatform;
     private final Membership mMembership;
-    private final VmListReader mList;
+    private final VmListReader mListReader;
     private final ListedVm mSelf;
     private final MemberHomes mHomes = new MemberHomes();
-    private final Function<List<Member>, BroadcastPaths> mFleetPaths;
+    private final Function<List<Member>, BroadcastPaths> mBroadcastPaths;
     private final boolean mHasSeeds;
     private boolean mRegistered;
-    private boolean mOpen;
-    private long mNextMs;
-    private int mMostVms = 1;
+    private boolean mRegistrationInFlight;
+    private long mNextRegistrationMs;
+    private int mMaxVmsSeen = 1;
     private long mStartedMs = -1;
     private boolean mSettled;
-    private boolean mKnown;
+    private boolean mMembersKnown;
 
     FleetView(
             RelayDaemonSettings settings,
@@ -80,12 +82,12 @@
         Member self =
                 new Member(
                         vm,
-                        text(settings.listen().callers()),
-                        text(settings.listen().peers()),
+                        hostAndPort(settings.listen().callers()),
+                        hostAndPort(settings.listen().peers()),
                         settings.region(),
                         settings.domain(),
                         MemberState.LIVE);
-        mFleetPaths = BroadcastPaths.cachedChooser(self);
+        mBroadcastPaths = BroadcastPaths.cachedChooser(self);
         mSelf =
                 new ListedVm(
                         vm,
@@ -97,21 +99,23 @@
         List<Seed> seeds = seeds(settings.seeds());
         mHasSeeds = seeds.stream().anyMatch(s -> !s.name().equals(vm.name()));
         mMembership = new Membership(self, peers, seeds, MembershipSettings.defaults(), random);
-        mList = new VmListReader(mMembership, platform, random);
+        mListReader = new VmListReader(mMembership, platform, random);
     }
 
-    private static String text(InetSocketAddress address) {
+    private static String hostAndPort(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    /** Returns seeds under the names of their VMs; this VM's own among them does no harm. */
+    /**
+     * Returns seeds named after their VMs. This VM may be among them; its own entry has no effect.
+     */
     private static List<Seed> seeds(List<InetSocketAddress> addresses) {
         return addresses.stream()
-                .map(s -> new Seed(s.getAddress().getHostAddress(), text(s)))
+                .map(s -> new Seed(s.getAddress().getHostAddress(), hostAndPort(s)))
                 .toList();
     }
 
-    /** Adds VMs to ask for others. */
+    /** Adds seeds, from which this VM learns of other VMs. */
     void addSeeds(List<InetSocketAddress> addresses) {
         mMembership.addSeeds(seeds(addresses));
     }
@@ -126,21 +130,21 @@
 
     void tick(long nowMs) {
         mStartedMs = mStartedMs < 0 ? nowMs : mStartedMs;
-        mSettled |= nowMs - mStartedMs >= SETTLE_MS;
+        mSettled |= nowMs - mStartedMs >= DISCOVERY_MS;
         mMembership.tick(nowMs);
         updateHomes(nowMs);
-        if (!mRegistered && !mOpen && nowMs >= mNextMs) {
+        if (!mRegistered && !mRegistrationInFlight && nowMs >= mNextRegistrationMs) {
             register(nowMs);
         }
         if (mRegistered) {
-            mList.tick(nowMs);
+            mListReader.tick(nowMs);
         }
     }
 
-    /** Lets the homes of the pools follow the members; a VM that is only suspected stays one. */
+    /** Updates the homes of the pools to the current members. A suspected VM remains a home. */
     private void updateHomes(long nowMs) {
-        mKnown = !mHasSeeds || nowMs - mStartedMs >= NEWCOMER_MS;
-        mHomes.update(mMembership.view().self(), homeMembers(), mKnown);
+        mMembersKnown = !mHasSeeds || nowMs - mStartedMs >= MIN_HOME_AGE_MS;
+        mHomes.update(mMembership.view().self(), homeMembers(), mMembersKnown);
     }
 
     private List<Member> homeMembers() {
@@ -152,7 +156,7 @@
 
     @Override
     public Optional<String> homeOf(String upstream) {
-        if (!mKnown) {
+        if (!mMembersKnown) {
             return Optional.empty();
         }
         List<String> names = homeMembers().stream().map(Member::name).toList();
@@ -164,12 +168,15 @@
         return mSelf.vm().name();
     }
 
-    /** Returns whom this VM tells what it has in progress. */
+    /** Returns the paths on which this VM broadcasts its requests in flight. */
     BroadcastPaths broadcastPaths() {
-        return mFleetPaths.apply(mMembership.view().live());
+        return mBroadcastPaths.apply(mMembership.view().live());
     }
 
-    /** Returns whether this VM is the one of those that are up that keeps a kind of record. */
+    /**
+     * Returns whether this VM, among those that are up, is the one that writes a kind of record to
+     * the store.
+     */
     boolean isRecordOwner(String kind) {
         List<String> names = new ArrayList<>(otherLiveNames());
         String self = mSelf.vm().name();
@@ -177,15 +184,15 @@
         return RendezvousHash.choose(kind, names).filter(self::equals).isPresent();
     }
 
-    /** Returns which VMs hold the pools of prepaid tokens. */
+    /** Returns the homes of the pools of prepaid tokens. */
     PoolHomes homes() {
         return mHomes;
     }
 
-    /** Puts this VM on the list, over the entry of its former life. */
+    /** Registers this VM in the platform's list, replacing the entry of an earlier incarnation. */
     private void register(long nowMs) {
-        mOpen = true;
-        String key = PREFIX + mSelf.vm().name();
+        mRegistrationInFlight = true;
+        String key = VM_PREFIX + mSelf.vm().name();
         mPlatform.submit(
                 nowMs,
                 new PlatformCall.Create(key, Json.encode(mSelf)),
@@ -198,27 +205,30 @@
                     nowMs,
                     new PlatformCall.Update(
                             key, Json.encode(mSelf), conflict.current().get().version()),
-                    (t, second) -> done(t, second));
+                    (t, second) -> onRegistrationDone(t, second));
             return;
         }
-        done(nowMs, reply);
+        onRegistrationDone(nowMs, reply);
     }
 
-    private void done(long nowMs, PlatformReply reply) {
-        mOpen = false;
+    private void onRegistrationDone(long nowMs, PlatformReply reply) {
+        mRegistrationInFlight = false;
         mRegistered = reply instanceof PlatformReply.Written;
-        mNextMs = nowMs + RETRY_MS;
+        mNextRegistrationMs = nowMs + RETRY_MS;
     }
 
-    /** Returns how many VMs share the fleet's bounds: all that were up of late. */
+    /**
+     * Returns the number of VMs that share the fleet's limits: the largest number seen up at once,
+     * and at least {@link #ASSUMED_VMS} until the others are known.
+     */
     int sharingVmCount() {
         MembershipView view = mMembership.view();
         int known = view.members().size() - view.leaving().size() - view.gone().size();
-        mMostVms = Math.max(mMostVms, known);
-        return mSettled ? mMostVms : Math.max(mMostVms, VMS_UNTIL_KNOWN);
+        mMaxVmsSeen = Math.max(mMaxVmsSeen, known);
+        return mSettled ? mMaxVmsSeen : Math.max(mMaxVmsSeen, ASSUMED_VMS);
     }
 
-    /** Returns the names of other VMs that are up. */
+    /** Returns the names of the other VMs that are up. */
     List<String> otherLiveNames() {
         MembershipView view = mMembership.view();
         return view.live().stream()
@@ -228,8 +238,9 @@
     }
 
     /**
-     * Returns the addresses that callers should use. Where most VMs seem to be gone at once, it is
-     * this VM that is cut off: callers may still reach the others, which stay in the answer.
+     * Returns the addresses that callers should use. If fewer than half of the other VMs are up,
+     * this VM is assumed to be the one that is cut off: callers may still reach the others, which
+     * therefore remain in the answer.
      */
     List<InetSocketAddress> callerAddresses(boolean withSelf) {
         MembershipView view = mMembership.view();
--- a/router/src/main/java/org/hornbeampass/router/daemon/GrantLog.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/GrantLog.java
@@ -5,7 +5,7 @@
 import org.hornbeampass.router.relay.RelayLog;
 
 /**
- * Logs what this VM holds of the budgets.
+ * Logs each change of the tokens that this VM holds of a budget.
  *
  * <p>Confined to one event loop.
  */
--- a/router/src/main/java/org/hornbeampass/router/daemon/Hornbeampassd.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/Hornbeampassd.java
@@ -19,9 +19,9 @@
 import java.util.concurrent.Callable;
 
 /**
- * The command that runs a router until it is told to stop.
+ * The command that runs a router until it receives a signal to stop.
  *
- * <p>SIGTERM and SIGINT start the graceful shutdown; the process ends when it is done.
+ * <p>SIGTERM and SIGINT start the graceful shutdown; the process exits when it is done.
  */
 @Command(
         name = "hornbeampassd",
@@ -65,7 +65,7 @@
         try {
             text = Files.readString(mFile);
         } catch (IOException e) {
-            mErr.println(mFile + " can't be read; check its path and its rights");
+            mErr.println(mFile + " can't be read; check its path and permissions");
             return EXIT_SETTINGS;
         }
         Either<Faults, RouterSettings> settings = SettingsFile.read(mFile.toString(), text);
@@ -90,11 +90,13 @@
         }
         Thread hook = new Thread(() -> onSignal(daemon), "shutdown");
         Runtime.getRuntime().addShutdownHook(hook);
-        String told = "";
-        for (Optional<Failure> why = daemon.notReady(); why.isPresent(); why = daemon.notReady()) {
-            if (!told.equals(why.get().message())) {
-                told = why.get().message();
-                mErr.println("not ready: " + told);
+        String lastReason = "";
+        for (Optional<Failure> reason = daemon.notReady();
+                reason.isPresent();
+                reason = daemon.notReady()) {
+            if (!lastReason.equals(reason.get().message())) {
+                lastReason = reason.get().message();
+                mErr.println("not ready: " + lastReason);
             }
             Thread.sleep(READY_POLL_MS);
         }
@@ -111,7 +113,7 @@
         return 0;
     }
 
-    /** Runs when the process is to end: holds it until the graceful shutdown is done. */
+    /** Runs as the shutdown hook and delays the exit until the graceful shutdown is done. */
     private void onSignal(RouterDaemon daemon) {
         daemon.shutDown().join();
         mOut.println("stopped: " + daemon.vm());
--- a/router/src/main/java/org/hornbeampass/router/daemon/LineLayout.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/LineLayout.java
@@ -10,29 +10,29 @@
 import java.util.function.Function;
 
 /**
- * Turns log events into lines of one JSON object each.
+ * Formats each log event as one line with a JSON object.
  *
  * <p>Immutable; safe for use by any thread.
  */
 final class LineLayout extends AbstractStringLayout {
-    private final Function<LogEvent, String> mObject;
+    private final Function<LogEvent, String> mFormatter;
 
     private LineLayout(Function<LogEvent, String> object) {
         super(StandardCharsets.UTF_8);
-        mObject = object;
+        mFormatter = object;
     }
 
-    /** Returns the layout of decisions, whose messages are JSON objects already. */
+    /** Returns the layout for decisions, whose messages are JSON objects already. */
     static LineLayout ofDecisions() {
         return new LineLayout(e -> e.getMessage().getFormattedMessage());
     }
 
-    /** Returns the layout of all other events. */
+    /** Returns the layout for all other events. */
     static LineLayout ofEvents() {
-        return new LineLayout(LineLayout::event);
+        return new LineLayout(LineLayout::formatEvent);
     }
 
-    private static String event(LogEvent event) {
+    private static String formatEvent(LogEvent event) {
         String logger = event.getLoggerName();
         LogFields fields =
                 new LogFields()
@@ -41,11 +41,11 @@
                         .add("level", event.getLevel().name())
                         .add("logger", logger.substring(logger.lastIndexOf('.') + 1))
                         .add("message", event.getMessage().getFormattedMessage())
-                        .add("cause", trace(event.getThrown()));
+                        .add("cause", stackTrace(event.getThrown()));
         return "{" + fields + "}";
     }
 
-    private static String trace(Throwable thrown) {
+    private static String stackTrace(Throwable thrown) {
         if (thrown == null) {
             return "";
         }
@@ -56,6 +56,6 @@
 
     @Override
     public String toSerializable(LogEvent event) {
-        return mObject.apply(event) + "\n";
+        return mFormatter.apply(event) + "\n";
     }
 }
--- a/router/src/main/java/org/hornbeampass/router/daemon/LineLogging.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/LineLogging.java
@@ -10,41 +10,48 @@
 import org.apache.logging.log4j.core.config.LoggerConfig;
 
 /**
- * Logs lines of JSON on standard output, and drops lines rather than wait for whoever reads them.
+ * A logging configuration that writes lines of JSON to standard output, and drops lines rather than
+ * wait for a slow reader.
  *
- * <p>Built in code, since reading it from a file, with its plugins, takes a sixth of a start;
- * callers wait for starts after all VMs were killed. Immutable once started; thread-safe.
+ * <p>Built in code, since reading a configuration file and loading its plugins takes a sixth of the
+ * start time, for which callers wait when all VMs were killed. Immutable once started; thread-safe.
  */
 public final class LineLogging extends AbstractConfiguration {
-    /** The property of the Java runtime that asks for it, and its value. */
-    private static final String PROPERTY = "hornbeampass.log.format";
+    /**
+     * The system property that enables this configuration when it has the value {@link
+     * #LINES_FORMAT}.
+     */
+    private static final String FORMAT_PROPERTY = "hornbeampass.log.format";
 
-    private static final String LINES = "lines";
+    private static final String LINES_FORMAT = "lines";
 
     private static final String LEVEL_PROPERTY = "hornbeampass.log.level";
     private static final String DECISIONS = "decisions";
     private static final String EVENTS = "events";
     private static final String ASYNC = "-async";
 
-    /** Lines that may wait: some 2 MB. A reader that stops for long costs lines, never requests. */
-    private static final int WAITING_LINES = 8_192;
+    /**
+     * Maximum number of lines in each queue, some 2 MB. When the reader stalls, lines are lost but
+     * requests are not delayed.
+     */
+    private static final int MAX_QUEUED_LINES = 8_192;
 
     LineLogging() {
         super(null, ConfigurationSource.NULL_SOURCE);
-        isShutdownHookEnabled = false; // The daemon ends by itself, and logs until then.
+        isShutdownHookEnabled = false; // The daemon exits by itself and logs until then.
     }
 
     /**
-     * Puts this configuration in force, where the runtime's properties ask for it; to be called
-     * before anything is logged.
+     * Installs this configuration if the system properties request it. Must be called before
+     * anything is logged.
      */
     public static void installIfRequested() {
-        if (LINES.equals(System.getProperty(PROPERTY))) {
+        if (LINES_FORMAT.equals(System.getProperty(FORMAT_PROPERTY))) {
             Configurator.initialize(new LineLogging());
         }
     }
 
-    /** Makes the loggers and appenders, which the start of this configuration starts. */
+    /** Creates the loggers and appenders; they are started with this configuration. */
     @Override
     public void initialize() {
         Level level = Level.toLevel(System.getProperty(LEVEL_PROPERTY), Level.INFO);
@@ -60,7 +67,10 @@
         setState(State.INITIALIZED);
     }
 
-    /** The builder of console appenders looks at its fields by reflection, which delays a start. */
+    /**
+     * Creates an asynchronous console appender. Doesn't use the builder of console appenders, whose
+     * reflection delays the start.
+     */
     private AsyncAppender appender(String name, LineLayout layout) {
         ConsoleAppender console = ConsoleAppender.createDefaultAppenderForLayout(layout);
         addAppender(console);
@@ -72,7 +82,7 @@
                                     AppenderRef.createAppenderRef(console.getName(), null, null)
                                 })
                         .setBlocking(false)
-                        .setBufferSize(WAITING_LINES)
+                        .setBufferSize(MAX_QUEUED_LINES)
                         .setConfiguration(this)
                         .build();
         addAppender(async);
--- a/router/src/main/java/org/hornbeampass/router/daemon/LinkFaults.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/LinkFaults.java
@@ -3,26 +3,26 @@
 import org.hornbeampass.coordination.platform.Platform;
 
 /**
- * Where an experiment may cut a router's links; a router in service has {@link #NONE}.
+ * The links of a router that an experiment cuts; a router in production uses {@link #NONE}.
  *
- * <p>Invariant: a hook can only take links away, never change what goes over them. Implementations
- * are thread-safe and must not block.
+ * <p>Invariant: an implementation can only cut links, never change what is sent over them.
+ * Implementations are thread-safe and must not block.
  */
 public interface LinkFaults {
-    /** Leaves every link as it is. */
+    /** Cuts no link. */
     LinkFaults NONE = new LinkFaults() {};
 
-    /** Returns the platform as the router reaches it. */
+    /** Returns a platform whose calls fail while the link to the given platform is cut. */
     default Platform platform(Platform platform) {
         return platform;
     }
 
-    /** Returns whether what this router sends to another one arrives there. */
+    /** Returns whether messages of this router to another one are delivered. */
     default boolean deliversTo(String vmName) {
         return true;
     }
 
-    /** Returns whether what another router answers arrives here. */
+    /** Returns whether replies of another router to this one are delivered. */
     default boolean receivesFrom(String vmName) {
         return true;
     }
--- a/router/src/main/java/org/hornbeampass/router/daemon/MembershipHomes.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/MembershipHomes.java
@@ -11,9 +11,11 @@
 import java.util.List;
 
 /**
- * Tells the budget ledger who is live and who draws for whom, by membership and addresses.
+ * Provides the live VMs and the homes of each organisation to the budget ledger, from the
+ * membership and the address book.
  *
- * <p>Near ones are those of the same failure domain, then those of the same region. Thread-safe.
+ * <p>The nearest VMs come first: those of the same failure domain, then those of the same region.
+ * Thread-safe.
  */
 final class MembershipHomes implements BudgetHomes {
     private final Membership mMembership;
--- a/router/src/main/java/org/hornbeampass/router/daemon/ObjectivesSettings.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/ObjectivesSettings.java
@@ -12,28 +12,29 @@
 import java.util.Optional;
 
 /**
- * Reads the objectives of a router's settings: in all, and of organisations that differ.
+ * Reads the service-level objectives of a router's settings: the general ones, and those of
+ * organisations with their own.
  *
  * <p>Stateless; safe for use by any thread.
  */
 final class ObjectivesSettings {
-    private static final double LEAST_TARGET = 0.5;
-    private static final double MOST_TARGET = 0.999_999;
-    private static final long MAX_MS = 3_600_000;
+    private static final double MIN_TARGET = 0.5;
+    private static final double MAX_TARGET = 0.999_999;
+    private static final long MAX_THRESHOLD_MS = 3_600_000;
 
     private ObjectivesSettings() {}
 
     static Objectives read(SettingsNode node) {
-        Objectives usual = Objectives.defaults();
-        Map<Objective, ObjectiveTerms> general = terms(node, usual.general());
-        Map<OrganisationId, Map<Objective, ObjectiveTerms>> own = new HashMap<>();
+        Objectives defaults = Objectives.defaults();
+        Map<Objective, ObjectiveTerms> general = terms(node, defaults.general());
+        Map<OrganisationId, Map<Objective, ObjectiveTerms>> overrides = new HashMap<>();
         Optional<SettingsNode> organisations = node.optionalNode("organisations");
         if (organisations.isPresent()) {
             organisations
                     .get()
-                    .entries(o -> own.put(new OrganisationId(o.name()), terms(o, general)));
+                    .entries(o -> overrides.put(new OrganisationId(o.name()), terms(o, general)));
         }
-        return new Objectives(general, own);
+        return new Objectives(general, overrides);
     }
 
     private static Map<Objective, ObjectiveTerms> terms(
@@ -41,26 +42,27 @@
         Map<Objective, ObjectiveTerms> terms = new EnumMap<>(Objective.class);
         terms.put(
                 Objective.FIRST_TOKEN,
-                timed(node, "first_token", usual.get(Objective.FIRST_TOKEN)));
+                latencyTerms(node, "first_token", usual.get(Objective.FIRST_TOKEN)));
         terms.put(
                 Objective.BETWEEN_TOKENS,
-                timed(node, "between_tokens", usual.get(Objective.BETWEEN_TOKENS)));
-        terms.put(Objective.REFUSALS, share(node, "refusals", usual.get(Objective.REFUSALS)));
-        terms.put(Objective.ERRORS, share(node, "errors", usual.get(Objective.ERRORS)));
+                latencyTerms(node, "between_tokens", usual.get(Objective.BETWEEN_TOKENS)));
+        terms.put(Objective.REFUSALS, ratioTerms(node, "refusals", usual.get(Objective.REFUSALS)));
+        terms.put(Objective.ERRORS, ratioTerms(node, "errors", usual.get(Objective.ERRORS)));
         return terms;
     }
 
-    private static ObjectiveTerms timed(SettingsNode node, String name, ObjectiveTerms usual) {
+    private static ObjectiveTerms latencyTerms(
+            SettingsNode node, String name, ObjectiveTerms usual) {
         return new ObjectiveTerms(
-                node.optionalDuration(name, usual.thresholdMs(), 1, MAX_MS),
+                node.optionalDuration(name, usual.thresholdMs(), 1, MAX_THRESHOLD_MS),
                 target(node, name, usual));
     }
 
-    private static ObjectiveTerms share(SettingsNode node, String name, ObjectiveTerms usual) {
+    private static ObjectiveTerms ratioTerms(SettingsNode node, String name, ObjectiveTerms usual) {
         return new ObjectiveTerms(0, target(node, name, usual));
     }
 
     private static double target(SettingsNode node, String name, ObjectiveTerms usual) {
-        return node.optionalDouble(name + "_target", usual.target(), LEAST_TARGET, MOST_TARGET);
+        return node.optionalDouble(name + "_target", usual.target(), MIN_TARGET, MAX_TARGET);
     }
 }
--- a/router/src/main/java/org/hornbeampass/router/daemon/ObservedStore.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/ObservedStore.java
@@ -17,29 +17,32 @@
 import java.util.function.LongConsumer;
 
 /**
- * The store, with its calls counted by kind and result, and a log line when it is lost or regained.
+ * Wraps the store to count its calls by kind and result, and to log when the store is lost or
+ * regained.
  *
  * <p>Invariants: a line "store-lost" is followed by "store-regained" before the next "store-lost";
- * a call that hangs counts as lost before it is given up. Confined to one event loop.
+ * a hanging call counts as a loss of the store before it fails. Confined to one event loop.
  */
 final class ObservedStore implements Platform {
     /**
-     * A call of whose answer nothing came for so long, in milliseconds, is a lost store: answers
-     * take 4 ms, and 400 where the store is slow.
+     * Time without any byte of an answer after which the store counts as lost, in milliseconds:
+     * answers take 4 ms, and 400 ms when the store is slow.
      */
-    private static final long HANGS_MS = 600;
+    private static final long HANG_TIMEOUT_MS = 600;
 
-    /** An answer of so many bytes takes a link of 7 Mbit/s some 150 ms, and is logged. */
-    private static final int LARGE_BYTES = 128 << 10;
+    /**
+     * Size in bytes from which an answer is logged: a link of 7 Mbit/s needs some 150 ms for it.
+     */
+    private static final int LARGE_ANSWER_BYTES = 128 << 10;
 
     private final Platform mStore;
     private final RelayLog mLog;
     private final MetricRegistry mMetrics;
     private final Set<OpenCall> mOpen = new LinkedHashSet<>();
-    private LongConsumer mOnRegained = nowMs -> {};
+    private LongConsumer mRegainedListener = nowMs -> {};
     private boolean mLost;
     private long mLostAtMs;
-    private long mAnsweredMs;
+    private long mLastAnswerMs;
 
     ObservedStore(Platform store, RelayLog log, MetricRegistry metrics) {
         mStore = store;
@@ -48,32 +51,36 @@
         metrics.register("store_lost", (Gauge<Integer>) () -> mLost ? 1 : 0);
     }
 
-    /** A call that waits for its answer; compared by identity. */
+    /** A call that is waiting for its answer; compared by identity. */
     private static final class OpenCall {
         private final PlatformCall mCall;
-        private final long mSinceMs;
+        private final long mStartMs;
         private long mBytes;
-        private long mHeardMs;
+        private long mLastBytesMs;
 
         OpenCall(PlatformCall call, long sinceMs) {
             mCall = call;
-            mSinceMs = sinceMs;
-            mHeardMs = sinceMs;
+            mStartMs = sinceMs;
+            mLastBytesMs = sinceMs;
         }
 
-        void heard(long nowMs, int bytes) {
+        void onBytes(long nowMs, int bytes) {
             mBytes += bytes;
-            mHeardMs = nowMs;
+            mLastBytesMs = nowMs;
         }
 
-        boolean hangs(long nowMs) {
-            return mCall.kind() != PlatformCall.Kind.WATCH && nowMs - mHeardMs >= HANGS_MS;
+        boolean isHanging(long nowMs) {
+            return mCall.kind() != PlatformCall.Kind.WATCH
+                    && nowMs - mLastBytesMs >= HANG_TIMEOUT_MS;
         }
     }
 
-    /** Names who hears, with the time in milliseconds, that the store answers again. */
+    /**
+     * Sets the listener that is called with the current time in milliseconds when the store answers
+     * again.
+     */
     void onRegained(LongConsumer listener) {
-        mOnRegained = listener;
+        mRegainedListener = listener;
     }
 
     @Override
@@ -94,12 +101,12 @@
                         nowMs,
                         call,
                         (t, bytes) -> {
-                            open.heard(t, bytes);
+                            open.onBytes(t, bytes);
                             progress.onBytes(t, bytes);
                         },
                         (t, reply) -> {
                             mOpen.remove(open);
-                            note(t, open, reply);
+                            onReply(t, open, reply);
                             done.accept(t, reply);
                         });
         return () -> {
@@ -108,25 +115,25 @@
         };
     }
 
-    private void note(long nowMs, OpenCall open, PlatformReply reply) {
+    private void onReply(long nowMs, OpenCall open, PlatformReply reply) {
         PlatformCall call = open.mCall;
         String result = reply.getClass().getSimpleName().toLowerCase(Locale.ROOT);
         String kind = call.kind().name().toLowerCase(Locale.ROOT);
-        noteSize(nowMs, open, kind);
+        recordSize(nowMs, open, kind);
         mMetrics.counter("store_calls{kind=\"" + kind + "\",result=\"" + result + "\"}").inc();
         if (reply instanceof PlatformReply.Unavailable unavailable) {
-            lost(nowMs, call, unavailable.reason());
+            onLost(nowMs, call, unavailable.reason());
         } else if (reply instanceof PlatformReply.Throttled) {
-            lost(nowMs, call, "turned away");
+            onLost(nowMs, call, "rejected as throttled");
         } else {
-            answered(nowMs);
+            onAnswered(nowMs);
         }
     }
 
-    /** Counts the bytes of an answer, and logs one that fills a small link for long. */
-    private void noteSize(long nowMs, OpenCall open, String kind) {
+    /** Counts the bytes of an answer, and logs an answer that occupies a slow link for long. */
+    private void recordSize(long nowMs, OpenCall open, String kind) {
         mMetrics.counter("store_bytes{kind=\"" + kind + "\"}").inc(open.mBytes);
-        if (open.mBytes < LARGE_BYTES) {
+        if (open.mBytes < LARGE_ANSWER_BYTES) {
             return;
         }
         mLog.logStateChange(
@@ -135,10 +142,10 @@
                 new LogFields()
                         .add("call", open.mCall.getClass().getSimpleName())
                         .add("bytes", open.mBytes)
-                        .add("took_ms", nowMs - open.mSinceMs));
+                        .add("took_ms", nowMs - open.mStartMs));
     }
 
-    private void lost(long nowMs, PlatformCall call, String reason) {
+    private void onLost(long nowMs, PlatformCall call, String reason) {
         if (mLost) {
             return;
         }
@@ -150,25 +157,25 @@
                 new LogFields()
                         .add("call", call.getClass().getSimpleName())
                         .add("reason", reason)
-                        .add("last_answer_ms", nowMs - mAnsweredMs));
+                        .add("last_answer_ms", nowMs - mLastAnswerMs));
     }
 
-    private void answered(long nowMs) {
-        mAnsweredMs = nowMs;
+    private void onAnswered(long nowMs) {
+        mLastAnswerMs = nowMs;
         if (!mLost) {
             return;
         }
         mLost = false;
         mLog.logStateChange(
                 nowMs, "store-regained", new LogFields().add("lost_ms", nowMs - mLostAtMs));
-        mOnRegained.accept(nowMs);
+        mRegainedListener.accept(nowMs);
     }
 
-    /** Looks for calls that hang. */
+    /** Reports the store as lost if a call hangs. */
     void tick(long nowMs) {
         for (OpenCall each : mOpen) {
-            if (each.hangs(nowMs)) {
-                lost(nowMs, each.mCall, "no answer for " + (nowMs - each.mSinceMs) + " ms");
+            if (each.isHanging(nowMs)) {
+                onLost(nowMs, each.mCall, "no answer for " + (nowMs - each.mStartMs) + " ms");
                 return;
             }
         }
--- a/router/src/main/java/org/hornbeampass/router/daemon/OperatorApi.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/OperatorApi.java
@@ -18,48 +18,56 @@
 import java.security.SecureRandom;
 
 /**
- * Binds the operators' API to a router's parts.
+ * Connects the operators' API to a router's components.
  *
  * <p>Stateless; safe for use by any thread.
  */
 final class OperatorApi {
-    /** For how long the platform may say nothing about the configuration while all is well. */
-    private static final long SILENT_MS = 120_000;
+    /**
+     * Time without a reply of the platform about the configuration that is still normal, in
+     * milliseconds.
+     */
+    private static final long MAX_CONFIG_SILENCE_MS = 120_000;
 
     private OperatorApi() {}
 
-    /** Starts answering operators, and the orders that other routers carry for them. */
+    /**
+     * Starts answering operators' requests, and drain orders that other routers forward for
+     * operators.
+     */
     static void start(
             RouterSettings settings,
-            Coordination parts,
+            Coordination coordination,
             RouterNetwork network,
             RouterMetrics metrics,
             long nowMs,
             DrainControl control) {
-        RouterDrains drains = new RouterDrains(parts.membership(), network.peerNetwork(), control);
+        RouterDrains drains =
+                new RouterDrains(coordination.membership(), network.peerNetwork(), control);
         network.peers().on(DrainOrder.class, drains::onDrainOrder);
-        StoredConfiguration configuration = new StoredConfiguration(parts.config(), SILENT_MS);
+        StoredConfiguration configuration =
+                new StoredConfiguration(coordination.config(), MAX_CONFIG_SILENCE_MS);
         RouterBurn burn =
                 new RouterBurn(
                         nowMs,
-                        parts.membership().view().self().vm(),
+                        coordination.membership().view().self().vm(),
                         configuration,
                         settings.objectives());
         metrics.onSample((sample, endedMs) -> burn.record(endedMs, sample));
         AdminPorts ports =
                 new AdminPorts(
                         configuration,
-                        new LedgerAccounts(parts.accounts()),
+                        new LedgerAccounts(coordination.accounts()),
                         new RecordedBilling(
-                                parts.backgroundPlatform(),
+                                coordination.backgroundPlatform(),
                                 LedgerSettings.standard(),
-                                new LedgerAudit(configuration, parts.accounts())),
-                        new MemberFleet(parts.membership(), parts.config(), drains),
+                                new LedgerAudit(configuration, coordination.accounts())),
+                        new MemberFleet(coordination.membership(), coordination.config(), drains),
                         burn);
         OperatorKeys keys =
                 new OperatorKeys(
                         settings.keys().operators(),
-                        () -> parts.config().snapshot().operatorKeys());
+                        () -> coordination.config().snapshot().operatorKeys());
         network.operatorsHandler().set(new AdminHandler(ports, keys, new SecureRandom()));
     }
 }
--- a/router/src/main/java/org/hornbeampass/router/daemon/PeerAddresses.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/PeerAddresses.java
@@ -5,30 +5,35 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * Finds where another router listens, by its name.
+ * Resolves the address on which another router listens, by its name.
  *
  * <p>Stateless; safe for use by any thread.
  */
 final class PeerAddresses {
     private PeerAddresses() {}
 
-    /** Returns the address as membership knows it; empty while the parts are being made. */
-    static Optional<InetSocketAddress> resolve(AtomicReference<Coordination> parts, String vmName) {
-        return Optional.ofNullable(parts.get())
+    /**
+     * Returns the address from the membership; empty while the components are still being created.
+     */
+    static Optional<InetSocketAddress> resolve(
+            AtomicReference<Coordination> coordination, String vmName) {
+        return Optional.ofNullable(coordination.get())
                 .flatMap(p -> p.membership().peerAddress(vmName))
                 .flatMap(PeerAddresses::parse);
     }
 
-    /** Parses the form {@code host:port}; the host is an IP number. */
+    /**
+     * Parses the form {@code host:port}, where the host is an IP address; empty if it is malformed.
+     */
     static Optional<InetSocketAddress> parse(String text) {
-        int cut = text.lastIndexOf(':');
-        if (cut <= 0) {
+        int colon = text.lastIndexOf(':');
+        if (colon <= 0) {
             return Optional.empty();
         }
-        String host = text.substring(0, cut).replace("[", "").replace("]", "");
+        String host = text.substring(0, colon).replace("[", "").replace("]", "");
         try {
             return Optional.of(
-                    new InetSocketAddress(host, Integer.parseInt(text.substring(cut + 1))));
+                    new InetSocketAddress(host, Integer.parseInt(text.substring(colon + 1))));
         } catch (IllegalArgumentException e) {
             return Optional.empty();
         }
--- a/router/src/main/java/org/hornbeampass/router/daemon/PeerLog.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/PeerLog.java
@@ -11,13 +11,13 @@
 import java.util.Optional;
 
 /**
- * Logs what this VM believes of the others, a line for each change.
+ * Logs each change of another VM's membership state as this VM sees it.
  *
  * <p>Confined to one event loop.
  */
 final class PeerLog implements MembershipListener {
     private final RelayLog mLog;
-    private Optional<MembershipView> mBefore = Optional.empty();
+    private Optional<MembershipView> mPreviousView = Optional.empty();
 
     PeerLog(RelayLog log) {
         mLog = log;
@@ -26,7 +26,7 @@
     @Override
     public void onChange(long nowMs, MembershipView view) {
         for (Member member : view.members()) {
-            Optional<Member> before = mBefore.flatMap(v -> v.member(member.name()));
+            Optional<Member> before = mPreviousView.flatMap(v -> v.member(member.name()));
             boolean same =
                     before.isPresent()
                             && before.get().state() == member.state()
@@ -35,7 +35,7 @@
                 log(nowMs, member, before.map(Member::state));
             }
         }
-        mBefore = Optional.of(view);
+        mPreviousView = Optional.of(view);
     }
 
     private void log(long nowMs, Member member, Optional<MemberState> before) {
--- a/router/src/main/java/org/hornbeampass/router/daemon/PeerMessageHandlers.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/PeerMessageHandlers.java
@@ -18,29 +18,29 @@
 import org.hornbeampass.transport.peer.PeerTransport;
 
 /**
- * The one registry of who handles which message of other routers.
+ * Registers the handlers for messages from other routers, all in one place.
  *
  * <p>Stateless; safe for use by any thread.
  */
 final class PeerMessageHandlers {
     private PeerMessageHandlers() {}
 
-    /** Registers each handler. */
-    static void register(PeerTransport peers, Coordination parts) {
-        Membership membership = parts.membership();
+    /** Registers the handler of each type of message. */
+    static void register(PeerTransport peers, Coordination coordination) {
+        Membership membership = coordination.membership();
         peers.on(Ping.class, membership::onPing);
         peers.on(Gossip.class, membership::onGossip);
         peers.on(IndirectPing.class, membership::onIndirectPing);
         peers.on(SyncRequest.class, membership::onSyncRequest);
-        ConfigStore config = parts.config();
+        ConfigStore config = coordination.config();
         peers.on(PullRequest.class, config::onPullRequest);
         peers.on(SnapshotRequest.class, config::onSnapshotRequest);
         peers.on(RevisionReport.class, config::onRevisionReport);
         peers.on(RevisionsRequest.class, config::onRevisionsRequest);
-        BudgetLedger budgets = parts.budgets();
+        BudgetLedger budgets = coordination.budgets();
         peers.on(AskGrant.class, budgets::onAsk);
         peers.on(MoveGrant.class, budgets::onMove);
         peers.on(MoveAck.class, budgets::onMoveAck);
-        peers.on(SubmitEntries.class, parts.requests().submitHandler());
+        peers.on(SubmitEntries.class, coordination.requests().submitHandler());
     }
 }
--- a/router/src/main/java/org/hornbeampass/router/daemon/PlatformFactory.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/PlatformFactory.java
@@ -7,12 +7,12 @@
 import java.net.URI;
 
 /**
- * Makes the client of an installation's store.
+ * Creates the client of an installation's store.
  *
  * <p>Implementations are stateless and safe for use by any thread.
  */
 @FunctionalInterface
 public interface PlatformFactory {
-    /** Makes a client on an HTTP client, which stays the caller's. */
+    /** Creates a client that uses an HTTP client, which the caller keeps and closes. */
     Platform create(HttpClient client, URI address, Clock clock);
 }
--- a/router/src/main/java/org/hornbeampass/router/daemon/QuarantineLog.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/QuarantineLog.java
@@ -10,7 +10,8 @@
 import java.util.stream.Collectors;
 
 /**
- * Logs the verdicts on requests that crash upstreams, with what they rest on.
+ * Logs when requests that crash upstreams are quarantined or released, with the crashes that led to
+ * it.
  *
  * <p>Confined to one event loop.
  */
--- a/router/src/main/java/org/hornbeampass/router/daemon/Rehearsal.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/Rehearsal.java
@@ -17,34 +17,35 @@
 import java.util.Locale;
 
 /**
- * Serves some requests with two routers on loopback, so that a class archive made of this run holds
- * what a router loads: settings, the store's client, membership, peers' messages, requests.
+ * Serves some requests with two routers on loopback, so that a class-data archive created from this
+ * run contains the classes that a router loads: for settings, the store's client, membership, peer
+ * messages and requests.
  *
- * <p>Gains processor time at each start, which a VM of less than one core lacks just when callers
- * come back to it. Stateless; safe for use by any thread.
+ * <p>The archive saves processor time at each start, which is scarce on a VM of less than one core
+ * just when callers return to it. Stateless; safe for use by any thread.
  */
 final class Rehearsal {
     private static final int ROUNDS = 40;
 
-    /** How often the first request is asked at most until it is served. */
-    private static final int MOST_TRIES = 2_000;
+    /** Maximum number of attempts until the first request is served. */
+    private static final int MAX_TRIES = 2_000;
 
-    /** Routers are named by their IP numbers, so that each needs one of its own. */
+    /** Routers are named by their IP addresses, so each needs a different one. */
     private static final List<String> HOSTS = List.of("127.0.0.1", "127.0.0.2");
 
-    /** Nothing is read again. */
-    private static final String NO_FILE = "rehearsal";
+    /** The name of the settings in messages; no such file exists or is read. */
+    private static final String SETTINGS_NAME = "rehearsal";
 
     private Rehearsal() {}
 
     /**
-     * Runs the routers until all requests were answered.
+     * Runs the routers until all requests are answered.
      *
-     * @param wire the installation's words
-     * @param platforms makes the client of the store
-     * @param script the store, and what callers ask
+     * @param wire the installation's wire format
+     * @param platforms creates the client of the store
+     * @param environment the store, and the requests of callers
      */
-    static void run(WireFormat wire, PlatformFactory platforms, RehearsalEnvironment script)
+    static void run(WireFormat wire, PlatformFactory platforms, RehearsalEnvironment environment)
             throws IOException {
         List<InetSocketAddress> peers = new ArrayList<>();
         for (String host : HOSTS) {
@@ -54,13 +55,13 @@
         try {
             for (int i = 0; i < HOSTS.size(); i++) {
                 RelayDaemonSettings settings =
-                        settings(script, peers.get(i), peers.get(HOSTS.size() - 1 - i));
+                        settings(environment, peers.get(i), peers.get(HOSTS.size() - 1 - i));
                 RelayDaemon router = RelayDaemon.start(settings, wire, platforms);
                 routers.add(router);
-                RelayDaemonCommand.reloadOnSighup(Path.of(NO_FILE), "", settings, router);
+                RelayDaemonCommand.reloadOnSighup(Path.of(SETTINGS_NAME), "", settings, router);
                 RelayDaemonCommand.logStarted(settings);
             }
-            ask(script, routers);
+            send(environment, routers);
         } finally {
             routers.forEach(RelayDaemon::close);
         }
@@ -73,7 +74,7 @@
     }
 
     private static RelayDaemonSettings settings(
-            RehearsalEnvironment script, InetSocketAddress own, InetSocketAddress seed)
+            RehearsalEnvironment environment, InetSocketAddress own, InetSocketAddress seed)
             throws IOException {
         String text =
                 String.format(
@@ -95,42 +96,42 @@
                         """,
                         own.getAddress().getHostAddress(),
                         own.getPort(),
-                        script.platform(),
+                        environment.platform(),
                         seed.getAddress().getHostAddress() + ":" + seed.getPort());
-        Either<Faults, RelayDaemonSettings> read = RelaySettingsFile.read(NO_FILE, text);
+        Either<Faults, RelayDaemonSettings> read = RelaySettingsFile.read(SETTINGS_NAME, text);
         if (read.isLeft()) {
             throw new IOException(String.join("; ", read.getLeft().lines()));
         }
         return read.get();
     }
 
-    private static void ask(RehearsalEnvironment script, List<RelayDaemon> routers)
+    private static void send(RehearsalEnvironment environment, List<RelayDaemon> routers)
             throws IOException {
         for (RelayDaemon router : routers) {
-            askUntilServed(router, script.requests().get(0));
+            sendUntilServed(router, environment.requests().get(0));
         }
         for (int i = 0; i < ROUNDS; i++) {
             for (RelayDaemon router : routers) {
-                for (String request : script.requests()) {
-                    ask(router.callersAddress(), request);
+                for (String request : environment.requests()) {
+                    send(router.callersAddress(), request);
                 }
-                for (String question : script.addressRequests()) {
-                    ask(router.directoryAddress(), question);
+                for (String request : environment.addressRequests()) {
+                    send(router.directoryAddress(), request);
                 }
             }
         }
     }
 
-    private static void askUntilServed(RelayDaemon router, String request) throws IOException {
-        for (int i = 0; i < MOST_TRIES; i++) {
-            if (ask(router.callersAddress(), request).startsWith("HTTP/1.1 200")) {
+    private static void sendUntilServed(RelayDaemon router, String request) throws IOException {
+        for (int i = 0; i < MAX_TRIES; i++) {
+            if (send(router.callersAddress(), request).startsWith("HTTP/1.1 200")) {
                 return;
             }
         }
-        throw new IOException("no request was served in " + MOST_TRIES + " tries");
+        throw new IOException("no request was served in " + MAX_TRIES + " tries");
     }
 
-    private static String ask(InetSocketAddress address, String request) throws IOException {
+    private static String send(InetSocketAddress address, String request) throws IOException {
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
             socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
--- a/router/src/main/java/org/hornbeampass/router/daemon/RehearsalEnvironment.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/RehearsalEnvironment.java
@@ -4,19 +4,19 @@
 import java.util.List;
 
 /**
- * An installation in small for a {@link Rehearsal}: its store, with a configuration and upstreams,
- * and what callers ask.
+ * A small installation for a {@link Rehearsal}: its store, with a configuration and upstreams, and
+ * the requests of callers.
  *
  * <p>Implementations are safe for use by any thread.
  */
 public interface RehearsalEnvironment extends AutoCloseable {
-    /** Returns where the store listens. */
+    /** Returns the address of the store. */
     URI platform();
 
-    /** Returns the texts of callers' requests, each of which closes its connection. */
+    /** Returns callers' HTTP requests as text, each of which closes its connection. */
     List<String> requests();
 
-    /** Returns the texts of questions for addresses, each of which closes its connection. */
+    /** Returns HTTP requests for addresses as text, each of which closes its connection. */
     List<String> addressRequests();
 
     @Override
--- a/router/src/main/java/org/hornbeampass/router/daemon/RelayDaemon.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/RelayDaemon.java
@@ -58,13 +58,13 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * One router that passes requests on to services: all its parts, from start to shutdown.
+ * One router that relays requests to services: creates, starts and shuts down all its components.
  *
- * <p>All parts run on one event loop, since a VM has less than one core; nothing is shared with
- * another thread but the request to shut down. Thread-safe.
+ * <p>All components run on one event loop, since a VM has less than one core; only the request to
+ * shut down comes from other threads. Thread-safe.
  */
 public final class RelayDaemon implements AutoCloseable {
-    /** How often decisions that wait for time are looked at, in milliseconds. */
+    /** Interval of time-dependent work of the components, in milliseconds. */
     private static final long TICK_MS = 100;
 
     private RelayDaemonSettings mSettings;
@@ -76,7 +76,7 @@
     private final RelayLog mLog = new RelayLog(mMetrics);
     private final SecureRandom mSecure = new SecureRandom();
 
-    /** Draws for each candidate of each choice, where a secure one would ask the system. */
+    /** Used for each candidate of each choice; a secure generator would need system calls. */
     private final Random mRandom = new Random(mSecure.nextLong());
 
     private final SignalTable mSignalTable = new SignalTable();
@@ -89,18 +89,19 @@
     private final EscrowBook mBudgets;
     private final BudgetMetrics mBudgetMetrics;
     private final EscrowLoans mLoans;
-    private final LoadExchange mLoads;
-    private final SignalExchange mSignals;
+    private final LoadExchange mLoadExchange;
+    private final SignalExchange mSignalExchange;
     private final UpstreamPool mPool;
     private final Quarantine mQuarantine;
-    private final RelayContext mParts;
+    private final RelayContext mContext;
     private final StoreChanges mChanges;
     private final CallerServer mCallers;
     private final CallerServer mDirectory;
     private final CallerServer mReadiness;
     private final RelayShutdown mShutdown;
 
-    private RelayDaemon(RelayDaemonSettings settings, WireFormat wire, PlatformFactory platforms) {
+    private RelayDaemon(
+            RelayDaemonSettings settings, WireFormat wire, PlatformFactory platformFactory) {
         mSettings = settings;
         mWire = wire;
         HttpClient client =
@@ -108,7 +109,9 @@
                         mLoops, HttpClientSettings.STANDARD.withPool(16, 64), mClock);
         mStore =
                 new ObservedStore(
-                        platforms.create(client, settings.platform(), mClock), mLog, mMetrics);
+                        platformFactory.create(client, settings.platform(), mClock),
+                        mLog,
+                        mMetrics);
         String ip = settings.listen().peers().getAddress().getHostAddress();
         VmId vm = new VmId(ip, System.currentTimeMillis());
         mPeers =
@@ -120,11 +123,11 @@
         mFleet = new FleetView(settings, vm, mPeers, mStore, new Random(mRandom.nextLong()));
         mLimiter = new RateLimiter(mSignalTable, this::signals, mPeers, mFleet);
         mUpstreamRegistry = new UpstreamRegistry(mRandom, this::vms, mSignalTable, mLimiter);
-        mViews = views();
-        mBudgets = budgets(ip);
+        mViews = newStoreViews();
+        mBudgets = newEscrowBook(ip);
         mBudgetMetrics = new BudgetMetrics(mMetrics, mBudgets);
-        mLoads = new LoadExchange(mUpstreamRegistry, mPeers, mFleet::broadcastPaths);
-        mSignals =
+        mLoadExchange = new LoadExchange(mUpstreamRegistry, mPeers, mFleet::broadcastPaths);
+        mSignalExchange =
                 new SignalExchange(
                         mUpstreamRegistry,
                         mSignalTable,
@@ -133,26 +136,26 @@
                         new SignalLog(mLog));
         mLoans = new EscrowLoans(mBudgets, mPeers, mFleet.homes(), mRandom);
         mPool = new UpstreamPool(mLoops, mClock);
-        mQuarantine = quarantine();
-        mParts = parts();
-        mChanges = new StoreChanges(mParts, mViews.upstreams());
-        register();
+        mQuarantine = newQuarantine();
+        mContext = newContext();
+        mChanges = new StoreChanges(mContext, mViews.upstreams());
+        registerListeners();
         mCallers =
                 CallerServer.start(
                         mLoops,
                         settings.listen().callers(),
                         mClock,
-                        new RelayHandler(mParts),
+                        new RelayHandler(mContext),
                         this::limits);
-        mShutdown = new RelayShutdown(settings.graceMs(), mCallers, mBudgets, mFleet, mParts);
-        mDirectory = serve(settings.listen().directory(), this::onDirectory);
-        mReadiness = serve(settings.listen().readiness(), this::onReadiness);
-        settings.listen().metrics().ifPresent(a -> serve(a, this::onMetrics));
+        mShutdown = new RelayShutdown(settings.graceMs(), mCallers, mBudgets, mFleet, mContext);
+        mDirectory = serve(settings.listen().directory(), this::onAddressesRequest);
+        mReadiness = serve(settings.listen().readiness(), this::onReadinessRequest);
+        settings.listen().metrics().ifPresent(a -> serve(a, this::onMetricsRequest));
         mTicks.every(TICK_MS, this::tick);
     }
 
     /**
-     * Starts a daemon; it is ready once a configuration is known.
+     * Starts a daemon; it is ready once it has received a configuration.
      *
      * @throws IllegalStateException if an address can't be listened on
      */
@@ -161,7 +164,7 @@
         return new RelayDaemon(settings, wire, platforms);
     }
 
-    private RelayContext parts() {
+    private RelayContext newContext() {
         return new RelayContext(
                 mWire,
                 mSettings.relay(),
@@ -171,7 +174,7 @@
                 mPool,
                 new RequestHasher(mSettings.cluster().revealBytes()),
                 mQuarantine,
-                mSignals,
+                mSignalExchange,
                 mLimiter,
                 mBudgets,
                 mLoans,
@@ -197,7 +200,7 @@
         return mLoops.group().next();
     }
 
-    private StoreViews views() {
+    private StoreViews newStoreViews() {
         return new StoreViews(
                 mStore,
                 mWire.configPrefix(),
@@ -212,7 +215,7 @@
                 (nowMs, change) -> changes().onUpstream(nowMs, change));
     }
 
-    private EscrowBook budgets(String vm) {
+    private EscrowBook newEscrowBook(String vm) {
         return new EscrowBook(
                 mStore,
                 new EscrowOwner(vm, Long.toHexString(mSecure.nextLong())),
@@ -222,10 +225,10 @@
     }
 
     private SignalExchange signals() {
-        return mSignals;
+        return mSignalExchange;
     }
 
-    private Quarantine quarantine() {
+    private Quarantine newQuarantine() {
         return new Quarantine(
                 mStore,
                 mPeers,
@@ -235,7 +238,7 @@
                 new QuarantineLog(mLog));
     }
 
-    private void register() {
+    private void registerListeners() {
         mStore.onRegained(mViews::onStoreRegained);
         registerPeers();
         registerMetrics();
@@ -252,8 +255,8 @@
         mPeers.on(ViewChangesRequest.class, mViews.viewExchange()::onRequest);
         mPeers.on(LoanRequest.class, mLoans::onRequest);
         mPeers.on(TokenTransfer.class, mLoans::onTransfer);
-        mPeers.on(InFlightReport.class, mLoads::onReport);
-        mPeers.on(SignalReport.class, mSignals::onReport);
+        mPeers.on(InFlightReport.class, mLoadExchange::onReport);
+        mPeers.on(SignalReport.class, mSignalExchange::onReport);
         mPeers.on(PermitRequest.class, mLimiter::onRequest);
         mPeers.on(SuspectReport.class, mQuarantine::onReport);
     }
@@ -293,31 +296,33 @@
     }
 
     private CallerLimits limits() {
-        return mParts.routes().map(r -> r.config().limits()).orElse(CallerLimits.DEFAULT);
+        return mContext.routes().map(r -> r.config().limits()).orElse(CallerLimits.DEFAULT);
     }
 
     private CallerServer serve(InetSocketAddress address, CallerHandler handler) {
         return CallerServer.start(mLoops, address, mClock, handler, this::limits);
     }
 
-    private CallerListener onDirectory(long nowMs, CallerConnection caller, HttpRequest head) {
+    private CallerListener onAddressesRequest(
+            long nowMs, CallerConnection caller, HttpRequest head) {
         if (!mWire.asksForAddresses(head)) {
             respond(caller, 404, "{}");
             return CallerListener.IGNORING;
         }
         String body =
                 mWire.addresses(
-                        mFleet.callerAddresses(ready()), mSettings.keepAddressesMs() / 1_000.0);
+                        mFleet.callerAddresses(isReady()), mSettings.keepAddressesMs() / 1_000.0);
         respond(caller, 200, body);
         return CallerListener.IGNORING;
     }
 
-    private CallerListener onReadiness(long nowMs, CallerConnection caller, HttpRequest head) {
-        respond(caller, ready() && mWire.asksForReadiness(head) ? 200 : 503, "{}");
+    private CallerListener onReadinessRequest(
+            long nowMs, CallerConnection caller, HttpRequest head) {
+        respond(caller, isReady() && mWire.asksForReadiness(head) ? 200 : 503, "{}");
         return CallerListener.IGNORING;
     }
 
-    private CallerListener onMetrics(long nowMs, CallerConnection caller, HttpRequest head) {
+    private CallerListener onMetricsRequest(long nowMs, CallerConnection caller, HttpRequest head) {
         mBudgetMetrics.refresh();
         caller.respond(
                 200,
@@ -333,8 +338,8 @@
                 json.getBytes(StandardCharsets.UTF_8));
     }
 
-    private boolean ready() {
-        return mParts.routes().isPresent() && !mShutdown.hasBegun();
+    private boolean isReady() {
+        return mContext.routes().isPresent() && !mShutdown.hasBegun();
     }
 
     private void tick(long nowMs) {
@@ -343,8 +348,8 @@
         mViews.tick(nowMs);
         mBudgets.tick(nowMs);
         mLoans.tick(nowMs);
-        mLoads.tick(nowMs);
-        mSignals.tick(nowMs);
+        mLoadExchange.tick(nowMs);
+        mSignalExchange.tick(nowMs);
         mLimiter.tick(nowMs);
         mQuarantine.tick(nowMs);
         mUpstreamRegistry.tick(nowMs);
@@ -353,49 +358,55 @@
         mShutdown.tick(nowMs);
     }
 
-    /** Puts newer settings in force, as far as they can change while the daemon runs. */
+    /** Applies newer settings as far as they can change while the daemon runs. */
     void apply(RelayDaemonSettings settings) {
         loop().execute(
                         () -> {
                             mSettings = settings;
-                            mParts.setSettings(settings.relay());
+                            mContext.setSettings(settings.relay());
                             mFleet.addSeeds(settings.seeds());
                         });
     }
 
-    /** Runs an action on the loop again and again. */
+    /** Runs an action on the event loop at an interval in milliseconds. */
     void every(long ms, Runnable action) {
         mTicks.every(ms, nowMs -> action.run());
     }
 
-    /** Begins the graceful shutdown; completed when all is done that can be done. */
+    /**
+     * Begins the graceful shutdown; the future is completed when the shutdown is done or its grace
+     * period is over.
+     */
     public CompletableFuture<Void> shutDown() {
         loop().execute(() -> mShutdown.begin(mClock.nowMs()));
         return mShutdown.done();
     }
 
-    /** Returns where callers connect. */
+    /** Returns the address for callers' requests. */
     public InetSocketAddress callersAddress() {
         return mCallers.address();
     }
 
-    /** Returns where callers ask which addresses to use. */
+    /** Returns the address at which callers request the addresses to use. */
     public InetSocketAddress directoryAddress() {
         return mDirectory.address();
     }
 
-    /** Returns where this VM tells whether it takes requests. */
+    /** Returns the address for readiness checks of this VM. */
     public InetSocketAddress readinessAddress() {
         return mReadiness.address();
     }
 
-    /** Closes at once, as a crash would: requests in progress are cut, grants are not returned. */
+    /**
+     * Closes immediately, as a crash would: requests in progress are aborted, and grants are not
+     * returned.
+     */
     @Override
     public void close() {
         mLoops.close();
     }
 
-    /** Returns the future that is completed once a shutdown is done. */
+    /** Returns a future that is completed once a shutdown is done. */
     CompletableFuture<Void> shutDownFuture() {
         return mShutdown.done();
     }
--- a/router/src/main/java/org/hornbeampass/router/daemon/RelayDaemonCommand.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/RelayDaemonCommand.java
@@ -12,10 +12,10 @@
 import java.nio.file.Path;
 
 /**
- * The command that runs a relay daemon until it is told to stop.
+ * The command that runs a relay daemon until it receives a signal to stop.
  *
- * <p>SIGTERM and SIGINT start the graceful shutdown; SIGHUP makes it read its settings again.
- * Stateless; safe for use by any thread.
+ * <p>SIGTERM and SIGINT start the graceful shutdown; SIGHUP reloads the settings. Stateless; safe
+ * for use by any thread.
  */
 public final class RelayDaemonCommand {
     private static final Logger LOG = LogManager.getLogger("decisions");
@@ -27,20 +27,20 @@
     private RelayDaemonCommand() {}
 
     /**
-     * Serves some requests on loopback and returns, for the making of a class archive.
+     * Serves some requests on loopback and returns, to create a class-data archive from the run.
      *
-     * @param wire the installation's words
-     * @param platforms makes the client of the installation's store
-     * @param script what is served
+     * @param wire the installation's wire format
+     * @param platforms creates the client of the installation's store
+     * @param environment the store, and the requests of callers
      * @return the exit code
      */
     public static int rehearse(
-            WireFormat wire, PlatformFactory platforms, RehearsalEnvironment script) {
+            WireFormat wire, PlatformFactory platforms, RehearsalEnvironment environment) {
         try {
-            Rehearsal.run(wire, platforms, script);
+            Rehearsal.run(wire, platforms, environment);
             return 0;
         } catch (IOException e) {
-            System.err.println("the rehearsal broke off: " + e.getMessage());
+            System.err.println("the rehearsal failed: " + e.getMessage());
             return EXIT_LISTEN;
         }
     }
@@ -48,9 +48,9 @@
     /**
      * Runs the command.
      *
-     * @param args the settings file, after {@code --check} where it is only to be checked
-     * @param wire the installation's words
-     * @param platforms makes the client of the installation's store
+     * @param args the settings file, after {@code --check} if it should only be checked
+     * @param wire the installation's wire format
+     * @param platforms creates the client of the installation's store
      * @return the exit code
      */
     public static int run(String[] args, WireFormat wire, PlatformFactory platforms) {
@@ -64,7 +64,7 @@
         try {
             text = Files.readString(file);
         } catch (IOException e) {
-            System.err.println(file + " can't be read; check its path and its rights");
+            System.err.println(file + " can't be read; check its path and permissions");
             return EXIT_SETTINGS;
         }
         Either<Faults, RelayDaemonSettings> settings =
@@ -97,7 +97,7 @@
         return 0;
     }
 
-    /** Lets a router read its settings again at SIGHUP. */
+    /** Makes a router reload its settings at SIGHUP. */
     static SettingsReload reloadOnSighup(
             Path file, String text, RelayDaemonSettings settings, RelayDaemon daemon) {
         SettingsReload reload = new SettingsReload(file, text, settings, daemon::apply);
@@ -109,7 +109,7 @@
         LOG.info("{\"kind\":\"started\",\"vm\":\"{}\"}", settings.name());
     }
 
-    /** Runs when the process is to end: holds it until the graceful shutdown is done. */
+    /** Runs as the shutdown hook and delays the exit until the graceful shutdown is done. */
     private static void onSignal(RelayDaemon daemon) {
         LOG.info("{\"kind\":\"stopping\"}");
         daemon.shutDown().join();
--- a/router/src/main/java/org/hornbeampass/router/daemon/RelayDaemonSettings.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/RelayDaemonSettings.java
@@ -16,17 +16,18 @@
  *
  * <p>Immutable; safe for use by any thread. Documented field by field in docs/SETTINGS.md.
  *
- * @param name its VM's name, for logs
- * @param region its region
- * @param domain its failure domain
- * @param listen where it listens
+ * @param name the name of the VM, for logs
+ * @param region the region of the VM
+ * @param domain the failure domain of the VM
+ * @param listen the addresses on which the daemon listens
  * @param platform the address of the platform's store
  * @param cluster the key that all routers share
- * @param seeds where other routers may listen for this one
- * @param relay bounds of retries
+ * @param seeds peer addresses of other routers to contact first
+ * @param relay the limits of retries
  * @param graceMs how long a shutdown may take before the process is killed, in milliseconds
- * @param keepAddressesMs how long callers may keep an answer about addresses, in milliseconds
- * @param budgetShards in how many records of the store the budgets lie; the same on all VMs
+ * @param keepAddressesMs how long callers may cache an answer about addresses, in milliseconds
+ * @param budgetShards the number of records in the store over which the budgets are spread; must be
+ *     the same on all VMs
  */
 public record RelayDaemonSettings(
         String name,
@@ -40,14 +41,14 @@
         long graceMs,
         long keepAddressesMs,
         int budgetShards) {
-    /** Copies the list. */
+    /** Copies the list, so that the settings are immutable. */
     public RelayDaemonSettings {
         seeds = List.copyOf(seeds);
     }
 
     /**
-     * Returns these settings with all of newer ones that can change while the daemon runs: bounds
-     * of retries, seeds, and how long addresses may be kept.
+     * Returns these settings with those values of newer ones that can change while the daemon runs:
+     * the limits of retries, the seeds, and how long addresses may be cached.
      */
     RelayDaemonSettings withReloadable(RelayDaemonSettings newer) {
         return new RelayDaemonSettings(
@@ -64,7 +65,10 @@
                 budgetShards);
     }
 
-    /** Returns the names of the settings that differ and are read at the start only. */
+    /**
+     * Returns the names of the settings that differ from newer ones but take effect only at a
+     * start.
+     */
     List<String> changesThatNeedRestart(RelayDaemonSettings newer) {
         List<String> names = new ArrayList<>();
         add(names, "name", name, newer.name);
@@ -85,13 +89,13 @@
     }
 
     /**
-     * Where a VM listens.
+     * The addresses on which a VM listens.
      *
      * @param callers for callers' requests
-     * @param directory for callers that ask which addresses to use
-     * @param readiness for checks whether this VM takes requests
-     * @param peers for other routers
-     * @param metrics for its metrics
+     * @param directory for callers that request the addresses to use
+     * @param readiness for checks whether this VM accepts requests
+     * @param peers for messages of other routers
+     * @param metrics for reading the metrics; empty if they are not served
      */
     public record Listen(
             InetSocketAddress callers,
--- a/router/src/main/java/org/hornbeampass/router/daemon/RelaySettingsFile.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/RelaySettingsFile.java
@@ -17,8 +17,8 @@
 /**
  * Reads a relay daemon's settings from JSON with comments.
  *
- * <p>All faults are reported at once, each with its place and its mend. Stateless; safe for use by
- * any thread.
+ * <p>All faults are reported at once, each with its location and a way to correct it. Stateless;
+ * safe for use by any thread.
  */
 public final class RelaySettingsFile {
     private static final long SECOND_MS = 1_000;
@@ -27,10 +27,10 @@
     private RelaySettingsFile() {}
 
     /**
-     * Reads a text.
+     * Parses settings.
      *
-     * @param source its name in messages
-     * @param text the settings
+     * @param source the name of the text in messages
+     * @param text the settings, JSON with comments
      */
     public static Either<Faults, RelayDaemonSettings> read(String source, String text) {
         return SettingsReader.read(source, text, RelaySettingsFile::settings);
--- a/router/src/main/java/org/hornbeampass/router/daemon/RelayShutdown.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/RelayShutdown.java
@@ -9,45 +9,48 @@
 /**
  * The graceful shutdown of a relay daemon.
  *
- * <p>Callers keep addresses for seconds, so that requests go on to be served while they move away;
- * then what is in progress is finished, unused tokens are given back, and the process may end.
- * Confined to one event loop, but for the future.
+ * <p>Callers cache addresses for some seconds, so requests are still accepted while callers move to
+ * other VMs. Then requests in progress are finished, unused tokens are returned, and the process
+ * may exit. Confined to one event loop, except for the future.
  */
 final class RelayShutdown {
     /**
-     * How long requests are still taken, in milliseconds: callers learn within about two seconds
-     * that this VM leaves, and a request that comes later may not end within the grace.
+     * Time in which requests are still accepted, in milliseconds: callers learn within about two
+     * seconds that this VM is leaving, and a request that arrives later may not end within the
+     * grace period.
      */
-    private static final long TAKE_MS = 2_800;
+    private static final long ACCEPT_MS = 2_800;
 
-    /** How much of the grace is kept for giving tokens back and ending, in milliseconds. */
+    /**
+     * Part of the grace period that is reserved for returning tokens and exiting, in milliseconds.
+     */
     private static final long END_MARGIN_MS = 400;
 
-    /** How long a return of tokens is awaited, in milliseconds. */
-    private static final long RETURN_MS = 1_000;
+    /** Maximum time to wait for the return of tokens, in milliseconds. */
+    private static final long RETURN_TIMEOUT_MS = 1_000;
 
     private final long mGraceMs;
     private final CallerServer mCallers;
     private final EscrowBook mBudgets;
     private final FleetView mFleet;
-    private final RelayContext mParts;
+    private final RelayContext mContext;
     private final CompletableFuture<Void> mDone = new CompletableFuture<>();
     private boolean mBegun;
-    private boolean mStopped;
-    private long mBegunMs;
-    private long mIdleMs = -1;
+    private boolean mStoppedAccepting;
+    private long mBeginMs;
+    private long mIdleSinceMs = -1;
 
     RelayShutdown(
             long graceMs,
             CallerServer callers,
             EscrowBook budgets,
             FleetView fleet,
-            RelayContext parts) {
+            RelayContext context) {
         mGraceMs = graceMs;
         mCallers = callers;
         mBudgets = budgets;
         mFleet = fleet;
-        mParts = parts;
+        mContext = context;
     }
 
     boolean hasBegun() {
@@ -63,7 +66,7 @@
             return;
         }
         mBegun = true;
-        mBegunMs = nowMs;
+        mBeginMs = nowMs;
         mFleet.leave(nowMs);
         mCallers.drain();
     }
@@ -72,11 +75,11 @@
         if (!mBegun || mDone.isDone()) {
             return;
         }
-        long sinceMs = nowMs - mBegunMs;
-        if (sinceMs >= TAKE_MS && !mStopped) {
-            mStopped = true;
+        long sinceMs = nowMs - mBeginMs;
+        if (sinceMs >= ACCEPT_MS && !mStoppedAccepting) {
+            mStoppedAccepting = true;
             mCallers.stopAccepting();
-            mParts.refuseNewRequests();
+            mContext.refuseNewRequests();
             mCallers.closeIdle();
             mBudgets.startReturningTokens(nowMs);
         }
@@ -84,16 +87,16 @@
             mDone.complete(null);
             return;
         }
-        if (mStopped && mCallers.busy() == 0) {
-            finish(nowMs);
+        if (mStoppedAccepting && mCallers.busy() == 0) {
+            returnTokens(nowMs);
         }
     }
 
-    private void finish(long nowMs) {
-        if (mIdleMs < 0) {
-            mIdleMs = nowMs;
+    private void returnTokens(long nowMs) {
+        if (mIdleSinceMs < 0) {
+            mIdleSinceMs = nowMs;
         }
-        if (mBudgets.hasReturnedAllTokens() || nowMs - mIdleMs >= RETURN_MS) {
+        if (mBudgets.hasReturnedAllTokens() || nowMs - mIdleSinceMs >= RETURN_TIMEOUT_MS) {
             mDone.complete(null);
         }
     }
--- a/router/src/main/java/org/hornbeampass/router/daemon/RevisionTracker.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/RevisionTracker.java
@@ -8,101 +8,103 @@
 import java.util.function.BiConsumer;
 
 /**
- * Tells other VMs how new one of this VM's views of the store is, and asks one whose view is newer.
+ * Announces the revision of one of this VM's views of the store to other VMs, and requests the
+ * changes from a VM whose view is newer.
  *
- * <p>Watches wait long, since each is a call that is charged, and a VM may be turned away by the
- * store while others are served. Every message of the membership bears the newest revision that its
- * sender has seen of each view, so that a VM hears within about a second of a change that it has
- * missed. One revision for both views would not do: a VM that has seen a later change of an
- * upstream would take itself for informed about a configuration that it has missed.
+ * <p>Watches wait long, since each is a call that is charged, and the store may reject the calls of
+ * one VM while it serves others. Every membership message therefore carries the newest revision
+ * that its sender has seen of each view, so that a VM learns within about a second of a change that
+ * it has missed. One revision for both views would not suffice: a VM that has seen a later change
+ * of an upstream would consider itself up to date with a configuration that it has missed.
  *
- * <p>Invariant: a revision that this VM has seen itself leads to no question. Confined to one event
+ * <p>Invariant: a revision that this VM has seen itself is never requested. Confined to one event
  * loop.
  */
 final class RevisionTracker {
     /**
-     * How long this VM's own watch may be behind another VM's, in milliseconds, before that one is
-     * asked: a slow store takes some 350 for an answer, and a question would ask for the same.
+     * Time for which this VM's own watch may be behind another VM before the changes are requested
+     * from that VM, in milliseconds: a slow store takes some 350 ms for an answer, and an earlier
+     * request would fetch the same changes twice.
      */
-    private static final long GRACE_MS = 450;
+    private static final long PULL_DELAY_MS = 450;
 
     /**
-     * For how long a newer view that was heard of counts, in milliseconds: a copy of the largest
-     * configuration over two small links takes 4 s at most. A revision that never comes, of what
-     * was removed meanwhile, counts no longer.
+     * Time after which a newer revision reported by another VM expires, in milliseconds: a copy of
+     * the largest configuration over two slow links takes 4 s at most. A revision that never
+     * arrives, because its object was removed meanwhile, is ignored afterwards.
      */
-    private static final long BEHIND_MS = 10_000;
+    private static final long BEHIND_EXPIRY_MS = 10_000;
 
-    /** A newer view that was heard of. */
-    private record Newer(VmId vm, long revision, long heardMs) {}
+    /** A newer view that another VM has reported. */
+    private record NewerView(VmId vm, long revision, long receivedMs) {}
 
     private final String mView;
     private final RelayLog mLog;
     private final BiConsumer<Long, Long> mAnnounce;
-    private final BiConsumer<Long, String> mAsk;
-    private long mNewest;
-    private long mHeard;
-    private long mHeardMs;
-    private Optional<Newer> mNewer = Optional.empty();
+    private final BiConsumer<Long, String> mRequest;
+    private long mOwnRevision;
+    private long mPeerRevision;
+    private long mPeerRevisionMs;
+    private Optional<NewerView> mNewer = Optional.empty();
 
     /**
-     * Makes the news of one view.
+     * Creates the tracker of one view.
      *
      * @param view the view's name, for the log
-     * @param log takes a line for each question
-     * @param announce tells others a revision, at a time in milliseconds
-     * @param ask asks the VM of a name for its view, at a time in milliseconds
+     * @param log receives a line for each request
+     * @param announce announces a revision to other VMs; receives the time in milliseconds first
+     * @param request requests the view of the VM of a name; receives the time in milliseconds first
      */
     RevisionTracker(
             String view,
             RelayLog log,
             BiConsumer<Long, Long> announce,
-            BiConsumer<Long, String> ask) {
+            BiConsumer<Long, String> request) {
         mView = view;
         mLog = log;
         mAnnounce = announce;
-        mAsk = ask;
+        mRequest = request;
     }
 
-    /** Notes a change that this VM has taken in, whichever way it came. */
+    /** Records a change that this VM has received from the store or from another VM. */
     void onChange(long nowMs, long revision) {
-        if (revision <= mNewest) {
+        if (revision <= mOwnRevision) {
             return;
         }
-        mNewest = revision;
+        mOwnRevision = revision;
         mAnnounce.accept(nowMs, revision);
     }
 
-    /** Takes how new another VM's view is. */
+    /** Receives the revision of another VM's view. */
     void onPeerRevision(long nowMs, VmId from, long revision) {
-        if (revision > mHeard) {
-            mHeard = revision;
-            mHeardMs = nowMs;
+        if (revision > mPeerRevision) {
+            mPeerRevision = revision;
+            mPeerRevisionMs = nowMs;
         }
         boolean known = mNewer.filter(n -> n.revision() >= revision).isPresent();
-        if (revision <= mNewest || known) {
+        if (revision <= mOwnRevision || known) {
             return;
         }
-        long sinceMs = mNewer.map(Newer::heardMs).orElse(nowMs);
-        mNewer = Optional.of(new Newer(from, revision, sinceMs));
+        long sinceMs = mNewer.map(NewerView::receivedMs).orElse(nowMs);
+        mNewer = Optional.of(new NewerView(from, revision, sinceMs));
     }
 
-    /** Returns whether another VM was heard of lately whose view is newer than this one's. */
+    /** Returns whether another VM has lately reported a view that is newer than this VM's. */
     boolean isBehind(long nowMs) {
-        return mHeard > mNewest && nowMs - mHeardMs < BEHIND_MS;
+        return mPeerRevision > mOwnRevision && nowMs - mPeerRevisionMs < BEHIND_EXPIRY_MS;
     }
 
-    /** Asks the VM whose view has been newer than this one's for too long. */
+    /** Requests the changes from a VM whose view has been newer than this VM's for too long. */
     void tick(long nowMs) {
         if (mNewer.isEmpty()) {
             return;
         }
-        Newer newer = mNewer.get();
-        if (newer.revision() <= mNewest) {
+        NewerView newer = mNewer.get();
+        if (newer.revision() <= mOwnRevision) {
             mNewer = Optional.empty();
             return;
         }
-        if (nowMs - newer.heardMs() < GRACE_MS) {
+        if (nowMs - newer.receivedMs() < PULL_DELAY_MS) {
             return;
         }
         mNewer = Optional.empty();
@@ -113,8 +115,8 @@
                         .add("view", mView)
                         .add("peer", newer.vm().name())
                         .add("revision", newer.revision())
-                        .add("own_revision", mNewest)
-                        .add("heard_ago_ms", nowMs - newer.heardMs()));
-        mAsk.accept(nowMs, newer.vm().name());
+                        .add("own_revision", mOwnRevision)
+                        .add("heard_ago_ms", nowMs - newer.receivedMs()));
+        mRequest.accept(nowMs, newer.vm().name());
     }
 }
--- a/router/src/main/java/org/hornbeampass/router/daemon/RouterDaemon.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/RouterDaemon.java
@@ -35,7 +35,7 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * One router: all its parts, from start to shutdown.
+ * One router: creates, starts and shuts down all its components.
  *
  * <p>Holds no static state, so that several can run in one process. Thread-safe.
  */
@@ -43,7 +43,7 @@
     private final VmId mVm;
     private final Clock mClock;
     private final RouterNetwork mNetwork;
-    private final Coordination mParts;
+    private final Coordination mCoordination;
     private final WheelTimers mTimers;
     private final FlowRunner mRunner;
     private final RouterMetrics mMetrics;
@@ -51,47 +51,57 @@
     private final Shutdown mShutdown;
     private final AtomicBoolean mClosed = new AtomicBoolean();
 
-    private RouterDaemon(RouterSettings settings, LinkFaults hooks, Clock clock) {
+    private RouterDaemon(RouterSettings settings, LinkFaults faults, Clock clock) {
         mClock = clock;
         long nowMs = clock.nowMs();
         mVm = new VmId(settings.place().name(), settings.place().incarnation().orElse(nowMs));
-        AtomicReference<Coordination> parts = new AtomicReference<>();
+        AtomicReference<Coordination> coordination = new AtomicReference<>();
         mNetwork =
                 new RouterNetwork(
-                        mVm, settings, clock, name -> PeerAddresses.resolve(parts, name), hooks);
+                        mVm,
+                        settings,
+                        clock,
+                        name -> PeerAddresses.resolve(coordination, name),
+                        faults);
         mTimers = new WheelTimers(clock, mVm.name() + "-timers");
         mMetrics = new RouterMetrics(new MetricRegistry());
-        mParts =
+        mCoordination =
                 new Coordination(
                         self(settings),
                         settings,
-                        hooks.platform(
+                        faults.platform(
                                 new HttpPlatform(mNetwork.platform(), settings.platform(), clock)),
                         mNetwork,
                         nowMs);
-        parts.set(mParts);
-        mRunner = new FlowRunner(serveParts(settings));
-        mShutdown = new Shutdown(mParts, mNetwork, mRunner, mTimers, settings.execution());
-        PeerMessageHandlers.register(mNetwork.peers(), mParts);
-        mNetwork.callersHandler().set(frontDoor(settings));
-        OperatorApi.start(settings, mParts, mNetwork, mMetrics, nowMs, new Drain());
+        coordination.set(mCoordination);
+        mRunner = new FlowRunner(newServeParts(settings));
+        mShutdown = new Shutdown(mCoordination, mNetwork, mRunner, mTimers, settings.execution());
+        PeerMessageHandlers.register(mNetwork.peers(), mCoordination);
+        mNetwork.callersHandler().set(newFrontDoor(settings));
+        OperatorApi.start(settings, mCoordination, mNetwork, mMetrics, nowMs, new DaemonDrain());
         mTicks = new TickLoop(mNetwork.control(), clock);
-        mTicks.every(TickLoop.FAST_INTERVAL_MS, mParts::tickFast);
-        mTicks.every(TickLoop.SLOW_INTERVAL_MS, mParts::tick);
-        LoadPoller news =
+        mTicks.every(TickLoop.FAST_INTERVAL_MS, mCoordination::tickFast);
+        mTicks.every(TickLoop.SLOW_INTERVAL_MS, mCoordination::tick);
+        LoadPoller loadPoller =
                 new LoadPoller(
-                        mParts.upstreamTable(),
-                        mParts.config()::snapshot,
+                        mCoordination.upstreamTable(),
+                        mCoordination.config()::snapshot,
                         mNetwork.platform(),
                         clock);
-        mTicks.every(TickLoop.SLOW_INTERVAL_MS, news::tick);
+        mTicks.every(TickLoop.SLOW_INTERVAL_MS, loadPoller::tick);
         VmListReader list =
                 new VmListReader(
-                        mParts.membership(), mParts.backgroundPlatform(), new Random(nowMs));
+                        mCoordination.membership(),
+                        mCoordination.backgroundPlatform(),
+                        new Random(nowMs));
         mTicks.every(TickLoop.SLOW_INTERVAL_MS, list::tick);
-        mTicks.every(TickLoop.SLOW_INTERVAL_MS, this::endWhereSuperseded);
+        mTicks.every(TickLoop.SLOW_INTERVAL_MS, this::shutDownIfSuperseded);
         ControlMetrics.register(
-                mMetrics.registry(), mParts, mNetwork.peers().counters(), news, mRunner);
+                mMetrics.registry(),
+                mCoordination,
+                mNetwork.peers().counters(),
+                loadPoller,
+                mRunner);
     }
 
     /**
@@ -104,16 +114,17 @@
     }
 
     /**
-     * Starts a router whose links an experiment may cut.
+     * Starts a router whose links to the platform and to other routers an experiment may cut.
      *
      * @throws IllegalStateException if an address can't be listened on
      */
-    public static RouterDaemon start(RouterSettings settings, LinkFaults hooks) {
-        return new RouterDaemon(settings, hooks, Clock.monotonic());
+    public static RouterDaemon start(RouterSettings settings, LinkFaults faults) {
+        return new RouterDaemon(settings, faults, Clock.monotonic());
     }
 
     /**
-     * Pauses all threads of this router for a time, as the pause of a VM would; for experiments.
+     * Blocks all threads of this router for a time in milliseconds, as the pause of a VM would; for
+     * experiments.
      */
     public void pause(long ms) {
         mNetwork.pause(ms);
@@ -121,9 +132,11 @@
                 mTimers.at(0, 0, t -> LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(ms)));
     }
 
-    /** Shuts down where a newer life of this VM's name runs, since two must not share it. */
-    private void endWhereSuperseded(long nowMs) {
-        if (mParts.membership().superseded()) {
+    /**
+     * Shuts down if a newer incarnation of this VM is running, since two must not share its name.
+     */
+    private void shutDownIfSuperseded(long nowMs) {
+        if (mCoordination.membership().superseded()) {
             var unused = mShutdown.begin(nowMs);
         }
     }
@@ -132,24 +145,24 @@
         RouterSettings.Listen listen = settings.listen();
         return new Member(
                 mVm,
-                listen.advertisedCallers().orElseGet(() -> text(callersAddress())),
-                listen.advertisedPeers().orElseGet(() -> text(mNetwork.peers().address())),
+                listen.advertisedCallers().orElseGet(() -> hostAndPort(callersAddress())),
+                listen.advertisedPeers().orElseGet(() -> hostAndPort(mNetwork.peers().address())),
                 settings.place().region(),
                 settings.place().domain(),
                 MemberState.LIVE);
     }
 
-    private static String text(InetSocketAddress address) {
+    private static String hostAndPort(InetSocketAddress address) {
         String host = address.getAddress().getHostAddress();
         return (host.contains(":") ? "[" + host + "]" : host) + ":" + address.getPort();
     }
 
-    private ServeParts serveParts(RouterSettings settings) {
+    private ServeParts newServeParts(RouterSettings settings) {
         AttemptContext upstreams =
                 new AttemptContext(
                         mVm,
-                        mParts.upstreamTable(),
-                        mParts.chooser(),
+                        mCoordination.upstreamTable(),
+                        mCoordination.chooser(),
                         new RetryPolicy(),
                         RetryBudget.defaults(),
                         mNetwork.upstreams(),
@@ -158,10 +171,10 @@
                         settings.limits().upstream());
         return new ServeParts(
                 mVm,
-                mParts.budgets(),
-                mParts.requests(),
-                mParts.limits(),
-                mParts.queues(),
+                mCoordination.budgets(),
+                mCoordination.requests(),
+                mCoordination.limits(),
+                mCoordination.queues(),
                 upstreams,
                 mTimers,
                 mMetrics,
@@ -169,67 +182,68 @@
                 settings.limits().serve());
     }
 
-    private FrontDoor frontDoor(RouterSettings settings) {
+    private FrontDoor newFrontDoor(RouterSettings settings) {
         return new FrontDoor(
                 new RequestAdmission(mVm, settings.limits().front()),
-                mParts.currentConfig(),
+                mCoordination.currentConfig(),
                 mRunner,
-                mParts.addresses(),
+                mCoordination.addresses(),
                 this::notReady,
                 () -> MetricsText.render(mMetrics.registry()).getBytes(StandardCharsets.UTF_8),
                 mMetrics::refused);
     }
 
-    /** Returns why this router takes no new requests; empty where it does. */
+    /** Returns why this router accepts no new requests; empty if it accepts them. */
     public Optional<Failure> notReady() {
         if (mShutdown.hasBegun()) {
             return Optional.of(
                     Failure.retryAfter(
                             ErrorKind.SHUTTING_DOWN,
-                            "this router shuts down; send the request to another address",
+                            "this router is shutting down; send the request to another address",
                             0));
         }
-        return mParts.config().notReady().or(() -> mParts.requests().notReady());
+        return mCoordination.config().notReady().or(() -> mCoordination.requests().notReady());
     }
 
     /**
-     * Returns the configuration, for embedding programs that change it without the operators' API.
+     * Returns the configuration store, for embedding programs that change the configuration without
+     * the operators' API.
      */
     public ConfigStore configuration() {
-        return mParts.config();
+        return mCoordination.config();
     }
 
-    /** Returns the operators' side of the budgets, for embedding programs. */
+    /** Returns the administration of the budgets, for embedding programs. */
     public BudgetAdmin accounts() {
-        return mParts.accounts();
+        return mCoordination.accounts();
     }
 
-    /** Returns the coordination parts. */
-    Coordination parts() {
-        return mParts;
+    /** Returns the coordination components. */
+    Coordination coordination() {
+        return mCoordination;
     }
 
-    /** Returns this VM. */
+    /** Returns the name and incarnation of this VM. */
     public VmId vm() {
         return mVm;
     }
 
-    /** Returns where callers connect. */
+    /** Returns the address for callers. */
     public InetSocketAddress callersAddress() {
         return mNetwork.callers().address();
     }
 
-    /** Returns where operators connect. */
+    /** Returns the address for operators. */
     public InetSocketAddress operatorsAddress() {
         return mNetwork.operators().address();
     }
 
-    /** Returns where other routers connect. */
+    /** Returns the address for other routers. */
     public InetSocketAddress peersAddress() {
         return mNetwork.peers().address();
     }
 
-    /** Returns a future that is completed once nothing is left to do after a shutdown began. */
+    /** Returns a future that is completed once a shutdown is done, before the router is closed. */
     public CompletableFuture<Void> shutDownFuture() {
         return mShutdown.done();
     }
@@ -240,17 +254,19 @@
     }
 
     /**
-     * Shuts down gracefully: leaves the address answers, refuses new requests, finishes those in
-     * progress, hands over grants and bills, and closes.
+     * Shuts down gracefully: leaves the answers about addresses, rejects new requests, finishes
+     * those in progress, makes bills durable, returns grants, and closes.
      *
-     * @return completed when all is closed
+     * @return a future that is completed when everything is closed
      */
     public CompletableFuture<Void> shutDown() {
         return mShutdown.begin(mClock.nowMs()).thenRunAsync(this::close);
     }
 
-    /** Begins the shutdown for an operator; the process that runs the router then closes it. */
-    private final class Drain implements DrainControl {
+    /**
+     * Begins the shutdown for an operator; the process that runs the router closes it afterwards.
+     */
+    private final class DaemonDrain implements DrainControl {
         @Override
         public void begin(long nowMs) {
             var unused = mShutdown.begin(nowMs);
@@ -262,11 +278,14 @@
         }
     }
 
-    /** Closes at once, as a crash would: requests in progress are cut, grants are not returned. */
+    /**
+     * Closes immediately, as a crash would: requests in progress are aborted, and grants are not
+     * returned.
+     */
     @Override
     public void close() {
         if (!mClosed.compareAndSet(false, true)) {
-            return; // Closed loops would never complete a second close.
+            return; // Closed event loops would never complete a second close.
         }
         mTicks.close();
         mNetwork.close();
--- a/router/src/main/java/org/hornbeampass/router/daemon/RouterNetwork.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/RouterNetwork.java
@@ -25,15 +25,16 @@
 /**
  * The listeners, clients and event loops of one router.
  *
- * <p>Requests run on the serving loops; the platform, other routers, operators and all ticks run on
- * one control loop, so that their work never holds up a request. Thread-safe.
+ * <p>Requests run on the serving loops. Calls to the platform, messages of other routers,
+ * operators' requests and all ticks run on one control loop, so that they never delay a request.
+ * Thread-safe.
  */
 final class RouterNetwork implements AutoCloseable {
     private static final int CONTROL_THREADS = 1;
     private static final int UPSTREAM_CONNECTIONS = 2_048;
-    private static final int UPSTREAM_WAITING = 8_192;
+    private static final int UPSTREAM_MAX_WAITING = 8_192;
     private static final int PLATFORM_CONNECTIONS = 64;
-    private static final int PLATFORM_WAITING = 4_096;
+    private static final int PLATFORM_MAX_WAITING = 4_096;
 
     private final EventLoops mServing;
     private final EventLoops mControl;
@@ -49,24 +50,27 @@
     /**
      * Starts listening.
      *
-     * @param addresses gives the address of another router by its name
-     * @param hooks where links to other routers may be cut
+     * @param addresses resolves the address of another router by its name
+     * @param faults the links to other routers that are cut
      */
     RouterNetwork(
             VmId self,
             RouterSettings settings,
             Clock clock,
             Function<String, Optional<InetSocketAddress>> addresses,
-            LinkFaults hooks) {
+            LinkFaults faults) {
         mServing = EventLoops.create(settings.execution().workers(), self.name() + "-serving");
         mControl = EventLoops.create(CONTROL_THREADS, self.name() + "-control");
         RouterSettings.Listen listen = settings.listen();
         mCallers =
                 NettyHttpServer.start(
-                        mServing, server(listen.callers(), listen), clock, mCallersHandler);
+                        mServing, serverSettings(listen.callers(), listen), clock, mCallersHandler);
         mOperators =
                 NettyHttpServer.start(
-                        mControl, server(listen.operators(), listen), clock, mOperatorsHandler);
+                        mControl,
+                        serverSettings(listen.operators(), listen),
+                        clock,
+                        mOperatorsHandler);
         PeerSettings peers = PeerSettings.of(self, listen.peers(), settings.keys().cluster());
         mPeers =
                 PeerTransport.start(
@@ -75,24 +79,24 @@
                         clock,
                         addresses);
         mPeerNetwork =
-                hooks == LinkFaults.NONE
+                faults == LinkFaults.NONE
                         ? mPeers
-                        : new FaultInjectingPeers(mPeers, hooks, mControl, clock);
+                        : new FaultInjectingPeers(mPeers, faults, mControl, clock);
         mUpstreams =
                 NettyHttpClient.create(
                         mServing,
                         HttpClientSettings.STANDARD.withPool(
-                                UPSTREAM_CONNECTIONS, UPSTREAM_WAITING),
+                                UPSTREAM_CONNECTIONS, UPSTREAM_MAX_WAITING),
                         clock);
         mPlatform =
                 NettyHttpClient.create(
                         mControl,
                         HttpClientSettings.STANDARD.withPool(
-                                PLATFORM_CONNECTIONS, PLATFORM_WAITING),
+                                PLATFORM_CONNECTIONS, PLATFORM_MAX_WAITING),
                         clock);
     }
 
-    private static HttpServerSettings server(
+    private static HttpServerSettings serverSettings(
             InetSocketAddress address, RouterSettings.Listen listen) {
         HttpServerSettings plain = HttpServerSettings.at(address);
         return listen.tls().map(plain::withTls).orElse(plain);
@@ -110,12 +114,12 @@
         return mPeers;
     }
 
-    /** Returns the links to other routers, as the hooks leave them. */
+    /** Returns the links to other routers, except for those that an experiment has cut. */
     PeerNetwork peerNetwork() {
         return mPeerNetwork;
     }
 
-    /** Blocks every event loop for a time, as the pause of a VM would. */
+    /** Blocks every event loop for a time in milliseconds, as the pause of a VM would. */
     void pause(long ms) {
         for (EventLoops loops : List.of(mServing, mControl)) {
             for (EventExecutor loop : loops.group()) {
--- a/router/src/main/java/org/hornbeampass/router/daemon/RouterSettings.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/RouterSettings.java
@@ -23,15 +23,15 @@
  *
  * <p>Immutable; safe for use by any thread. Documented field by field in docs/SETTINGS.md.
  *
- * @param place who and where this VM is
- * @param listen where it listens
- * @param keys the keys that it checks and shows
+ * @param place the name and location of this VM
+ * @param listen the addresses on which it listens
+ * @param keys the keys that it verifies and presents
  * @param platform how to reach the platform
  * @param calls this VM's share of the platform's limits
- * @param seeds VMs to ask first
- * @param limits bounds and waits of requests
+ * @param seeds VMs to contact first
+ * @param limits limits and timeouts of requests
  * @param execution threads and shutdown
- * @param objectives what is promised of requests, for the burn report
+ * @param objectives the service-level objectives of requests, for the burn report
  */
 public record RouterSettings(
         Place place,
@@ -43,7 +43,7 @@
         Limits limits,
         Execution execution,
         Objectives objectives) {
-    /** Makes settings with the usual service-level objectives. */
+    /** Creates settings with the default service-level objectives. */
     public RouterSettings(
             Place place,
             Listen listen,
@@ -56,32 +56,32 @@
         this(place, listen, keys, platform, calls, seeds, limits, execution, Objectives.defaults());
     }
 
-    /** Copies the list. */
+    /** Copies the list, so that the settings are immutable. */
     public RouterSettings {
         seeds = List.copyOf(seeds);
     }
 
     /**
-     * Who and where a VM is.
+     * The name and location of a VM.
      *
-     * @param name its name, the same after each restart
-     * @param incarnation its incarnation; where empty, the time of its start in milliseconds
-     * @param region its region
-     * @param domain its failure domain
+     * @param name the name of the VM, the same after each restart
+     * @param incarnation the incarnation; if empty, the time of the start in milliseconds
+     * @param region the region of the VM
+     * @param domain the failure domain of the VM
      */
     public record Place(
             String name, OptionalLong incarnation, Region region, FailureDomain domain) {}
 
     /**
-     * Where a VM listens; port 0 for any free one.
+     * The addresses on which a VM listens; port 0 selects a free port.
      *
      * @param callers for callers
      * @param operators for operators
      * @param peers for other routers
-     * @param advertisedCallers the address that callers are told; where empty, the one listened on
-     * @param advertisedPeers the address that other routers are told
+     * @param advertisedCallers the address announced to callers; if empty, the one listened on
+     * @param advertisedPeers the address announced to other routers; if empty, the one listened on
      * @param tls the PEM files of the listeners for callers and operators
-     * @param peerTls the PEM files between routers
+     * @param peerTls the PEM files for connections between routers
      */
     public record Listen(
             InetSocketAddress callers,
@@ -93,27 +93,29 @@
             Optional<TlsFiles> peerTls) {}
 
     /**
-     * The keys that a VM checks and shows.
+     * The keys that a VM verifies and presents.
      *
      * @param cluster the key that all routers share
-     * @param operators operators' keys, hashed
+     * @param operators the hashed keys of operators
      */
     public record Keys(Secret cluster, List<OperatorKey> operators) {
-        /** Copies the list. */
+        /** Copies the list, so that the settings are immutable. */
         public Keys {
             operators = List.copyOf(operators);
         }
     }
 
     /**
-     * Bounds and waits of requests.
+     * Limits and timeouts of requests.
      *
-     * @param front what callers may send
-     * @param upstream attempts at upstreams
-     * @param serve waits inside the router
+     * @param front limits of callers' requests
+     * @param upstream limits and timeouts of attempts at upstreams
+     * @param serve limits of waiting inside the router
      */
     public record Limits(FrontLimits front, UpstreamSettings upstream, ServeSettings serve) {
-        /** Returns the bounds and waits for which figures are published. */
+        /**
+         * Returns the default limits and timeouts; the published performance figures apply to them.
+         */
         public static Limits defaults() {
             return new Limits(
                     FrontLimits.defaults(), UpstreamSettings.defaults(), ServeSettings.defaults());
@@ -123,9 +125,9 @@
     /**
      * Threads and shutdown.
      *
-     * @param workers event loops that serve requests
-     * @param maxDrainMs how long a shutdown may wait for requests, in milliseconds; where empty, as
-     *     long as they take
+     * @param workers the number of event loops that serve requests
+     * @param maxDrainMs how long a shutdown may wait for requests, in milliseconds; if empty, there
+     *     is no limit
      */
     public record Execution(int workers, OptionalLong maxDrainMs) {}
 }
--- a/router/src/main/java/org/hornbeampass/router/daemon/SettingsFile.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/SettingsFile.java
@@ -30,31 +30,31 @@
 /**
  * Reads a router's settings from JSON with comments.
  *
- * <p>All faults are reported at once, each with its place and its mend. Stateless; safe for use by
- * any thread.
+ * <p>All faults are reported at once, each with its location and a way to correct it. Stateless;
+ * safe for use by any thread.
  */
 public final class SettingsFile {
     private static final long SECOND_MS = 1_000;
     private static final long HOUR_MS = 3_600_000;
-    private static final long MIN_KEY_CHARS = 16;
+    private static final long MIN_SECRET_CHARS = 16;
 
     private SettingsFile() {}
 
     /**
-     * Reads a text.
+     * Parses settings.
      *
-     * @param source its name in messages
-     * @param text the settings
+     * @param source the name of the text in messages
+     * @param text the settings, JSON with comments
      */
     public static Either<Faults, RouterSettings> read(String source, String text) {
         return SettingsReader.read(source, text, SettingsFile::settings);
     }
 
-    /** Asks for what may be left out first, so that a fault elsewhere does not hide its names. */
+    /** Reads optional fields first, so that a fault elsewhere does not make them appear unknown. */
     private static RouterSettings settings(SettingsNode node) {
         CallLimits calls =
                 node.optionalNode("platform_calls")
-                        .map(SettingsFile::calls)
+                        .map(SettingsFile::callLimits)
                         .orElse(new CallLimits(250, 50, 10, 1, 2_000));
         RouterSettings.Limits limits =
                 node.optionalNode("limits")
@@ -119,17 +119,20 @@
                 secret(node, "cluster"), node.list("operators", SettingsFile::operator));
     }
 
-    /** Reads a key that is given as {@code NAME}, or in a file that is given as NAME_file. */
+    /**
+     * Reads a key that is given directly as {@code NAME}, or as the path of a file in {@code
+     * NAME_file}.
+     */
     private static Secret secret(SettingsNode node, String name) {
         Optional<Path> file = node.optionalFile(name + "_file");
         String text =
                 file.isPresent()
                         ? fileText(node, name + "_file", file.get())
                         : node.requiredString(name);
-        if (text.length() < MIN_KEY_CHARS) {
+        if (text.length() < MIN_SECRET_CHARS) {
             node.fault(
                     name,
-                    "the key is shorter than " + MIN_KEY_CHARS + " characters",
+                    "the key is shorter than " + MIN_SECRET_CHARS + " characters",
                     "use a longer one");
         }
         return Secret.of(text);
@@ -139,7 +142,7 @@
         try {
             return Files.readString(file).strip();
         } catch (IOException e) {
-            node.fault(name, "the file can't be read", "check its path and its rights");
+            node.fault(name, "the file can't be read", "check its path and permissions");
             return "";
         }
     }
@@ -147,7 +150,10 @@
     private static OperatorKey operator(SettingsNode node) {
         String hash = node.requiredString("sha256");
         if (!hash.matches("[0-9a-f]{64}")) {
-            node.fault("sha256", "it is no SHA-256 in lower-case hex", "write its 64 hex digits");
+            node.fault(
+                    "sha256",
+                    "it is not a SHA-256 hash in lower-case hex",
+                    "write its 64 hex digits");
         }
         return new OperatorKey(node.requiredString("name"), hash);
     }
@@ -160,7 +166,7 @@
                 node.optionalDuration("call_timeout", 5 * SECOND_MS, 10, 60 * SECOND_MS));
     }
 
-    private static CallLimits calls(SettingsNode node) {
+    private static CallLimits callLimits(SettingsNode node) {
         return new CallLimits(
                 node.optionalDouble("reads_per_second", 250, 0.1, 100_000),
                 node.optionalDouble("writes_per_second", 50, 0.1, 100_000),
@@ -216,7 +222,7 @@
         return ms == 0 ? OptionalLong.empty() : OptionalLong.of(ms);
     }
 
-    /** Returns the names of the operators whose keys are set, for the start message. */
+    /** Returns the names of the operators whose keys are configured, for the start message. */
     static List<String> operatorNames(RouterSettings settings) {
         return settings.keys().operators().stream().map(OperatorKey::name).toList();
     }
--- a/router/src/main/java/org/hornbeampass/router/daemon/SettingsReload.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/SettingsReload.java
@@ -11,31 +11,31 @@
 import java.util.function.Consumer;
 
 /**
- * Reads the settings again on SIGHUP, and now and then in case they changed without one; puts in
- * force what can be, and says what needs a restart.
+ * Reloads the settings on SIGHUP, and periodically if the file has changed. Applies what can change
+ * while the daemon runs, and logs what needs a restart.
  *
  * <p>Invariant: settings with faults change nothing. Thread-safe: the last text and settings are
- * guarded by its lock.
+ * guarded by the lock of this object.
  */
 final class SettingsReload {
     private static final Logger LOG = LogManager.getLogger("decisions");
 
-    /** How often the file is looked at without a signal, in milliseconds; it has some 2 KB. */
+    /** Interval of reading the file without a signal, in milliseconds; it has only some 2 KB. */
     static final long CHECK_INTERVAL_MS = 2_000;
 
     private final Path mFile;
     private final Consumer<RelayDaemonSettings> mApply;
-    private String mText;
+    private String mLastText;
     private RelayDaemonSettings mSettings;
 
     /**
-     * Makes the reload of one daemon.
+     * Creates the reload of one daemon.
      *
      * @param file the settings file
-     * @param text what it held at the start
-     * @param settings the settings in force
-     * @param apply takes settings of which {@link RelayDaemonSettings#withReloadable} says what is
-     *     in force
+     * @param text the content of the file at the start
+     * @param settings the settings that the daemon was started with
+     * @param apply receives the settings to apply, as {@link RelayDaemonSettings#withReloadable}
+     *     returns them
      */
     SettingsReload(
             Path file,
@@ -43,24 +43,24 @@
             RelayDaemonSettings settings,
             Consumer<RelayDaemonSettings> apply) {
         mFile = file;
-        mText = text;
+        mLastText = text;
         mSettings = settings;
         mApply = apply;
     }
 
-    /** Reads the settings on a signal: says so in any case. */
+    /** Reloads the settings on a signal, and logs it even if nothing has changed. */
     synchronized void onSignal() {
         Optional<String> text = read();
         if (text.isPresent()) {
-            take(text.get(), "signal");
+            reload(text.get(), "signal");
         }
     }
 
-    /** Reads the settings without a signal: silent where nothing changed. */
+    /** Reloads the settings if the file has changed; logs nothing otherwise. */
     synchronized void checkFile() {
         Optional<String> text = read();
-        if (text.isPresent() && !text.get().equals(mText)) {
-            take(text.get(), "file");
+        if (text.isPresent() && !text.get().equals(mLastText)) {
+            reload(text.get(), "file");
         }
     }
 
@@ -73,18 +73,18 @@
         }
     }
 
-    private void take(String text, String cause) {
-        mText = text;
-        var read = RelaySettingsFile.read(mFile.toString(), text);
-        if (read.isLeft()) {
+    private void reload(String text, String cause) {
+        mLastText = text;
+        var parsed = RelaySettingsFile.read(mFile.toString(), text);
+        if (parsed.isLeft()) {
             LOG.warn(
                     "{\"kind\":\"reload-failed\",\"cause\":\"{}\",\"reason\":\"{}\"}",
                     cause,
-                    String.join("; ", read.getLeft().lines()).replace('"', '\''));
+                    String.join("; ", parsed.getLeft().lines()).replace('"', '\''));
             return;
         }
-        List<String> restart = mSettings.changesThatNeedRestart(read.get());
-        RelayDaemonSettings adopted = mSettings.withReloadable(read.get());
+        List<String> needRestart = mSettings.changesThatNeedRestart(parsed.get());
+        RelayDaemonSettings adopted = mSettings.withReloadable(parsed.get());
         boolean changed = !adopted.equals(mSettings);
         mSettings = adopted;
         mApply.accept(adopted);
@@ -92,6 +92,6 @@
                 "{\"kind\":\"reload\",\"cause\":\"{}\",\"in_force\":{},\"needs_restart\":\"{}\"}",
                 cause,
                 changed,
-                String.join(",", restart));
+                String.join(",", needRestart));
     }
 }
--- a/router/src/main/java/org/hornbeampass/router/daemon/Shutdown.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/Shutdown.java
@@ -9,56 +9,57 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 /**
- * Brings a router down without cutting a request.
+ * Shuts a router down without aborting a request.
  *
- * <p>First it leaves the address answers and new requests are refused; once all requests have
- * ended, bills and then grants are handed over. Grants come last, since settling a request needs
- * them. Has no deadline unless the settings name one. Thread-safe.
+ * <p>First the router leaves the answers about addresses and rejects new requests. Once all
+ * requests have ended, it makes their bills durable and then returns its grants. Grants come last,
+ * since settling a request needs them. There is no deadline unless the settings define one.
+ * Thread-safe.
  */
 final class Shutdown {
     private static final Logger LOG = LogManager.getLogger(Shutdown.class);
     private static final long POLL_MS = 20;
 
-    private final Coordination mParts;
+    private final Coordination mCoordination;
     private final RouterNetwork mNetwork;
     private final FlowRunner mRunner;
     private final TimerPort mTimers;
-    private final RouterSettings.Execution mSettings;
+    private final RouterSettings.Execution mExecution;
     private final AtomicBoolean mBegun = new AtomicBoolean();
     private final CompletableFuture<Void> mDone = new CompletableFuture<>();
 
     Shutdown(
-            Coordination parts,
+            Coordination coordination,
             RouterNetwork network,
             FlowRunner runner,
             TimerPort timers,
             RouterSettings.Execution settings) {
-        mParts = parts;
+        mCoordination = coordination;
         mNetwork = network;
         mRunner = runner;
         mTimers = timers;
-        mSettings = settings;
+        mExecution = settings;
     }
 
-    /** Returns whether the shutdown has begun, so that new requests are refused. */
+    /** Returns whether the shutdown has begun, so that new requests are rejected. */
     boolean hasBegun() {
         return mBegun.get();
     }
 
-    /** Returns a future that is completed when nothing is left to do. */
+    /** Returns a future that is completed when the shutdown is done or its deadline has passed. */
     CompletableFuture<Void> done() {
         return mDone;
     }
 
-    /** Begins the shutdown where it has not begun; completed when nothing is left to do. */
+    /** Begins the shutdown if it has not begun, and returns the same future as {@link #done}. */
     CompletableFuture<Void> begin(long nowMs) {
         if (mBegun.compareAndSet(false, true)) {
-            LOG.info("shutdown begins with {} requests in progress", mRunner.running());
-            mParts.membership().leave(nowMs);
-            if (mSettings.maxDrainMs().isPresent()) {
+            LOG.info("shutdown started with {} requests in progress", mRunner.running());
+            mCoordination.membership().leave(nowMs);
+            if (mExecution.maxDrainMs().isPresent()) {
                 mTimers.at(
                         nowMs,
-                        nowMs + mSettings.maxDrainMs().getAsLong(),
+                        nowMs + mExecution.maxDrainMs().getAsLong(),
                         t -> mDone.complete(null));
             }
             awaitRequests(nowMs);
@@ -72,12 +73,13 @@
             return;
         }
         mNetwork.callers().stopAccepting();
-        mParts.requests().handOver(nowMs, this::handOverGrants);
+        mCoordination.requests().handOver(nowMs, this::handOverGrants);
     }
 
     private void handOverGrants(long nowMs) {
-        LOG.info("all requests have ended and their bills are durable");
-        mParts.budgets()
+        LOG.info("all requests have ended and their bills are durable; returning grants");
+        mCoordination
+                .budgets()
                 .handOver(
                         nowMs,
                         t -> {
--- a/router/src/main/java/org/hornbeampass/router/daemon/SignalLog.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/SignalLog.java
@@ -8,12 +8,13 @@
 import java.util.OptionalDouble;
 
 /**
- * Logs what upstreams say of themselves in their answers.
+ * Logs the signals that upstreams send in their answers: that they are leaving, and their rate
+ * limits.
  *
  * <p>Confined to one event loop.
  */
 final class SignalLog implements SignalListener {
-    private static final double NO_LIMIT = -1;
+    private static final double UNLIMITED = -1;
 
     private final RelayLog mLog;
 
@@ -23,20 +24,21 @@
 
     @Override
     public void onLeaving(long nowMs, UpstreamIncarnation upstream, String toldBy) {
-        mLog.logStateChange(nowMs, "upstream-leaving", fields(upstream).add("told_by", toldBy));
+        mLog.logStateChange(
+                nowMs, "upstream-leaving", upstreamFields(upstream).add("told_by", toldBy));
     }
 
     @Override
     public void onRateLimit(
             long nowMs, UpstreamIncarnation upstream, OptionalDouble perSecond, String toldBy) {
         LogFields fields =
-                fields(upstream)
-                        .add("per_second", Double.toString(perSecond.orElse(NO_LIMIT)))
+                upstreamFields(upstream)
+                        .add("per_second", Double.toString(perSecond.orElse(UNLIMITED)))
                         .add("told_by", toldBy);
         mLog.logStateChange(nowMs, "upstream-limit", fields);
     }
 
-    private static LogFields fields(UpstreamIncarnation upstream) {
+    private static LogFields upstreamFields(UpstreamIncarnation upstream) {
         return new LogFields()
                 .add("upstream", upstream.upstream())
                 .add("born_ms", upstream.bornMs());
--- a/router/src/main/java/org/hornbeampass/router/daemon/StoreChanges.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/StoreChanges.java
@@ -11,84 +11,86 @@
 import org.hornbeampass.state.service.UpstreamEntry;
 
 /**
- * Puts in force what the operators and the upstreams write to the store.
+ * Applies the configuration and the upstreams' entries that are written to the store.
  *
- * <p>Invariants: an object that is not understood changes nothing but what itself says, and is
- * logged with its reason; a configuration never goes back to an older version. Confined to one
- * event loop.
+ * <p>Invariants: an object that can't be parsed affects only its own entry, and is logged with the
+ * reason; the version of the configuration never decreases. Confined to one event loop.
  */
 final class StoreChanges {
-    /** How long after an outage entries may be missing that will be back, in milliseconds. */
-    private static final long AFTER_OUTAGE_MS = 2_500;
+    /**
+     * Time after an outage of the store in which entries may be missing only temporarily, in
+     * milliseconds.
+     */
+    private static final long OUTAGE_RECOVERY_MS = 2_500;
 
-    private final RelayContext mParts;
+    private final RelayContext mContext;
     private final WatchedView mUpstreams;
 
-    StoreChanges(RelayContext parts, WatchedView upstreams) {
-        mParts = parts;
+    StoreChanges(RelayContext context, WatchedView upstreams) {
+        mContext = context;
         mUpstreams = upstreams;
     }
 
-    /** Returns the version of the configuration in force; 0 where none is known. */
+    /** Returns the version of the current configuration; 0 if there is none. */
     long configVersion() {
-        return mParts.routes().map(r -> r.config().version()).orElse(0L);
+        return mContext.routes().map(r -> r.config().version()).orElse(0L);
     }
 
-    /** Takes a change below the configuration's prefix. */
+    /** Applies a change of a key with the configuration's prefix. */
     void onConfig(long nowMs, Change change) {
-        if (!change.key().equals(mParts.wire().configKey()) || change.value().isEmpty()) {
+        if (!change.key().equals(mContext.wire().configKey()) || change.value().isEmpty()) {
             return;
         }
-        mParts.wire()
+        mContext.wire()
                 .readConfig(change.value().get())
-                .peekLeft(f -> notUnderstood(nowMs, "config-not-understood", change, f))
-                .peek(config -> apply(nowMs, config, change.version()));
+                .peekLeft(f -> logUnreadable(nowMs, "config-not-understood", change, f))
+                .peek(config -> applyConfig(nowMs, config, change.version()));
     }
 
-    private void apply(long nowMs, FleetConfig config, long revision) {
+    private void applyConfig(long nowMs, FleetConfig config, long revision) {
         LogFields fields = new LogFields().add("version", config.version());
         if (config.version() < configVersion()) {
-            mParts.log().logStateChange(nowMs, "config-too-old", fields);
+            mContext.log().logStateChange(nowMs, "config-too-old", fields);
             return;
         }
-        mParts.setRoutes(new RouteTable(config));
-        mParts.budgets().onOrganisations(config.organisations());
-        mParts.budgets().tick(nowMs);
-        mParts.log().logStateChange(nowMs, "config-in-force", fields.add("revision", revision));
+        mContext.setRoutes(new RouteTable(config));
+        mContext.budgets().onOrganisations(config.organisations());
+        mContext.budgets().tick(nowMs);
+        mContext.log().logStateChange(nowMs, "config-in-force", fields.add("revision", revision));
     }
 
-    /** Takes a change of an upstream's entry. */
+    /** Applies a change of an upstream's entry. */
     void onUpstream(long nowMs, Change change) {
-        String id = change.key().substring(mParts.wire().upstreamPrefix().length());
+        String id = change.key().substring(mContext.wire().upstreamPrefix().length());
         if (change.value().isEmpty()) {
-            remove(nowMs, id);
+            removeEntry(nowMs, id);
             return;
         }
-        var read = mParts.wire().readUpstream(change.key(), change.value().get());
+        var read = mContext.wire().readUpstream(change.key(), change.value().get());
         if (read.isLeft()) {
-            mParts.upstreamRegistry().onUnreadableEntry(nowMs, id);
-            notUnderstood(nowMs, "upstream-not-understood", change, read.getLeft());
+            mContext.upstreamRegistry().onUnreadableEntry(nowMs, id);
+            logUnreadable(nowMs, "upstream-not-understood", change, read.getLeft());
             return;
         }
-        list(nowMs, read.get(), change.version());
+        applyEntry(nowMs, read.get(), change.version());
     }
 
-    private void remove(long nowMs, String id) {
-        boolean afterOutage = mUpstreams.failedWithin(nowMs, AFTER_OUTAGE_MS);
-        mParts.upstreamRegistry().onRemoved(nowMs, id, afterOutage);
-        mParts.log()
+    private void removeEntry(long nowMs, String id) {
+        boolean afterOutage = mUpstreams.failedWithin(nowMs, OUTAGE_RECOVERY_MS);
+        mContext.upstreamRegistry().onRemoved(nowMs, id, afterOutage);
+        mContext.log()
                 .logStateChange(
                         nowMs,
                         "upstream-removed",
                         new LogFields().add("upstream", id).add("after_outage", afterOutage));
     }
 
-    private void list(long nowMs, UpstreamEntry entry, long revision) {
-        EntryResult verdict = mParts.upstreamRegistry().onEntry(nowMs, entry);
+    private void applyEntry(long nowMs, UpstreamEntry entry, long revision) {
+        EntryResult verdict = mContext.upstreamRegistry().onEntry(nowMs, entry);
         if (verdict.replacesIncarnation()) {
-            mParts.pool().forget(entry.address());
+            mContext.pool().forget(entry.address());
         }
-        mParts.log()
+        mContext.log()
                 .logStateChange(
                         nowMs,
                         verdict.isAccepted() ? "upstream-listed" : "upstream-entry-too-old",
@@ -96,21 +98,24 @@
                                 .add("upstream", entry.id())
                                 .add("born_ms", entry.bornMs().orElse(-1))
                                 .add("leaving", entry.leaving())
-                                .add("service_known", serviceKnown(entry))
+                                .add("service_known", isServiceConfigured(entry))
                                 .add("verdict", verdict.name())
                                 .add("revision", revision));
     }
 
-    /** Returns whether any route may lead there; an entry of another service is never chosen. */
-    private boolean serviceKnown(UpstreamEntry entry) {
-        return mParts.routes()
+    /**
+     * Returns whether the configuration has the entry's service; upstreams of other services are
+     * never chosen.
+     */
+    private boolean isServiceConfigured(UpstreamEntry entry) {
+        return mContext.routes()
                 .map(r -> r.config().services().stream())
                 .map(s -> s.anyMatch(each -> each.name().equals(entry.service())))
                 .orElse(false);
     }
 
-    private void notUnderstood(long nowMs, String decision, Change change, Failure failure) {
-        mParts.log()
+    private void logUnreadable(long nowMs, String decision, Change change, Failure failure) {
+        mContext.log()
                 .logStateChange(
                         nowMs,
                         decision,
--- a/router/src/main/java/org/hornbeampass/router/daemon/StoreViews.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/StoreViews.java
@@ -19,57 +19,66 @@
 import java.util.function.Supplier;
 
 /**
- * What this VM knows of the store's configuration and upstreams, and how it keeps that fresh: from
- * its own watches, and from other VMs.
+ * This VM's views of the configuration and the upstreams in the store, which are kept current by
+ * its own watches and by other VMs.
  *
  * <p>Confined to one event loop.
  */
 final class StoreViews implements MembershipListener {
     /**
-     * How long a watch waits, in milliseconds. Each is a call that is charged, whether it waits
-     * long or not; the platform lets one wait for 30 s at most. A connection that went silent is
-     * given up by its own probes, and what a watch misses is heard of from other VMs. With 2.5 s
-     * the watches of 19 VMs made some 900 calls in a day of 53 s, of which 240 brought news.
+     * How long a watch waits, in milliseconds. Each watch is a call that is charged, whether it
+     * waits long or not; the platform lets one wait for 30 s at most. A silent connection is closed
+     * by its own probes, and a change that a watch misses is reported by other VMs. With 2.5 s the
+     * watches of 19 VMs made some 900 calls in a day compressed to 53 s, of which 240 returned
+     * changes.
      */
-    private static final long WATCH_MS = 25_000;
+    private static final long WATCH_TIMEOUT_MS = 25_000;
 
-    /** Waits after failed calls: several a second would be charged, ten seconds would be late. */
+    /**
+     * Delays after failed calls: several calls a second would all be charged, and a delay of ten
+     * seconds would be too long.
+     */
     private static final RetryPolicy BACKOFF = new RetryPolicy(150, 700, Integer.MAX_VALUE);
 
-    /** How often watches are begun anew at most where the store comes and goes, in milliseconds. */
-    private static final long WATCH_ANEW_MS = 2_000;
+    /**
+     * Minimum interval between restarts of the watches when the store is lost and regained
+     * repeatedly, in milliseconds.
+     */
+    private static final long MIN_RESTART_INTERVAL_MS = 2_000;
 
     private final Platform mStore;
     private final Random mRandom;
     private final WatchedView mConfig;
     private final WatchedView mUpstreams;
-    private final ViewExchange mNews;
-    private final RevisionTracker mConfigNews;
-    private final RevisionTracker mUpstreamsNews;
-    private long mWatchAnewAtMs = Long.MAX_VALUE;
-    private long mWatchedAnewMs;
+    private final ViewExchange mViewExchange;
+    private final RevisionTracker mConfigRevisions;
+    private final RevisionTracker mUpstreamsRevisions;
+    private long mRestartWatchesAtMs = Long.MAX_VALUE;
+    private long mLastRestartMs;
 
     /**
-     * Makes the views; nothing is asked before the first {@link #tick}.
+     * Creates the views; the store is first called at the first {@link #tick}.
      *
      * @param store the platform that is watched
      * @param configPrefix the prefix of the keys of the configuration
      * @param upstreamPrefix the prefix of the keys of the upstreams' entries
      * @param peers sends messages to other VMs
-     * @param others gives the names of other VMs that are up
-     * @param log takes a line for each belief
-     * @param announceConfig tells others a revision of the configuration, at a time in milliseconds
-     * @param announceUpstreams tells others the revision of an upstream's change
-     * @param random chooses whom to ask, and spreads retries
-     * @param onConfig takes the time in milliseconds and each change of the configuration
-     * @param onUpstream takes the time in milliseconds and each change of an upstream
+     * @param otherVms returns the names of other VMs that are up
+     * @param log receives a line when a view is behind
+     * @param announceConfig announces a revision of the configuration to other VMs; receives the
+     *     time in milliseconds first
+     * @param announceUpstreams announces the revision of an upstream's change to other VMs;
+     *     receives the time in milliseconds first
+     * @param random chooses the VM to request changes from, and spreads retries
+     * @param onConfig receives the time in milliseconds and each change of the configuration
+     * @param onUpstream receives the time in milliseconds and each change of an upstream
      */
     StoreViews(
             Platform store,
             String configPrefix,
             String upstreamPrefix,
             PeerNetwork peers,
-            Supplier<List<String>> others,
+            Supplier<List<String>> otherVms,
             RelayLog log,
             BiConsumer<Long, Long> announceConfig,
             BiConsumer<Long, Long> announceUpstreams,
@@ -84,7 +93,7 @@
                         MissedChanges.SKIPPED,
                         (nowMs, change) -> {
                             onConfig.accept(nowMs, change);
-                            configNews().onChange(nowMs, change.version());
+                            configRevisions().onChange(nowMs, change.version());
                         });
         mUpstreams =
                 view(
@@ -92,45 +101,46 @@
                         MissedChanges.REPLAYED,
                         (nowMs, change) -> {
                             onUpstream.accept(nowMs, change);
-                            upstreamsNews().onChange(nowMs, change.version());
+                            upstreamsRevisions().onChange(nowMs, change.version());
                         });
-        mNews =
+        mViewExchange =
                 new ViewExchange(
                         Map.of(configPrefix, mConfig, upstreamPrefix, mUpstreams),
                         peers,
-                        others,
+                        otherVms,
                         random);
-        mConfigNews =
+        mConfigRevisions =
                 new RevisionTracker(
                         "configuration",
                         log,
                         announceConfig,
-                        (nowMs, name) -> mNews.requestNow(nowMs, configPrefix, name));
-        mUpstreamsNews =
+                        (nowMs, name) -> mViewExchange.requestNow(nowMs, configPrefix, name));
+        mUpstreamsRevisions =
                 new RevisionTracker(
                         "upstreams",
                         log,
                         announceUpstreams,
-                        (nowMs, name) -> mNews.requestNow(nowMs, upstreamPrefix, name));
+                        (nowMs, name) -> mViewExchange.requestNow(nowMs, upstreamPrefix, name));
     }
 
-    private WatchedView view(String prefix, MissedChanges missed, BiConsumer<Long, Change> taker) {
+    private WatchedView view(
+            String prefix, MissedChanges missed, BiConsumer<Long, Change> onChange) {
         return new WatchedView(
                 mStore,
                 prefix,
-                Duration.ofMillis(WATCH_MS),
+                Duration.ofMillis(WATCH_TIMEOUT_MS),
                 BACKOFF,
                 missed,
                 mRandom.nextLong(),
-                taker);
+                onChange);
     }
 
-    private RevisionTracker configNews() {
-        return mConfigNews;
+    private RevisionTracker configRevisions() {
+        return mConfigRevisions;
     }
 
-    private RevisionTracker upstreamsNews() {
-        return mUpstreamsNews;
+    private RevisionTracker upstreamsRevisions() {
+        return mUpstreamsRevisions;
     }
 
     WatchedView config() {
@@ -142,55 +152,56 @@
     }
 
     /**
-     * Returns whether there may be a newer configuration: another VM has one, one is on its way, or
-     * the store does not answer.
+     * Returns whether there may be a newer configuration: another VM has one, one is being
+     * received, or the store does not answer.
      */
     boolean configMayBeBehind(long nowMs) {
-        return mConfigNews.isBehind(nowMs)
+        return mConfigRevisions.isBehind(nowMs)
                 || mConfig.receiving(nowMs)
                 || mConfig.failingForMs(nowMs) >= ViewExchange.MIN_FAILING_MS;
     }
 
     /**
-     * Watches anew, since the answers to the watches that were waiting may be among those that were
-     * lost. Where all VMs lost them, none hears of a change from another.
+     * Schedules a restart of the watches, since the answers to the waiting watches may have been
+     * lost with the store's other answers. If all VMs lost them, no VM would learn of a change from
+     * another.
      */
     void onStoreRegained(long nowMs) {
-        mWatchAnewAtMs = Math.max(nowMs, mWatchedAnewMs + WATCH_ANEW_MS);
+        mRestartWatchesAtMs = Math.max(nowMs, mLastRestartMs + MIN_RESTART_INTERVAL_MS);
     }
 
-    private void watchAnew(long nowMs) {
-        if (nowMs < mWatchAnewAtMs) {
+    private void restartWatches(long nowMs) {
+        if (nowMs < mRestartWatchesAtMs) {
             return;
         }
-        mWatchAnewAtMs = Long.MAX_VALUE;
-        mWatchedAnewMs = nowMs;
+        mRestartWatchesAtMs = Long.MAX_VALUE;
+        mLastRestartMs = nowMs;
         mConfig.watchAnew(nowMs);
         mUpstreams.watchAnew(nowMs);
     }
 
-    /** Returns what answers other VMs' questions. */
+    /** Returns the exchange that answers other VMs' requests for changes. */
     ViewExchange viewExchange() {
-        return mNews;
+        return mViewExchange;
     }
 
     @Override
     public void onPeerRevision(long nowMs, VmId from, long revision) {
-        mConfigNews.onPeerRevision(nowMs, from, revision);
+        mConfigRevisions.onPeerRevision(nowMs, from, revision);
     }
 
     @Override
     public void onPeerUpstreamsRevision(long nowMs, VmId from, long revision) {
-        mUpstreamsNews.onPeerRevision(nowMs, from, revision);
+        mUpstreamsRevisions.onPeerRevision(nowMs, from, revision);
     }
 
-    /** Does what is due. */
+    /** Runs periodic work at the current time in milliseconds. */
     void tick(long nowMs) {
-        watchAnew(nowMs);
+        restartWatches(nowMs);
         mConfig.tick(nowMs);
         mUpstreams.tick(nowMs);
-        mNews.tick(nowMs);
-        mConfigNews.tick(nowMs);
-        mUpstreamsNews.tick(nowMs);
+        mViewExchange.tick(nowMs);
+        mConfigRevisions.tick(nowMs);
+        mUpstreamsRevisions.tick(nowMs);
     }
 }
--- a/router/src/main/java/org/hornbeampass/router/daemon/TickLoop.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/TickLoop.java
@@ -13,20 +13,20 @@
 import java.util.function.LongConsumer;
 
 /**
- * Drives the parts that have no clock of their own, on the control loop.
+ * Calls components that have no clock of their own at intervals, on the control loop.
  *
  * <p>A tick that throws is logged, and later ones still run. Thread-safe.
  */
 final class TickLoop implements AutoCloseable {
-    /** How often what callers wait for is driven, in milliseconds. */
+    /** Interval for work that callers wait for, in milliseconds. */
     static final long FAST_INTERVAL_MS = 10;
 
-    /** How often the rest is driven, in milliseconds. */
+    /** Interval for all other work, in milliseconds. */
     static final long SLOW_INTERVAL_MS = 100;
 
     private static final Logger LOG = LogManager.getLogger(TickLoop.class);
 
-    private final List<ScheduledFuture<?>> mTicks = new CopyOnWriteArrayList<>();
+    private final List<ScheduledFuture<?>> mScheduled = new CopyOnWriteArrayList<>();
     private final EventLoops mLoops;
     private final Clock mClock;
 
@@ -35,9 +35,9 @@
         mClock = clock;
     }
 
-    /** Runs a tick at an interval in milliseconds; it takes the present time. */
+    /** Runs a tick at an interval in milliseconds; it receives the current time in milliseconds. */
     void every(long intervalMs, LongConsumer tick) {
-        mTicks.add(
+        mScheduled.add(
                 mLoops.group()
                         .next()
                         .scheduleWithFixedDelay(
@@ -48,12 +48,12 @@
         try {
             tick.accept(mClock.nowMs());
         } catch (RuntimeException e) {
-            LOG.error("a tick met an internal fault", e);
+            LOG.error("a periodic task failed with an internal error", e);
         }
     }
 
     @Override
     public void close() {
-        mTicks.forEach(t -> t.cancel(false));
+        mScheduled.forEach(t -> t.cancel(false));
     }
 }
--- a/router/src/main/java/org/hornbeampass/router/daemon/VmListReader.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/VmListReader.java
@@ -14,23 +14,24 @@
 import java.util.Random;
 
 /**
- * Reads the platform's lagging list of VMs and hands it to the membership.
+ * Reads the platform's list of VMs, which lags behind, and passes it to the membership.
  *
- * <p>The first {@value #READERS} live VMs of each failure domain read it often, and others hear
- * what it says by gossip; all others read it seldom, as a check. Used on the control loop only.
+ * <p>The first {@value #READERS_PER_DOMAIN} live VMs of each failure domain read it often, and the
+ * other VMs learn its content by gossip; they read it rarely, as a check. Confined to the control
+ * loop.
  */
 final class VmListReader {
-    private static final String PREFIX = "vms/";
-    private static final int READERS = 2;
-    private static final int PAGE = 500;
+    private static final String VM_PREFIX = "vms/";
+    private static final int READERS_PER_DOMAIN = 2;
+    private static final int PAGE_SIZE = 500;
 
     /**
-     * How often the readers look, in milliseconds. A new VM asks its seeds and is spread by gossip;
-     * the list is for one whose seeds are all down.
+     * Interval at which the readers read the list, in milliseconds. A new VM contacts its seeds and
+     * becomes known by gossip; the list is needed only for a VM whose seeds are all down.
      */
-    private static final long OFTEN_MS = 30_000;
+    private static final long READER_INTERVAL_MS = 30_000;
 
-    private static final long SELDOM_MS = 120_000;
+    private static final long CHECK_INTERVAL_MS = 120_000;
 
     private final Membership mMembership;
     private final Platform mPlatform;
@@ -44,45 +45,45 @@
         mRandom = random;
     }
 
-    /** Starts to read the list where it is time. */
+    /** Starts to read the list if it is due. */
     void tick(long nowMs) {
         if (mReading || nowMs < mNextMs) {
             return;
         }
         mReading = true;
-        long periodMs = readsOften() ? OFTEN_MS : SELDOM_MS;
+        long periodMs = isReader() ? READER_INTERVAL_MS : CHECK_INTERVAL_MS;
         mNextMs = nowMs + periodMs * 4 / 5 + (long) (mRandom.nextDouble() * periodMs * 2 / 5);
         read(nowMs, "", new ArrayList<>());
     }
 
-    private boolean readsOften() {
+    private boolean isReader() {
         Member self = mMembership.view().self();
         return mMembership.view().live().stream()
                 .filter(m -> m.domain().equals(self.domain()))
-                .limit(READERS)
+                .limit(READERS_PER_DOMAIN)
                 .anyMatch(m -> m.vm().equals(self.vm()));
     }
 
-    private void read(long nowMs, String after, List<ListedVm> sofar) {
+    private void read(long nowMs, String after, List<ListedVm> found) {
         mPlatform.submit(
                 nowMs,
-                new PlatformCall.ListObjects(PREFIX, after, PAGE),
-                (t, reply) -> take(t, reply, sofar));
+                new PlatformCall.ListObjects(VM_PREFIX, after, PAGE_SIZE),
+                (t, reply) -> onPage(t, reply, found));
     }
 
-    private void take(long nowMs, PlatformReply reply, List<ListedVm> sofar) {
+    private void onPage(long nowMs, PlatformReply reply, List<ListedVm> found) {
         if (!(reply instanceof PlatformReply.Listed listed)) {
             mReading = false;
             return;
         }
         for (StoredObject object : listed.objects()) {
-            Json.decode(object.value(), ListedVm.class).forEach(sofar::add);
+            Json.decode(object.value(), ListedVm.class).forEach(found::add);
         }
         if (listed.more() && !listed.objects().isEmpty()) {
-            read(nowMs, listed.objects().get(listed.objects().size() - 1).key(), sofar);
+            read(nowMs, listed.objects().get(listed.objects().size() - 1).key(), found);
             return;
         }
         mReading = false;
-        mMembership.onPlatformList(nowMs, listed.storeVersion(), sofar);
+        mMembership.onPlatformList(nowMs, listed.storeVersion(), found);
     }
 }
--- a/router/src/main/java/org/hornbeampass/router/daemon/package-info.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/package-info.java
@@ -1,2 +1,2 @@
-/** The router daemon: its settings, its parts and how they are wired, started and stopped. */
+/** The router daemon: its settings, and how its components are created, connected and stopped. */
 package org.hornbeampass.router.daemon;
--- a/router/src/test/java/org/hornbeampass/router/daemon/CopiesFromOtherVmsTest.java
+++ b/router/src/test/java/org/hornbeampass/router/daemon/CopiesFromOtherVmsTest.java
@@ -8,71 +8,74 @@
 import java.util.List;
 
 /**
- * What callers saw: routes that were answered 404 for seconds, and late answers of all kinds, while
- * the links of half of the VMs were full.
+ * Guards against VMs that saturate their links with repeated copies of the configuration: routes
+ * were answered 404 for seconds, and all kinds of answers were late, while the links of half of the
+ * VMs were saturated.
  *
- * <p>The order of events: the configuration grew to some 2,000 routes; VMs heard that others had a
- * newer one, and asked them for it, again and again.
+ * <p>Sequence: the configuration grew to some 2,000 routes; VMs learned that others had a newer
+ * one, and requested it from them repeatedly.
  *
- * <p>The cause: a copy was sent whole for each question, whatever the asker knew already, and was
- * thrown away after 400 ms, in which a link of 7 Mbit/s carries 350 KB. The store's own answer came
- * over the same link meanwhile.
+ * <p>Cause: each request was answered with a full copy, whatever the requesting VM already had, and
+ * the copy was discarded after 400 ms, in which a link of 7 Mbit/s carries 350 KB. The store's own
+ * answer used the same link at the same time.
  *
- * <p>The evidence: the VM that refused said six times that its view was behind, each time at the
- * same revision, with a full link and an idle processor; after the last change of a day VMs sent
- * each other 10 to 20 MB a second until its end.
+ * <p>The VM that answered 404 logged six times that its view was behind, each time at the same
+ * revision, with a saturated link and an idle processor. After the last change of a day, VMs sent
+ * each other 10 to 20 MB a second until the end of the day.
  */
 class CopiesFromOtherVmsTest {
-    private static final int WIDE = 8;
-    private static final int THIN = 40;
+    private static final int FAST_LINK_VMS = 8;
+    private static final int SLOW_LINK_VMS = 40;
 
-    /** A configuration of some 2,000 routes. */
+    /** The size of a configuration of some 2,000 routes. */
     private static final int LARGE_BYTES = 500_000;
 
-    /** The largest value that the store takes. */
+    /** The size of the largest value that the store accepts. */
     private static final int LARGEST_BYTES = 1_000_000;
 
-    /** How long a version may take to be in force, from its acknowledgement on. */
-    private static final long BOUND_MS = 3_000;
+    /** Maximum time from the acknowledgement of a version until all VMs have applied it. */
+    private static final long MAX_DELAY_MS = 3_000;
 
-    private static final long WRITTEN_MS = 6_000;
+    private static final long WRITE_MS = 6_000;
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void vmsThatAreCutOff_getALargeConfigurationFromOthers(long seed) {
-        SlowLinkFleet fleet = new SlowLinkFleet(WIDE, THIN, seed);
-        List<SlowLinkFleet.Vm> cut = fleet.vms().subList(WIDE + THIN / 2, WIDE + THIN);
+    void vmsCutOffFromTheStore_getALargeConfigurationFromOtherVmsInTime(long seed) {
+        SlowLinkFleet fleet = new SlowLinkFleet(FAST_LINK_VMS, SLOW_LINK_VMS, seed);
+        List<SlowLinkFleet.Vm> cut =
+                fleet.vms()
+                        .subList(FAST_LINK_VMS + SLOW_LINK_VMS / 2, FAST_LINK_VMS + SLOW_LINK_VMS);
         fleet.writeConfig(0, 1, LARGE_BYTES);
-        fleet.cut(cut, 5_000, 30_000);
-        fleet.writeConfig(WRITTEN_MS, 2, LARGE_BYTES);
-        fleet.time().runUntil(WRITTEN_MS);
+        fleet.cutOff(cut, 5_000, 30_000);
+        fleet.writeConfig(WRITE_MS, 2, LARGE_BYTES);
+        fleet.time().runUntil(WRITE_MS);
         long before = fleet.bytes();
 
-        fleet.time().runUntil(WRITTEN_MS + 2 * BOUND_MS);
-        assertThat(fleet.behind(2)).isEmpty();
-        fleet.time().runUntil(WRITTEN_MS + 20_000);
-        assertThat(copies(fleet.bytes() - before, LARGE_BYTES)).isLessThan(1.5);
+        fleet.time().runUntil(WRITE_MS + 2 * MAX_DELAY_MS);
+        assertThat(fleet.vmsBehind(2)).isEmpty();
+        fleet.time().runUntil(WRITE_MS + 20_000);
+        assertThat(copiesPerVm(fleet.bytes() - before, LARGE_BYTES)).isLessThan(1.5);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void vmsThatReadALargeConfiguration_askNobodyElseForIt(long seed) {
-        SlowLinkFleet fleet = new SlowLinkFleet(WIDE, THIN, seed);
+    void vmsThatReadALargeConfigurationFromTheStore_requestNoCopies(long seed) {
+        SlowLinkFleet fleet = new SlowLinkFleet(FAST_LINK_VMS, SLOW_LINK_VMS, seed);
         fleet.writeConfig(0, 1, LARGEST_BYTES);
-        fleet.time().runUntil(WRITTEN_MS);
+        fleet.time().runUntil(WRITE_MS);
         long before = fleet.bytes();
         int versions = 4;
         for (int i = 0; i < versions; i++) {
-            long atMs = WRITTEN_MS + i * BOUND_MS;
+            long atMs = WRITE_MS + i * MAX_DELAY_MS;
             fleet.writeConfig(atMs, i + 2, LARGEST_BYTES);
-            fleet.time().runUntil(atMs + BOUND_MS - 1);
-            assertThat(fleet.behind(i + 2)).isEmpty();
+            fleet.time().runUntil(atMs + MAX_DELAY_MS - 1);
+            assertThat(fleet.vmsBehind(i + 2)).isEmpty();
         }
-        assertThat(copies(fleet.bytes() - before, LARGEST_BYTES)).isLessThan(versions * 1.1);
+        assertThat(copiesPerVm(fleet.bytes() - before, LARGEST_BYTES)).isLessThan(versions * 1.1);
     }
 
-    /** Returns how many configurations came to each VM. */
-    private static double copies(long bytes, int each) {
-        return (double) bytes / each / (WIDE + THIN);
+    /** Returns the average number of configurations received by each VM. */
+    private static double copiesPerVm(long bytes, int each) {
+        return (double) bytes / each / (FAST_LINK_VMS + SLOW_LINK_VMS);
     }
 }
--- a/router/src/test/java/org/hornbeampass/router/daemon/EndToEndTest.java
+++ b/router/src/test/java/org/hornbeampass/router/daemon/EndToEndTest.java
@@ -22,7 +22,10 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** The whole path over real sockets: a caller, a router, an engine, a service and a platform. */
+/**
+ * Checks requests end to end over real sockets, with a caller, routers, engines, a service and a
+ * platform.
+ */
 class EndToEndTest {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
@@ -43,7 +46,7 @@
     }
 
     @Test
-    void streamedAnswer_comesWholeAndIsBilledForItsTokens() throws Exception {
+    void streamedAnswer_isCompleteAndBilledForItsTokens() throws Exception {
         HttpResponse<java.util.stream.Stream<String>> response =
                 mClient.send(
                         chat(true, "[[id=a]][[tokens=40]]"), HttpResponse.BodyHandlers.ofLines());
@@ -60,16 +63,16 @@
         long billed = usage(body);
         assertThat(AnswerText.problem("a", 40, text(body))).isEmpty();
         assertThat(billed).isPositive();
-        assertThat(spentAfterShutdown()).isEqualTo(billed);
+        assertThat(settledTokensAfterShutdown()).isEqualTo(billed);
     }
 
     @Test
-    void streamThatAnUpstreamDrops_goesOnAtItsExactTokenAndIsBilledOnce() throws Exception {
+    void streamDroppedByAnUpstream_resumesAtTheExactTokenAndIsBilledOnce() throws Exception {
         mFleet.mEngines.forEach(e -> e.faults().set(EngineFault.DROP_STREAM, FaultRule.next(1, 5)));
         HttpResponse<String> response = send(chat(true, "[[id=d]][[tokens=20]]"));
         assertThat(AnswerText.problem("d", 20, text(response.body()))).isEmpty();
         assertThat(response.body()).endsWith("data: [DONE]\n\n");
-        assertThat(spentAfterShutdown()).isEqualTo(usage(response.body()));
+        assertThat(settledTokensAfterShutdown()).isEqualTo(usage(response.body()));
     }
 
     @Test
@@ -86,16 +89,16 @@
         assertThat(AnswerText.problem("e", 80, text(body))).isEmpty();
         assertThat(body).endsWith("data: [DONE]\n\n");
         stopped.join();
-        assertThat(mFleet.spent()).isEqualTo(usage(body));
+        assertThat(mFleet.settledTokens()).isEqualTo(usage(body));
     }
 
     @Test
-    void idempotencyKeyAtTwoRouters_isBilledOnce() throws Exception {
+    void idempotencyKeySentToTwoRouters_isBilledOnce() throws Exception {
         RouterDaemon second = mFleet.startRouter("vm-2");
         TestFleet.await(
                 () ->
-                        second.parts().config().snapshot().revision()
-                                >= mRouter.parts().config().snapshot().revision());
+                        second.coordination().config().snapshot().revision()
+                                >= mRouter.coordination().config().snapshot().revision());
         String prompt = "[[id=f]][[tokens=9]]";
         HttpResponse<String> here = send(chat(mRouter, false, prompt, "key-f"));
         HttpResponse<String> there = send(chat(second, false, prompt, "key-f"));
@@ -103,13 +106,13 @@
         assertThat(there.statusCode()).isEqualTo(200);
         mRouter.shutDown().join();
         second.shutDown().join();
-        assertThat(mFleet.spent())
+        assertThat(mFleet.settledTokens())
                 .isEqualTo(
                         MAPPER.readTree(here.body()).path("usage").path("total_tokens").asLong());
     }
 
     @Test
-    void wholeAnswer_isBilled() throws Exception {
+    void unstreamedAnswer_isBilledForItsTokens() throws Exception {
         HttpResponse<String> response = send(chat(false, "[[id=b]][[tokens=7]]"));
         assertThat(response.statusCode()).isEqualTo(200);
         JsonNode answer = MAPPER.readTree(response.body());
@@ -124,11 +127,11 @@
                                         .asText()))
                 .isEmpty();
         long used = answer.path("usage").path("total_tokens").asLong();
-        assertThat(spentAfterShutdown()).isEqualTo(used);
+        assertThat(settledTokensAfterShutdown()).isEqualTo(used);
     }
 
     @Test
-    void callThatMayNotBeRepeated_runsOnceAndItsOutcomeIsReturnedAgain() throws Exception {
+    void nonRepeatableCall_runsOnceAndItsOutcomeIsReturnedToARetry() throws Exception {
         HttpResponse<String> first = send(service("key-1", "{\"release\":1}"));
         HttpResponse<String> second = send(service("key-1", "{\"release\":1}"));
         HttpResponse<String> other = send(service("key-1", "{\"release\":2}"));
@@ -150,7 +153,7 @@
     }
 
     @Test
-    void unknownKey_isRefused() throws Exception {
+    void unknownKey_isRejected() throws Exception {
         HttpRequest request =
                 HttpRequest.newBuilder(uri("/v1/chat/completions"))
                         .header("authorization", "Bearer nobody")
@@ -159,10 +162,13 @@
         assertThat(send(request).statusCode()).isEqualTo(401);
     }
 
-    /** Returns what the platform's record says is spent, once the router has handed all over. */
-    private long spentAfterShutdown() {
+    /**
+     * Returns the settled tokens according to the platform's record, after the router has shut
+     * down.
+     */
+    private long settledTokensAfterShutdown() {
         mRouter.shutDown().join();
-        return mFleet.spent();
+        return mFleet.settledTokens();
     }
 
     /** Returns the generated text of a streamed answer. */
@@ -174,7 +180,7 @@
         return text.toString();
     }
 
-    /** Returns the tokens that a streamed answer says it used. */
+    /** Returns the tokens that a streamed answer reports as used. */
     private static long usage(String stream) throws IOException {
         long tokens = 0;
         for (JsonNode chunk : chunks(stream)) {
--- a/router/src/test/java/org/hornbeampass/router/daemon/LineLoggingTest.java
+++ b/router/src/test/java/org/hornbeampass/router/daemon/LineLoggingTest.java
@@ -13,7 +13,7 @@
 import org.apache.logging.log4j.message.SimpleMessage;
 import org.junit.jupiter.api.Test;
 
-/** Checks the lines of the log, and that nothing waits for whoever reads them. */
+/** Checks the lines of the log, and that a slow reader of the log never blocks the daemon. */
 class LineLoggingTest {
     private static LogEvent event(String message, Throwable thrown) {
         return Log4jLogEvent.newBuilder()
@@ -26,13 +26,13 @@
     }
 
     @Test
-    void decision_isItsOwnLine() {
+    void decision_isLoggedUnchangedAsOneLine() {
         assertThat(LineLayout.ofDecisions().toSerializable(event("{\"kind\":\"x\"}", null)))
                 .isEqualTo("{\"kind\":\"x\"}\n");
     }
 
     @Test
-    void otherEvent_isOneLineOfJson_whateverItSays() throws Exception {
+    void otherEvent_isOneLineOfJson_evenWithQuotesAndLineBreaks() throws Exception {
         String line =
                 LineLayout.ofEvents()
                         .toSerializable(event("a \"b\"\nc", new IllegalStateException("d\ne")));
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void decisions_areWrittenOnce_andNothingBlocks() {
+    void decisions_areLoggedOnlyOnce_andAppendersDoNotBlock() {
         LineLogging logging = new LineLogging();
         logging.initialize();
         LoggerConfig decisions = logging.getLoggerConfig("decisions");
--- a/router/src/test/java/org/hornbeampass/router/daemon/ObservedStoreTest.java
+++ b/router/src/test/java/org/hornbeampass/router/daemon/ObservedStoreTest.java
@@ -18,25 +18,25 @@
 import java.util.List;
 import java.util.function.BiConsumer;
 
-/** Checks that a lost store is told once, with its return. */
+/** Checks that the loss and the return of the store are each logged once. */
 class ObservedStoreTest {
     private static final PlatformCall GET = new PlatformCall.Get("budgets/shard-0");
     private static final PlatformCall WATCH =
             new PlatformCall.Watch("config/", 1, Duration.ofMillis(2_500));
 
     private final MetricRegistry mMetrics = new MetricRegistry();
-    private final Deque<BiConsumer<Long, PlatformReply>> mOpen = new ArrayDeque<>();
+    private final Deque<BiConsumer<Long, PlatformReply>> mOpenCalls = new ArrayDeque<>();
     private int mGivenUp;
     private final Deque<AnswerProgress> mProgress = new ArrayDeque<>();
-    private final Platform mNever = new NeverAnswering();
+    private final Platform mUnansweringStore = new ManualStore();
     private final ObservedStore mStore =
-            new ObservedStore(mNever, new RelayLog(mMetrics), mMetrics);
+            new ObservedStore(mUnansweringStore, new RelayLog(mMetrics), mMetrics);
 
-    /** Keeps each call open until the test replies. */
-    private final class NeverAnswering implements Platform {
+    /** Keeps each call open until the test replies to it. */
+    private final class ManualStore implements Platform {
         @Override
         public void submit(long nowMs, PlatformCall call, BiConsumer<Long, PlatformReply> done) {
-            throw new AssertionError("progress is asked for");
+            throw new AssertionError("expected a call with progress");
         }
 
         @Override
@@ -46,7 +46,7 @@
                 AnswerProgress progress,
                 BiConsumer<Long, PlatformReply> done) {
             mProgress.add(progress);
-            mOpen.add(done);
+            mOpenCalls.add(done);
             return () -> mGivenUp++;
         }
     }
@@ -56,43 +56,43 @@
     }
 
     private void reply(long nowMs, PlatformReply reply) {
-        mOpen.remove().accept(nowMs, reply);
+        mOpenCalls.remove().accept(nowMs, reply);
     }
 
-    private long lines(String kind) {
+    private long logLines(String kind) {
         return mMetrics.counter("decisions{kind=\"" + kind + "\"}").getCount();
     }
 
     @Test
-    void failuresInARow_areOneLoss() {
+    void consecutiveFailures_areLoggedAsOneLoss() {
         for (int i = 0; i < 5; i++) {
             call(GET, i * 100L);
             reply(i * 100L + 5, new PlatformReply.Unavailable("refused"));
         }
-        assertThat(lines("store-lost")).isEqualTo(1);
-        assertThat(lines("store-regained")).isZero();
+        assertThat(logLines("store-lost")).isEqualTo(1);
+        assertThat(logLines("store-regained")).isZero();
         call(GET, 1_000);
         reply(1_005, new PlatformReply.Missing());
-        assertThat(lines("store-regained")).isEqualTo(1);
+        assertThat(logLines("store-regained")).isEqualTo(1);
         call(GET, 2_000);
         reply(2_005, new PlatformReply.Throttled());
-        assertThat(lines("store-lost")).isEqualTo(2);
+        assertThat(logLines("store-lost")).isEqualTo(2);
     }
 
     @Test
-    void callThatHangs_isALossBeforeItIsGivenUp() {
+    void hangingCall_isLoggedAsLossBeforeItIsCancelled() {
         call(GET, 0);
         mStore.tick(500);
-        assertThat(lines("store-lost")).isZero();
+        assertThat(logLines("store-lost")).isZero();
         mStore.tick(700);
-        assertThat(lines("store-lost")).isEqualTo(1);
+        assertThat(logLines("store-lost")).isEqualTo(1);
         reply(800, new PlatformReply.Missing());
         mStore.tick(900);
-        assertThat(lines("store-regained")).isEqualTo(1);
+        assertThat(logLines("store-regained")).isEqualTo(1);
     }
 
     @Test
-    void answerAfterALoss_isToldOnce() {
+    void firstAnswerAfterALoss_notifiesTheListenerOnce() {
         List<Long> regained = new ArrayList<>();
         mStore.onRegained(regained::add);
         call(GET, 0);
@@ -108,18 +108,18 @@
     }
 
     @Test
-    void callThatIsGivenUp_isGivenUpAtTheStoreAndHangsNoMore() {
+    void cancelledCall_isCancelledAtTheStoreAndNotReportedAsHanging() {
         mStore.submit(0, GET, AnswerProgress.IGNORED, (t, reply) -> {}).run();
         assertThat(mGivenUp).isEqualTo(1);
         mStore.tick(10_000);
-        assertThat(lines("store-lost")).isZero();
+        assertThat(logLines("store-lost")).isZero();
     }
 
     @Test
-    void watchThatWaits_isNoLoss() {
+    void waitingWatch_isNotLoggedAsLoss() {
         call(WATCH, 0);
         mStore.tick(2_400);
-        assertThat(lines("store-lost")).isZero();
+        assertThat(logLines("store-lost")).isZero();
     }
 
     @Test
@@ -127,12 +127,12 @@
         call(GET, 0);
         mProgress.remove().onBytes(100, 1_000);
         reply(100, new PlatformReply.Missing());
-        assertThat(lines("store-answer-large")).isZero();
+        assertThat(logLines("store-answer-large")).isZero();
         call(WATCH, 200);
         mProgress.peek().onBytes(300, 300_000);
         mProgress.remove().onBytes(700, 300_000);
         reply(900, new PlatformReply.WatchGap());
-        assertThat(lines("store-answer-large")).isEqualTo(1);
+        assertThat(logLines("store-answer-large")).isEqualTo(1);
         assertThat(mMetrics.counter("store_bytes{kind=\"read\"}").getCount()).isEqualTo(1_000);
         assertThat(mMetrics.counter("store_bytes{kind=\"watch\"}").getCount()).isEqualTo(600_000);
     }
--- a/router/src/test/java/org/hornbeampass/router/daemon/RevisionTrackerTest.java
+++ b/router/src/test/java/org/hornbeampass/router/daemon/RevisionTrackerTest.java
@@ -11,84 +11,84 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Checks when a VM asks another one whose view of the store is newer. */
+/** Checks when a VM requests changes from another VM whose view of the store is newer. */
 class RevisionTrackerTest {
     private static final VmId PEER = new VmId("peer", 1);
     private static final VmId OTHER = new VmId("other", 1);
-    private static final long HEARD_MS = 1_000;
+    private static final long RECEIVED_MS = 1_000;
 
     private final List<Long> mAnnounced = new ArrayList<>();
-    private final List<String> mAsked = new ArrayList<>();
-    private final RevisionTracker mNews =
+    private final List<String> mRequested = new ArrayList<>();
+    private final RevisionTracker mTracker =
             new RevisionTracker(
                     "configuration",
                     new RelayLog(new MetricRegistry()),
                     (nowMs, revision) -> mAnnounced.add(revision),
-                    (nowMs, name) -> mAsked.add(name));
+                    (nowMs, vmName) -> mRequested.add(vmName));
 
     private void runUntil(long untilMs) {
-        for (long t = HEARD_MS; t <= untilMs; t += 100) {
-            mNews.tick(t);
+        for (long t = RECEIVED_MS; t <= untilMs; t += 100) {
+            mTracker.tick(t);
         }
     }
 
     @Test
-    void changeThatIsNewer_isAnnouncedOnce() {
-        mNews.onChange(1, 7);
-        mNews.onChange(2, 5);
-        mNews.onChange(3, 7);
+    void newerChange_isAnnouncedOnce() {
+        mTracker.onChange(1, 7);
+        mTracker.onChange(2, 5);
+        mTracker.onChange(3, 7);
         assertThat(mAnnounced).containsExactly(7L);
     }
 
     @Test
-    void revisionThatTheOwnWatchBringsInTime_leadsToNoQuestion() {
-        mNews.onPeerRevision(HEARD_MS, PEER, 9);
-        runUntil(HEARD_MS + 200);
-        mNews.onChange(HEARD_MS + 250, 9);
-        runUntil(HEARD_MS + 5_000);
-        assertThat(mAsked).isEmpty();
+    void revisionThatTheOwnWatchDeliversInTime_isNotRequested() {
+        mTracker.onPeerRevision(RECEIVED_MS, PEER, 9);
+        runUntil(RECEIVED_MS + 200);
+        mTracker.onChange(RECEIVED_MS + 250, 9);
+        runUntil(RECEIVED_MS + 5_000);
+        assertThat(mRequested).isEmpty();
     }
 
     @Test
-    void revisionThatTheOwnWatchMisses_isAskedForOnceWithinASecond() {
-        mNews.onPeerRevision(HEARD_MS, PEER, 9);
-        runUntil(HEARD_MS + 1_000);
-        assertThat(mAsked).containsExactly("peer");
-        runUntil(HEARD_MS + 5_000);
-        assertThat(mAsked).hasSize(1);
+    void revisionThatTheOwnWatchMisses_isRequestedOnceWithinASecond() {
+        mTracker.onPeerRevision(RECEIVED_MS, PEER, 9);
+        runUntil(RECEIVED_MS + 1_000);
+        assertThat(mRequested).containsExactly("peer");
+        runUntil(RECEIVED_MS + 5_000);
+        assertThat(mRequested).hasSize(1);
     }
 
     @Test
-    void viewIsBehind_fromTheNewsOfAChangeUntilItComes() {
-        mNews.onChange(1, 8);
-        assertThat(mNews.isBehind(HEARD_MS)).isFalse();
-        mNews.onPeerRevision(HEARD_MS, PEER, 9);
-        assertThat(mNews.isBehind(HEARD_MS)).isTrue();
-        mNews.onChange(HEARD_MS + 300, 9);
-        assertThat(mNews.isBehind(HEARD_MS + 300)).isFalse();
+    void viewIsBehind_fromAPeersNewerRevisionUntilTheChangeArrives() {
+        mTracker.onChange(1, 8);
+        assertThat(mTracker.isBehind(RECEIVED_MS)).isFalse();
+        mTracker.onPeerRevision(RECEIVED_MS, PEER, 9);
+        assertThat(mTracker.isBehind(RECEIVED_MS)).isTrue();
+        mTracker.onChange(RECEIVED_MS + 300, 9);
+        assertThat(mTracker.isBehind(RECEIVED_MS + 300)).isFalse();
     }
 
     @Test
-    void revisionThatNeverComes_countsForSomeSeconds() {
-        mNews.onPeerRevision(HEARD_MS, PEER, 9);
-        assertThat(mNews.isBehind(HEARD_MS + 9_000)).isTrue();
-        assertThat(mNews.isBehind(HEARD_MS + 11_000)).isFalse();
+    void revisionThatNeverArrives_expiresAfterSomeSeconds() {
+        mTracker.onPeerRevision(RECEIVED_MS, PEER, 9);
+        assertThat(mTracker.isBehind(RECEIVED_MS + 9_000)).isTrue();
+        assertThat(mTracker.isBehind(RECEIVED_MS + 11_000)).isFalse();
     }
 
     @Test
-    void olderRevision_leadsToNoQuestion() {
-        mNews.onChange(1, 9);
-        mNews.onPeerRevision(HEARD_MS, PEER, 8);
-        runUntil(HEARD_MS + 5_000);
-        assertThat(mAsked).isEmpty();
+    void olderRevision_isNotRequested() {
+        mTracker.onChange(1, 9);
+        mTracker.onPeerRevision(RECEIVED_MS, PEER, 8);
+        runUntil(RECEIVED_MS + 5_000);
+        assertThat(mRequested).isEmpty();
     }
 
     @Test
-    void storm_doesNotPutTheQuestionOff() {
+    void streamOfNewerRevisions_doesNotDelayTheRequest() {
         for (int i = 0; i < 10; i++) {
-            mNews.onPeerRevision(HEARD_MS + 50L * i, i % 2 == 0 ? PEER : OTHER, 10 + i);
+            mTracker.onPeerRevision(RECEIVED_MS + 50L * i, i % 2 == 0 ? PEER : OTHER, 10 + i);
         }
-        runUntil(HEARD_MS + 500);
-        assertThat(mAsked).containsExactly("other");
+        runUntil(RECEIVED_MS + 500);
+        assertThat(mRequested).containsExactly("other");
     }
 }
--- a/router/src/test/java/org/hornbeampass/router/daemon/SettingsFileTest.java
+++ b/router/src/test/java/org/hornbeampass/router/daemon/SettingsFileTest.java
@@ -9,7 +9,7 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** Settings texts and what is read of them, or found wrong. */
+/** Checks which settings are read from a text, and which faults are reported. */
 class SettingsFileTest {
     private static final Path EXAMPLE = Path.of("..", "docs", "examples", "router.json");
 
@@ -18,7 +18,7 @@
     }
 
     @Test
-    void example_isWellFormed() throws IOException {
+    void exampleFile_isValid() throws IOException {
         RouterSettings settings = SettingsFile.read("router.json", Files.readString(EXAMPLE)).get();
         assertThat(settings.place().name()).isEqualTo("vm-1");
         assertThat(settings.listen().callers().getPort()).isEqualTo(7080);
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void keys_areNotShown() throws IOException {
+    void keys_areNotPartOfToString() throws IOException {
         RouterSettings settings = SettingsFile.read("router.json", Files.readString(EXAMPLE)).get();
         assertThat(settings.toString())
                 .doesNotContain("change-this-cluster-key")
--- a/router/src/test/java/org/hornbeampass/router/daemon/SettingsReloadTest.java
+++ b/router/src/test/java/org/hornbeampass/router/daemon/SettingsReloadTest.java
@@ -11,7 +11,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Checks what a changed settings file changes, with and without a signal. */
+/** Checks which settings of a changed file are applied, with and without a signal. */
 class SettingsReloadTest {
     private static final String TEXT =
             """
@@ -29,22 +29,22 @@
             }
             """;
 
-    @TempDir private Path mDir;
+    @TempDir private Path mDirectory;
     private final List<RelayDaemonSettings> mApplied = new ArrayList<>();
 
     private SettingsReload reload() throws IOException {
-        Path file = mDir.resolve("router.json");
+        Path file = mDirectory.resolve("router.json");
         Files.writeString(file, TEXT);
         RelayDaemonSettings settings = RelaySettingsFile.read("router.json", TEXT).get();
         return new SettingsReload(file, TEXT, settings, mApplied::add);
     }
 
     private void write(String text) throws IOException {
-        Files.writeString(mDir.resolve("router.json"), text);
+        Files.writeString(mDirectory.resolve("router.json"), text);
     }
 
     @Test
-    void unchangedFile_isReadAgainOnASignalOnly() throws IOException {
+    void unchangedFile_isAppliedAgainOnlyOnASignal() throws IOException {
         SettingsReload reload = reload();
         reload.checkFile();
         assertThat(mApplied).isEmpty();
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void changedFile_isInForceWithoutASignal() throws IOException {
+    void changedFile_isAppliedWithoutASignal() throws IOException {
         SettingsReload reload = reload();
         write(TEXT.replace("127.0.0.1:6", "127.0.0.1:7").replace("\"extra\": 56", "\"extra\": 9"));
         reload.checkFile();
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void whatIsReadAtTheStartOnly_staysAndIsNamed() throws IOException {
+    void settingsThatNeedARestart_keepTheirValuesAndAreReported() throws IOException {
         SettingsReload reload = reload();
         String changed = TEXT.replace("127.0.0.1:1", "127.0.0.1:9").replace("vm-1", "vm-2");
         write(changed);
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void faultyFile_changesNothingUntilItIsMended() throws IOException {
+    void invalidFile_changesNothingUntilItIsCorrected() throws IOException {
         SettingsReload reload = reload();
         write(TEXT.replace("\"ratio\": 0.2", "\"ratio\": -1"));
         reload.checkFile();
