--- a/router/src/test/java/org/hornbeampass/router/daemon/SlowLinkFleet.java
+++ b/router/src/test/java/org/hornbeampass/router/daemon/SlowLinkFleet.java
@@ -29,28 +29,30 @@
 import java.util.stream.IntStream;
 
 /**
- * VMs that follow a store over links on which bytes take time, in virtual time.
+ * VMs that watch a store over links of limited bandwidth, in virtual time.
  *
- * <p>Whatever comes to a VM, from the store or from another VM, comes one after another over its
- * inward link; what it tells other VMs goes over its outward link first. The store's own link is
- * wide. A VM that is cut off from the store hears nothing more on calls that wait, notices after
- * {@link #SILENCE_MS}, and can't connect. Confined to one thread.
+ * <p>Everything that a VM receives, from the store or from another VM, passes its inward link one
+ * after another; what it sends to other VMs passes its outward link first. The store's own link has
+ * no limit. A VM that is cut off from the store receives no answer to waiting calls, detects this
+ * after {@link #SILENCE_TIMEOUT_MS}, and can't connect. Confined to one thread.
  */
 final class SlowLinkFleet {
     static final String CONFIG = "config/main";
 
-    /** What the smallest links of the users' VMs carry: 7 Mbit/s. */
+    /** The bandwidth of the slowest links of the users' VMs: 7 Mbit/s. */
     static final double SLOW_BYTES_PER_MS = 875;
 
-    private static final double WIDE_BYTES_PER_MS = 17_500;
+    private static final double FAST_BYTES_PER_MS = 17_500;
     private static final int HEAD_BYTES = 200;
     private static final long DELAY_MS = 2;
-    private static final long SILENCE_MS = 3_000;
+    private static final long SILENCE_TIMEOUT_MS = 3_000;
     private static final long CONNECT_TIMEOUT_MS = 500;
     private static final long TICK_MS = 100;
     private static final long PROGRESS_MS = 50;
 
-    /** How often a VM tells others how new its views are, as probes and gossip do. */
+    /**
+     * Interval at which a VM announces the revision of its view to others, as probes and gossip do.
+     */
     private static final long GOSSIP_MS = 500;
 
     private static final int GOSSIP_FANOUT = 2;
@@ -63,13 +65,13 @@
     /**
      * Starts the VMs.
      *
-     * @param wide how many have links of 140 Mbit/s
-     * @param thin how many have links of {@link #SLOW_BYTES_PER_MS}
+     * @param fast the number of VMs with links of 140 Mbit/s
+     * @param slow the number of VMs with links of {@link #SLOW_BYTES_PER_MS}
      */
-    SlowLinkFleet(int wide, int thin, long seed) {
+    SlowLinkFleet(int fast, int slow, long seed) {
         mRandom = new Random(seed);
-        for (int i = 0; i < wide + thin; i++) {
-            mVms.add(new Vm("vm-" + i, i < wide ? WIDE_BYTES_PER_MS : SLOW_BYTES_PER_MS));
+        for (int i = 0; i < fast + slow; i++) {
+            mVms.add(new Vm("vm-" + i, i < fast ? FAST_BYTES_PER_MS : SLOW_BYTES_PER_MS));
         }
         mTime.every(0, TICK_MS, () -> mStore.expireWatches(mTime.nowMs()));
         mVms.forEach(Vm::start);
@@ -83,7 +85,7 @@
         return mVms;
     }
 
-    /** Writes a configuration's version, of a size in bytes, at a time. */
+    /** Writes a version of the configuration, of a size in bytes, at a time in milliseconds. */
     void writeConfig(long atMs, long version, int bytes) {
         write(atMs, CONFIG, version + " ".repeat(bytes));
     }
@@ -105,23 +107,23 @@
                 });
     }
 
-    /** Cuts VMs off from the store for a time. */
-    void cut(List<Vm> vms, long fromMs, long untilMs) {
+    /** Cuts VMs off from the store between two times in milliseconds. */
+    void cutOff(List<Vm> vms, long fromMs, long untilMs) {
         mTime.at(fromMs, () -> vms.forEach(Vm::cutOff));
-        mTime.at(untilMs, () -> vms.forEach(v -> v.mCut = false));
+        mTime.at(untilMs, () -> vms.forEach(v -> v.mCutOff = false));
     }
 
-    /** Returns which VMs have an older version in force than a given one. */
-    List<String> behind(long version) {
-        return mVms.stream().filter(v -> v.mVersion < version).map(v -> v.mName).toList();
+    /** Returns the names of the VMs whose configuration is older than a version. */
+    List<String> vmsBehind(long version) {
+        return mVms.stream().filter(v -> v.mConfigVersion < version).map(v -> v.mName).toList();
     }
 
-    /** Returns how many bytes came to all VMs so far. */
+    /** Returns the number of bytes that all VMs together have received so far. */
     long bytes() {
         return mVms.stream().mapToLong(v -> v.mInward.mBytes).sum();
     }
 
-    /** Returns how many calls all VMs have made to the store so far. */
+    /** Returns the number of calls that all VMs together have made to the store so far. */
     int calls() {
         return mVms.stream().mapToInt(v -> v.mCalls).sum();
     }
@@ -136,12 +138,12 @@
             mBytesPerMs = bytesPerMs;
         }
 
-        /** Returns when the next message may begin. */
+        /** Returns the time at which the next message can start. */
         long freeMs() {
             return Math.max(mFreeMs, mTime.nowMs());
         }
 
-        /** Returns when the last byte of a message has passed. */
+        /** Queues a message, and returns the time at which its last byte has passed. */
         long pass(int bytes) {
             mBytes += bytes;
             mFreeMs = freeMs() + Math.round(bytes / mBytesPerMs);
@@ -149,19 +151,19 @@
         }
     }
 
-    /** One VM: the daemon's own views, behind links. */
+    /** One VM: the daemon's views of the store, connected over simulated links. */
     final class Vm {
         private final String mName;
         private final Link mInward;
         private final Link mOutward;
         private final StoreViews mViews;
         private final List<AtomicBoolean> mOpenCalls = new ArrayList<>();
-        private final Map<String, Long> mHeard = new HashMap<>();
+        private final Map<String, Long> mPeerRevisions = new HashMap<>();
         private final List<Long> mVersions = new ArrayList<>();
-        private long mAnnounced;
-        private long mVersion;
+        private long mAnnouncedRevision;
+        private long mConfigVersion;
         private int mCalls;
-        private boolean mCut;
+        private boolean mCutOff;
 
         Vm(String name, double bytesPerMs) {
             mName = name;
@@ -175,14 +177,14 @@
                             new Peers(),
                             () -> mVms.stream().map(v -> v.mName).filter(this::isOther).toList(),
                             new RelayLog(new MetricRegistry()),
-                            (nowMs, revision) -> mAnnounced = revision,
+                            (nowMs, revision) -> mAnnouncedRevision = revision,
                             (nowMs, revision) -> {},
                             new Random(mRandom.nextLong()),
                             (nowMs, change) -> onConfig(change),
                             (nowMs, change) -> {});
         }
 
-        /** Returns the versions that were put in force, in order. */
+        /** Returns the versions of the configuration that were applied, in order. */
         List<Long> versions() {
             return mVersions;
         }
@@ -197,34 +199,34 @@
         }
 
         private void onConfig(Change change) {
-            change.value().ifPresent(v -> mVersion = Long.parseLong(v.strip()));
-            mVersions.add(mVersion);
+            change.value().ifPresent(v -> mConfigVersion = Long.parseLong(v.strip()));
+            mVersions.add(mConfigVersion);
         }
 
         private void gossip() {
-            long revision = mAnnounced;
+            long revision = mAnnouncedRevision;
             IntStream.range(0, GOSSIP_FANOUT)
                     .mapToObj(i -> mVms.get(mRandom.nextInt(mVms.size())))
                     .filter(v -> v != this)
-                    .forEach(v -> v.hear(mName, revision));
+                    .forEach(v -> v.onPeerRevision(mName, revision));
         }
 
-        private void hear(String from, long revision) {
-            boolean known = mHeard.getOrDefault(from, 0L) >= revision;
-            mHeard.merge(from, revision, Math::max);
-            if (!known && revision > mAnnounced) {
+        private void onPeerRevision(String from, long revision) {
+            boolean known = mPeerRevisions.getOrDefault(from, 0L) >= revision;
+            mPeerRevisions.merge(from, revision, Math::max);
+            if (!known && revision > mAnnouncedRevision) {
                 mViews.onPeerRevision(mTime.nowMs(), new VmId(from, 1), revision);
             }
         }
 
         private void cutOff() {
-            mCut = true;
+            mCutOff = true;
             List<AtomicBoolean> open = List.copyOf(mOpenCalls);
             mOpenCalls.clear();
             open.forEach(o -> o.set(false));
         }
 
-        /** The way to the store, over this VM's link. */
+        /** The connection to the store, over this VM's link. */
         private final class Store implements Platform {
             @Override
             public void submit(
@@ -239,36 +241,39 @@
                     AnswerProgress progress,
                     BiConsumer<Long, PlatformReply> done) {
                 mCalls++;
-                if (mCut) {
-                    mTime.at(nowMs + CONNECT_TIMEOUT_MS, () -> lost(done));
+                if (mCutOff) {
+                    mTime.at(nowMs + CONNECT_TIMEOUT_MS, () -> failCall(done));
                     return () -> {};
                 }
                 AtomicBoolean open = new AtomicBoolean(true);
                 mOpenCalls.add(open);
-                mStore.submit(nowMs, call, (t, reply) -> answered(open, reply, progress, done));
-                watchForSilence(open, done);
+                mStore.submit(nowMs, call, (t, reply) -> onStoreReply(open, reply, progress, done));
+                failIfCutOff(open, done);
                 return () -> open.set(false);
             }
         }
 
-        /** Fails a call whose VM was cut off meanwhile, once probes of the connection failed. */
-        private void watchForSilence(AtomicBoolean open, BiConsumer<Long, PlatformReply> done) {
+        /**
+         * Fails a call if its VM is cut off while it waits, once the probes of the connection have
+         * failed.
+         */
+        private void failIfCutOff(AtomicBoolean open, BiConsumer<Long, PlatformReply> done) {
             mTime.at(
                     mTime.nowMs() + TICK_MS,
                     () -> {
                         if (!open.get()) {
-                            mTime.at(mTime.nowMs() + SILENCE_MS, () -> lost(done));
+                            mTime.at(mTime.nowMs() + SILENCE_TIMEOUT_MS, () -> failCall(done));
                         } else if (mOpenCalls.contains(open)) {
-                            watchForSilence(open, done);
+                            failIfCutOff(open, done);
                         }
                     });
         }
 
-        private void lost(BiConsumer<Long, PlatformReply> done) {
+        private void failCall(BiConsumer<Long, PlatformReply> done) {
             done.accept(mTime.nowMs(), new PlatformReply.Unavailable("cut off"));
         }
 
-        private void answered(
+        private void onStoreReply(
                 AtomicBoolean open,
                 PlatformReply reply,
                 AnswerProgress progress,
@@ -296,11 +301,11 @@
                     });
         }
 
-        /** What goes to other VMs. */
+        /** The messages to other VMs. */
         private final class Peers implements PeerNetwork {
             @Override
             public void send(String vmName, PeerMessage message) {
-                throw new AssertionError("not expected");
+                throw new AssertionError("unexpected message");
             }
 
             @Override
@@ -321,7 +326,8 @@
                                         mTime.nowMs(),
                                         Either.left(
                                                 Failure.of(
-                                                        ErrorKind.DEADLINE_EXCEEDED, "too late")));
+                                                        ErrorKind.DEADLINE_EXCEEDED,
+                                                        "no reply in time")));
                             }
                         });
             }
@@ -341,11 +347,11 @@
                                 int bytes = bytes((ViewChangesReply) reply);
                                 mTime.at(
                                         mOutward.pass(bytes),
-                                        () -> asker.take(bytes, reply, open, done));
+                                        () -> asker.onAnswerSent(bytes, reply, open, done));
                             });
         }
 
-        private void take(
+        private void onAnswerSent(
                 int bytes,
                 PeerMessage reply,
                 AtomicBoolean open,
--- a/router/src/test/java/org/hornbeampass/router/daemon/StoreViewsTest.java
+++ b/router/src/test/java/org/hornbeampass/router/daemon/StoreViewsTest.java
@@ -24,36 +24,37 @@
 import java.util.function.BiConsumer;
 
 /**
- * Checks that a change that a silent watch misses is heard of from other VMs.
+ * Checks that a change that a silent watch misses is received from other VMs.
  *
- * <p>What callers saw: a route that was added was answered 404 while upstreams came and went.
+ * <p>Guards against a VM that considers its configuration current because it has seen later changes
+ * of upstreams: an added route was answered 404 while upstreams were added and removed.
  *
- * <p>The order of events: the connection on which the configuration is watched goes silent; a new
- * configuration is written; upstreams' entries change, which their own watch tells in time.
+ * <p>Sequence: the connection of the configuration's watch becomes silent; a new configuration is
+ * written; upstreams' entries change, which their own watch reports in time.
  *
- * <p>The cause: VMs told each other one revision, the newest of all that they had seen, so that one
- * that had seen a later change of an upstream took itself for informed.
+ * <p>Cause: VMs announced only one revision, the newest of all that they had seen, so that a VM
+ * that had seen a later change of an upstream considered itself up to date.
  */
 class StoreViewsTest {
     private static final VmId PEER = new VmId("peer", 1);
     private static final String CONFIG = "config/main";
 
     private final MemoryPlatform mStore = new MemoryPlatform();
-    private final List<String> mConfigs = new ArrayList<>();
-    private final List<String> mAsked = new ArrayList<>();
+    private final List<String> mReceivedConfigs = new ArrayList<>();
+    private final List<String> mRequestedPrefixes = new ArrayList<>();
     private boolean mConfigWatchIsSilent;
     private final StoreViews mViews =
             new StoreViews(
                     this::submit,
                     "config/",
                     "upstreams/",
-                    new InformedPeer(),
+                    new UpToDatePeer(),
                     () -> List.of("peer"),
                     new RelayLog(new MetricRegistry()),
                     (nowMs, revision) -> {},
                     (nowMs, revision) -> {},
                     new Random(1),
-                    (nowMs, change) -> mConfigs.add(change.value().orElse("deleted")),
+                    (nowMs, change) -> mReceivedConfigs.add(change.value().orElse("deleted")),
                     (nowMs, change) -> {});
 
     private void submit(long nowMs, PlatformCall call, BiConsumer<Long, PlatformReply> done) {
@@ -64,11 +65,11 @@
         }
     }
 
-    /** Knows the newest configuration. */
-    private final class InformedPeer implements PeerNetwork {
+    /** Answers requests for changes with the current content of the store. */
+    private final class UpToDatePeer implements PeerNetwork {
         @Override
         public void send(String vmName, PeerMessage message) {
-            throw new AssertionError("not expected");
+            throw new AssertionError("unexpected message");
         }
 
         @Override
@@ -79,7 +80,7 @@
                 long timeoutMs,
                 BiConsumer<Long, Either<Failure, PeerMessage>> done) {
             ViewChangesRequest asked = (ViewChangesRequest) request;
-            mAsked.add(asked.prefix());
+            mRequestedPrefixes.add(asked.prefix());
             mStore.submit(
                     nowMs,
                     new PlatformCall.ListObjects(asked.prefix(), "", 10),
@@ -122,38 +123,38 @@
         }
     }
 
-    /** Shows the first configuration, and begins a watch that is never answered. */
-    private void watchInSilence() {
+    /** Reads the first configuration, and starts a watch that is never answered. */
+    private void startSilentConfigWatch() {
         write(CONFIG, "1", 0);
         run(0, 500);
         mConfigWatchIsSilent = true;
         run(500, 26_000);
-        mStore.expireWatches(26_000); // The next watch is silent.
+        mStore.expireWatches(26_000); // The next watch is never answered.
         run(26_000, 26_500);
     }
 
     @Test
-    void configurationThatASilentWatchMisses_isHeardOfWhileUpstreamsChange() {
-        watchInSilence();
+    void changeThatASilentWatchMisses_isFetchedFromAPeerWhileUpstreamsChange() {
+        startSilentConfigWatch();
         write(CONFIG, "2", 1);
         write("upstreams/a", "ready", 0);
-        hear(26_500, 2, 3);
+        receivePeerRevisions(26_500, 2, 3);
         run(26_500, 28_000);
-        assertThat(mConfigs).containsExactly("1", "2");
+        assertThat(mReceivedConfigs).containsExactly("1", "2");
     }
 
     @Test
-    void changeWhileAllVmsLostTheStoresAnswers_isSeenOnceItAnswersAgain() {
-        watchInSilence();
+    void changeMissedByAllVms_isReadOnceTheStoreAnswersAgain() {
+        startSilentConfigWatch();
         write(CONFIG, "2", 1);
         mConfigWatchIsSilent = false;
         mViews.onStoreRegained(28_000);
         run(28_000, 29_000);
-        assertThat(mConfigs).containsExactly("1", "2");
-        assertThat(mAsked).isEmpty();
+        assertThat(mReceivedConfigs).containsExactly("1", "2");
+        assertThat(mRequestedPrefixes).isEmpty();
     }
 
-    private void hear(long nowMs, long configRevision, long upstreamsRevision) {
+    private void receivePeerRevisions(long nowMs, long configRevision, long upstreamsRevision) {
         mViews.onPeerRevision(nowMs, PEER, configRevision);
         mViews.onPeerUpstreamsRevision(nowMs, PEER, upstreamsRevision);
     }
--- a/router/src/test/java/org/hornbeampass/router/daemon/TestFleet.java
+++ b/router/src/test/java/org/hornbeampass/router/daemon/TestFleet.java
@@ -41,7 +41,7 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * A platform, engines, a plain service and routers in one JVM, all on loopback at free ports.
+ * A platform, engines, a plain service and routers in one JVM, all on free ports of loopback.
  *
  * <p>Not thread-safe.
  */
@@ -101,7 +101,7 @@
                 new RouterSettings.Execution(2, OptionalLong.empty()));
     }
 
-    /** Sets up one organisation with all engines and the service, and pays a budget. */
+    /** Configures one organisation with all engines and the service, and tops up its budget. */
     void setUp(long paidTokens) {
         propose(new ConfigChange.PutTemplate(new Template("standard", parameters())));
         for (int i = 0; i < mEngines.size(); i++) {
@@ -127,18 +127,20 @@
                                 Set.of(BUDGET.budget()),
                                 Map.of("first", sha256(KEY)))));
         topUp("t1", paidTokens);
-        long revision = mRouters.get(0).parts().config().snapshot().revision();
+        long revision = mRouters.get(0).coordination().config().snapshot().revision();
         await(
                 () ->
                         mRouters.stream()
                                 .allMatch(
-                                        r -> r.parts().config().snapshot().revision() >= revision));
+                                        r ->
+                                                r.coordination().config().snapshot().revision()
+                                                        >= revision));
     }
 
     void topUp(String id, long tokens) {
         CompletableFuture<Boolean> done = new CompletableFuture<>();
         mRouters.get(0)
-                .parts()
+                .coordination()
                 .accounts()
                 .topUp(
                         System.currentTimeMillis(),
@@ -151,8 +153,8 @@
         }
     }
 
-    /** Returns the tokens of the budget that are spent, as the platform's record says. */
-    long spent() {
+    /** Returns the settled tokens of the budget according to the platform's record. */
+    long settledTokens() {
         CompletableFuture<Long> done = new CompletableFuture<>();
         new BudgetAdmin(new VmId("reader", 1), mPlatform.objects())
                 .statement(
@@ -190,7 +192,7 @@
     void propose(ConfigChange change) {
         RouterDaemon router = mRouters.get(0);
         CompletableFuture<String> done = new CompletableFuture<>();
-        router.parts()
+        router.coordination()
                 .config()
                 .propose(
                         System.currentTimeMillis(),
@@ -204,12 +206,12 @@
         }
     }
 
-    /** Waits until something holds; fails after a generous bound. */
-    static void await(BooleanSupplier holds) {
+    /** Waits until a condition holds; fails after {@link #WAIT_MS}. */
+    static void await(BooleanSupplier condition) {
         long endNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(WAIT_MS);
-        while (!holds.getAsBoolean()) {
+        while (!condition.getAsBoolean()) {
             if (System.nanoTime() > endNs) {
-                throw new AssertionError("it did not come to hold within " + WAIT_MS + " ms");
+                throw new AssertionError("the condition did not hold within  " + WAIT_MS + " ms");
             }
             java.util.concurrent.locks.LockSupport.parkNanos(1_000_000);
         }
--- a/router/src/test/java/org/hornbeampass/router/daemon/VirtualTime.java
+++ b/router/src/test/java/org/hornbeampass/router/daemon/VirtualTime.java
@@ -3,9 +3,9 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** Runs actions in the order of their times, without waiting. Confined to one thread. */
+/** Runs scheduled actions in the order of their times, without waiting. Confined to one thread. */
 final class VirtualTime {
-    /** An action, and its place among those of the same time. */
+    /** A scheduled action, with a number that orders actions of the same time. */
     private record Event(long atMs, long number, Runnable action) {}
 
     private final PriorityQueue<Event> mEvents =
@@ -22,7 +22,7 @@
         mEvents.add(new Event(Math.max(atMs, mNowMs), mNumber++, action));
     }
 
-    /** Runs an action again and again from a time on. */
+    /** Runs an action periodically, starting at a time in milliseconds. */
     void every(long firstMs, long periodMs, Runnable action) {
         at(
                 firstMs,
