--- /dev/null
+++ b/router/src/main/java/org/hornbeampass/router/daemon/RevisionTracker.java
@@ -0,0 +1,122 @@
+package org.hornbeampass.router.daemon;
+
+import org.hornbeampass.router.relay.LogFields;
+import org.hornbeampass.router.relay.RelayLog;
+import org.hornbeampass.state.VmId;
+
+import java.util.Optional;
+import java.util.function.BiConsumer;
+
+/**
+ * Announces the revision of one of this VM's views of the store to other VMs, and requests the
+ * changes from a VM whose view is newer.
+ *
+ * <p>Watches wait long, since each is a call that is charged, and the store may reject the calls of
+ * one VM while it serves others. Every membership message therefore carries the newest revision
+ * that its sender has seen of each view, so that a VM learns within about a second of a change that
+ * it has missed. One revision for both views would not suffice: a VM that has seen a later change
+ * of an upstream would consider itself up to date with a configuration that it has missed.
+ *
+ * <p>Invariant: a revision that this VM has seen itself is never requested. Confined to one event
+ * loop.
+ */
+final class RevisionTracker {
+    /**
+     * Time for which this VM's own watch may be behind another VM before the changes are requested
+     * from that VM, in milliseconds: a slow store takes some 350 ms for an answer, and an earlier
+     * request would fetch the same changes twice.
+     */
+    private static final long PULL_DELAY_MS = 450;
+
+    /**
+     * Time after which a newer revision reported by another VM expires, in milliseconds: a copy of
+     * the largest configuration over two slow links takes 4 s at most. A revision that never
+     * arrives, because its object was removed meanwhile, is ignored afterwards.
+     */
+    private static final long BEHIND_EXPIRY_MS = 10_000;
+
+    /** A newer view that another VM has reported. */
+    private record NewerView(VmId vm, long revision, long receivedMs) {}
+
+    private final String mView;
+    private final RelayLog mLog;
+    private final BiConsumer<Long, Long> mAnnounce;
+    private final BiConsumer<Long, String> mRequest;
+    private long mOwnRevision;
+    private long mPeerRevision;
+    private long mPeerRevisionMs;
+    private Optional<NewerView> mNewer = Optional.empty();
+
+    /**
+     * Creates the tracker of one view.
+     *
+     * @param view the view's name, for the log
+     * @param log receives a line for each request
+     * @param announce announces a revision to other VMs; receives the time in milliseconds first
+     * @param request requests the view of the VM of a name; receives the time in milliseconds first
+     */
+    RevisionTracker(
+            String view,
+            RelayLog log,
+            BiConsumer<Long, Long> announce,
+            BiConsumer<Long, String> request) {
+        mView = view;
+        mLog = log;
+        mAnnounce = announce;
+        mRequest = request;
+    }
+
+    /** Records a change that this VM has received from the store or from another VM. */
+    void onChange(long nowMs, long revision) {
+        if (revision <= mOwnRevision) {
+            return;
+        }
+        mOwnRevision = revision;
+        mAnnounce.accept(nowMs, revision);
+    }
+
+    /** Receives the revision of another VM's view. */
+    void onPeerRevision(long nowMs, VmId from, long revision) {
+        if (revision > mPeerRevision) {
+            mPeerRevision = revision;
+            mPeerRevisionMs = nowMs;
+        }
+        boolean known = mNewer.filter(n -> n.revision() >= revision).isPresent();
+        if (revision <= mOwnRevision || known) {
+            return;
+        }
+        long sinceMs = mNewer.map(NewerView::receivedMs).orElse(nowMs);
+        mNewer = Optional.of(new NewerView(from, revision, sinceMs));
+    }
+
+    /** Returns whether another VM has lately reported a view that is newer than this VM's. */
+    boolean isBehind(long nowMs) {
+        return mPeerRevision > mOwnRevision && nowMs - mPeerRevisionMs < BEHIND_EXPIRY_MS;
+    }
+
+    /** Requests the changes from a VM whose view has been newer than this VM's for too long. */
+    void tick(long nowMs) {
+        if (mNewer.isEmpty()) {
+            return;
+        }
+        NewerView newer = mNewer.get();
+        if (newer.revision() <= mOwnRevision) {
+            mNewer = Optional.empty();
+            return;
+        }
+        if (nowMs - newer.receivedMs() < PULL_DELAY_MS) {
+            return;
+        }
+        mNewer = Optional.empty();
+        mLog.logStateChange(
+                nowMs,
+                "view-behind",
+                new LogFields()
+                        .add("view", mView)
+                        .add("peer", newer.vm().name())
+                        .add("revision", newer.revision())
+                        .add("own_revision", mOwnRevision)
+                        .add("heard_ago_ms", nowMs - newer.receivedMs()));
+        mRequest.accept(nowMs, newer.vm().name());
+    }
+}
