--- a/cli/src/test/java/org/hornbeampass/cli/OperatorPathTest.java
+++ b/cli/src/test/java/org/hornbeampass/cli/OperatorPathTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import org.hornbeampass.router.admin.KeyMaker;
+import org.hornbeampass.router.admin.KeyGenerator;
 import org.hornbeampass.state.ErrorKind;
 import org.hornbeampass.state.OrganisationId;
 import org.hornbeampass.state.UpstreamId;
@@ -52,7 +52,7 @@
                 .satisfies(
                         o ->
                                 assertThat(o.keyHashes())
-                                        .containsEntry("first", KeyMaker.hash(key(created))));
+                                        .containsEntry("first", KeyGenerator.hash(key(created))));
         assertThat(mRouter.configuration().terms(new OrganisationId("flight")).get().priority())
                 .isEqualTo(7);
     }
--- a/cli/src/test/java/org/hornbeampass/cli/RouterFixture.java
+++ b/cli/src/test/java/org/hornbeampass/cli/RouterFixture.java
@@ -14,16 +14,16 @@
 import org.hornbeampass.coordination.slo.Objectives;
 import org.hornbeampass.router.admin.AdminHandler;
 import org.hornbeampass.router.admin.AdminPorts;
+import org.hornbeampass.router.admin.BurnRateRecorder;
 import org.hornbeampass.router.admin.DrainControl;
-import org.hornbeampass.router.admin.KeyMaker;
+import org.hornbeampass.router.admin.KeyGenerator;
 import org.hornbeampass.router.admin.LedgerAccounts;
 import org.hornbeampass.router.admin.LedgerAudit;
 import org.hornbeampass.router.admin.MemberFleet;
 import org.hornbeampass.router.admin.OperatorKey;
 import org.hornbeampass.router.admin.OperatorKeys;
 import org.hornbeampass.router.admin.RecordedBilling;
-import org.hornbeampass.router.admin.RouterBurn;
-import org.hornbeampass.router.admin.RouterDrains;
+import org.hornbeampass.router.admin.RouterDrainer;
 import org.hornbeampass.router.admin.StoredConfiguration;
 import org.hornbeampass.state.Failure;
 import org.hornbeampass.state.FailureDomain;
@@ -94,10 +94,10 @@
                                 LedgerSettings.standard(),
                                 new LedgerAudit(configuration, accounts)),
                         new MemberFleet(
-                                membership, mStore, new RouterDrains(membership, network, this)),
-                        new RouterBurn(NOW_MS, vm, configuration, Objectives.defaults()));
+                                membership, mStore, new RouterDrainer(membership, network, this)),
+                        new BurnRateRecorder(NOW_MS, vm, configuration, Objectives.defaults()));
         OperatorKeys keys =
-                new OperatorKeys(List.of(new OperatorKey("olga", KeyMaker.hash(KEY))), Map::of);
+                new OperatorKeys(List.of(new OperatorKey("olga", KeyGenerator.hash(KEY))), Map::of);
         mServer =
                 NettyHttpServer.start(
                         HttpServerSettings.loopback(),
--- a/experiment/src/main/java/org/hornbeampass/experiment/fleet/Fleet.java
+++ b/experiment/src/main/java/org/hornbeampass/experiment/fleet/Fleet.java
@@ -3,7 +3,7 @@
 import org.hornbeampass.coordination.membership.Seed;
 import org.hornbeampass.coordination.platform.CallLimits;
 import org.hornbeampass.protocol.settings.Secret;
-import org.hornbeampass.router.admin.KeyMaker;
+import org.hornbeampass.router.admin.KeyGenerator;
 import org.hornbeampass.router.admin.OperatorKey;
 import org.hornbeampass.router.daemon.RouterDaemon;
 import org.hornbeampass.router.daemon.RouterSettings;
@@ -108,7 +108,7 @@
                         Optional.empty()),
                 new RouterSettings.Keys(
                         Secret.of(CLUSTER_KEY),
-                        List.of(new OperatorKey("demo", KeyMaker.hash(OPERATOR_KEY)))),
+                        List.of(new OperatorKey("demo", KeyGenerator.hash(OPERATOR_KEY)))),
                 new PlatformSettings(
                         List.of(URI.create(mPlatform.uri())),
                         Secret.of(PLATFORM_KEY),
--- a/experiment/src/main/java/org/hornbeampass/experiment/path/PathUnderLoad.java
+++ b/experiment/src/main/java/org/hornbeampass/experiment/path/PathUnderLoad.java
@@ -2,7 +2,7 @@
 
 import org.hornbeampass.coordination.platform.CallLimits;
 import org.hornbeampass.protocol.settings.Secret;
-import org.hornbeampass.router.admin.KeyMaker;
+import org.hornbeampass.router.admin.KeyGenerator;
 import org.hornbeampass.router.daemon.RouterDaemon;
 import org.hornbeampass.router.daemon.RouterSettings;
 import org.hornbeampass.standin.platform.PlatformStandIn;
@@ -70,7 +70,7 @@
                                 "load",
                                 Parameters.none(),
                                 Set.of(BUDGET.budget()),
-                                Map.of("first", KeyMaker.hash(KEY)))));
+                                Map.of("first", KeyGenerator.hash(KEY)))));
         CompletableFuture<Boolean> paid = new CompletableFuture<>();
         mRouter.accounts()
                 .topUp(
--- a/router/src/main/java/org/hornbeampass/router/admin/AccountReader.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/AccountReader.java
@@ -19,12 +19,14 @@
  * Reads the accounts of all budgets of an organisation; while the platform is unavailable, what was
  * last read, with its age.
  *
- * <p>Thread-safe; callbacks run with no lock held. What is kept is bounded by {@link LastReads}.
+ * <p>Thread-safe; callbacks run with no lock held. What is kept is bounded by {@link
+ * LastReadCache}.
  */
 final class AccountReader {
     private final ConfigurationPort mConfiguration;
     private final AccountPort mAccounts;
-    private final LastReads<OrganisationId, List<BudgetView>> mLast = new LastReads<>();
+    private final LastReadCache<OrganisationId, List<BudgetView>> mLastReads =
+            new LastReadCache<>();
 
     AccountReader(ConfigurationPort configuration, AccountPort accounts) {
         mConfiguration = configuration;
@@ -32,37 +34,39 @@
     }
 
     /** Returns an organisation, or {@code NOT_FOUND}. */
-    Either<Failure, OrganisationSpec> organisation(OrganisationId id) {
+    Either<Failure, OrganisationSpec> findOrganisation(OrganisationId id) {
         ConfigSnapshot snapshot = mConfiguration.snapshot();
         OrganisationSpec spec = snapshot.organisations().get(id);
         return spec == null
-                ? Either.left(ConfigChanges.unknown(ObjectKey.organisation(id)))
+                ? Either.left(ConfigChanges.notFound(ObjectKey.organisation(id)))
                 : Either.right(spec);
     }
 
     /** Reads all accounts of an organisation, those of budgets without any payment included. */
-    void all(
+    void readAll(
             long nowMs,
             OrganisationId id,
             BiConsumer<Long, Either<Failure, Aged<List<BudgetView>>>> done) {
-        Either<Failure, OrganisationSpec> spec = organisation(id);
+        Either<Failure, OrganisationSpec> spec = findOrganisation(id);
         if (spec.isLeft()) {
             done.accept(nowMs, Either.left(spec.getLeft()));
             return;
         }
         mAccounts.accounts(
-                nowMs, id, (atMs, result) -> done.accept(atMs, merged(atMs, spec.get(), result)));
+                nowMs,
+                id,
+                (atMs, result) -> done.accept(atMs, resultOrLastRead(atMs, spec.get(), result)));
     }
 
-    private Either<Failure, Aged<List<BudgetView>>> merged(
+    private Either<Failure, Aged<List<BudgetView>>> resultOrLastRead(
             long nowMs, OrganisationSpec spec, Either<Failure, List<BudgetView>> result) {
         if (result.isRight()) {
-            mLast.keep(nowMs, spec.id(), result.get());
+            mLastReads.keep(nowMs, spec.id(), result.get());
             return Either.right(Aged.fresh(complete(spec, result.get())));
         }
         Optional<Aged<List<BudgetView>>> last =
                 result.getLeft().kind() == ErrorKind.PLATFORM_UNAVAILABLE
-                        ? mLast.find(nowMs, spec.id())
+                        ? mLastReads.find(nowMs, spec.id())
                         : Optional.empty();
         return last.<Either<Failure, Aged<List<BudgetView>>>>map(
                         l -> Either.right(new Aged<>(complete(spec, l.value()), l.ageMs())))
@@ -70,10 +74,10 @@
     }
 
     private static List<BudgetView> complete(OrganisationSpec spec, List<BudgetView> read) {
-        return spec.budgets().stream().sorted().map(b -> account(spec.id(), b, read)).toList();
+        return spec.budgets().stream().sorted().map(b -> accountOf(spec.id(), b, read)).toList();
     }
 
-    private static BudgetView account(OrganisationId id, BudgetId budget, List<BudgetView> read) {
+    private static BudgetView accountOf(OrganisationId id, BudgetId budget, List<BudgetView> read) {
         return read.stream()
                 .filter(b -> b.budget().equals(budget))
                 .findFirst()
--- a/router/src/main/java/org/hornbeampass/router/admin/AdminChecks.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/AdminChecks.java
@@ -116,7 +116,7 @@
     }
 
     /** Returns a value, or all its faults in one failure. */
-    static <T> Either<Failure, T> unless(List<String> faults, T value) {
+    static <T> Either<Failure, T> validOrFailure(List<String> faults, T value) {
         return faults.isEmpty()
                 ? Either.right(value)
                 : Either.left(Failure.of(ErrorKind.FIELD_INVALID, String.join("; ", faults)));
@@ -129,7 +129,7 @@
     }
 
     private static Optional<String> baseUri(String text) {
-        String mend = "\" must be http://HOST:PORT or https://HOST:PORT without a path";
+        String hint = "\" must be http://HOST:PORT or https://HOST:PORT without a path";
         try {
             URI uri = new URI(text);
             boolean scheme = "http".equals(uri.getScheme()) || "https".equals(uri.getScheme());
@@ -138,9 +138,9 @@
             if (scheme && uri.getHost() != null && !path && !extra) {
                 return Optional.empty();
             }
-            return Optional.of("baseUri \"" + shortened(text) + mend);
+            return Optional.of("baseUri \"" + shortened(text) + hint);
         } catch (URISyntaxException e) {
-            return Optional.of("baseUri \"" + shortened(text) + mend);
+            return Optional.of("baseUri \"" + shortened(text) + hint);
         }
     }
 }
--- a/router/src/main/java/org/hornbeampass/router/admin/AdminHandler.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/AdminHandler.java
@@ -34,7 +34,7 @@
      */
     public AdminHandler(AdminPorts ports, OperatorKeys keys, SecureRandom random) {
         mKeys = keys;
-        mRoutes = routes(ports, new KeyMaker(random));
+        mRoutes = routes(ports, new KeyGenerator(random));
     }
 
     @Override
@@ -42,7 +42,7 @@
         AdminReply reply = new AdminReply(exchange);
         Optional<String> operator = mKeys.operator(exchange.header(AdminPaths.AUTHORIZATION));
         if (operator.isEmpty()) {
-            reply.fail(
+            reply.sendFailure(
                     Failure.of(
                             ErrorKind.KEY_MISSING_OR_UNKNOWN,
                             "no known operator's key in the header Authorization: Bearer KEY;"
@@ -50,7 +50,7 @@
             return;
         }
         if (exchange.body().length > AdminPaths.MAX_BODY_BYTES) {
-            reply.fail(
+            reply.sendFailure(
                     Failure.of(
                             ErrorKind.REQUEST_TOO_LARGE,
                             "the body has "
@@ -79,10 +79,13 @@
             }
             methods.add(route.method());
         }
-        reply.fail(methods.isEmpty() ? unknown(path) : wrongMethod(exchange.method(), methods));
+        reply.sendFailure(
+                methods.isEmpty()
+                        ? unknownPath(path)
+                        : methodNotAllowed(exchange.method(), methods));
     }
 
-    private static Failure unknown(String path) {
+    private static Failure unknownPath(String path) {
         return Failure.of(
                 ErrorKind.NOT_FOUND,
                 "nothing is at "
@@ -91,17 +94,17 @@
                         + AdminPaths.ROOT);
     }
 
-    private static Failure wrongMethod(String method, Set<String> methods) {
+    private static Failure methodNotAllowed(String method, Set<String> methods) {
         return Failure.of(
                 ErrorKind.METHOD_NOT_ALLOWED,
                 method + " is not possible here; use " + String.join(" or ", methods));
     }
 
-    private static List<AdminRoute> routes(AdminPorts ports, KeyMaker keyMaker) {
+    private static List<AdminRoute> routes(AdminPorts ports, KeyGenerator keyGenerator) {
         ConfigurationPort configuration = ports.configuration();
         ConfigChanges changes = new ConfigChanges(configuration);
         AccountReader reader = new AccountReader(configuration, ports.accounts());
-        KeyEndpoints keys = new KeyEndpoints(configuration, changes, keyMaker);
+        KeyEndpoints keys = new KeyEndpoints(configuration, changes, keyGenerator);
         List<AdminRoute> routes = new ArrayList<>();
         routes.addAll(new TemplateEndpoints(configuration, changes).routes());
         routes.addAll(new OrganisationEndpoints(configuration, changes, keys).routes());
--- a/router/src/main/java/org/hornbeampass/router/admin/AdminPorts.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/AdminPorts.java
@@ -16,4 +16,4 @@
         AccountPort accounts,
         BillingPort billing,
         FleetPort fleet,
-        BurnPort burn) {}
+        BurnRatePort burn) {}
--- a/router/src/main/java/org/hornbeampass/router/admin/AdminReply.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/AdminReply.java
@@ -29,36 +29,36 @@
     }
 
     /** Answers with something read, and says how old it is. */
-    void read(Aged<?> value) {
+    void sendWithAge(Aged<?> value) {
         long seconds = Math.max(0, value.ageMs()) / MS_PER_SECOND;
         send(OK, Map.of(CONTENT_TYPE, JSON, AdminPaths.AGE, Long.toString(seconds)), value.value());
     }
 
     /** Answers with something read, or a failure. */
-    void read(Either<Failure, ? extends Aged<?>> result) {
+    void sendWithAge(Either<Failure, ? extends Aged<?>> result) {
         if (result.isLeft()) {
-            fail(result.getLeft());
+            sendFailure(result.getLeft());
             return;
         }
-        read(result.get());
+        sendWithAge(result.get());
     }
 
     /** Answers with what a change gave, or a failure. */
-    void done(Either<Failure, ?> result) {
+    void sendResult(Either<Failure, ?> result) {
         if (result.isLeft()) {
-            fail(result.getLeft());
+            sendFailure(result.getLeft());
             return;
         }
         send(OK, Map.of(CONTENT_TYPE, JSON), result.get());
     }
 
     /** Answers with what a creation gave; never cached, since it may show a key. */
-    void created(Object value) {
+    void sendCreated(Object value) {
         send(CREATED, Map.of(CONTENT_TYPE, JSON, "cache-control", "no-store"), value);
     }
 
     /** Answers with a failure. */
-    void fail(Failure failure) {
+    void sendFailure(Failure failure) {
         ErrorAnswer answer = ErrorAnswer.of(failure);
         mExchange.respond(answer.status(), answer.headers(), answer.body());
     }
--- a/router/src/main/java/org/hornbeampass/router/admin/AdminRequest.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/AdminRequest.java
@@ -82,10 +82,10 @@
         }
     }
 
-    private static <T> Either<Failure, T> invalid(String field, String value, String mend) {
+    private static <T> Either<Failure, T> invalid(String field, String value, String hint) {
         return Either.left(
                 Failure.of(
                         ErrorKind.FIELD_INVALID,
-                        field + " \"" + AdminChecks.shortened(value) + "\" is not valid: " + mend));
+                        field + " \"" + AdminChecks.shortened(value) + "\" is not valid: " + hint));
     }
 }
--- a/router/src/main/java/org/hornbeampass/router/admin/BillingEndpoints.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/BillingEndpoints.java
@@ -38,10 +38,10 @@
 
     private void bills(AdminRequest request, AdminReply reply) {
         OrganisationId id = new OrganisationId(request.variable(0));
-        Either<Failure, OrganisationSpec> organisation = mReader.organisation(id);
+        Either<Failure, OrganisationSpec> organisation = mReader.findOrganisation(id);
         Either<Failure, Integer> limit = request.limit();
         if (organisation.isLeft() || limit.isLeft()) {
-            reply.fail(organisation.isLeft() ? organisation.getLeft() : limit.getLeft());
+            reply.sendFailure(organisation.isLeft() ? organisation.getLeft() : limit.getLeft());
             return;
         }
         mBilling.bills(
@@ -49,39 +49,40 @@
                 id,
                 request.after(),
                 limit.get(),
-                (atMs, result) -> reply.read(result));
+                (atMs, result) -> reply.sendWithAge(result));
     }
 
     private void usage(AdminRequest request, AdminReply reply) {
         OrganisationId id = new OrganisationId(request.variable(0));
-        Either<Failure, OrganisationSpec> organisation = mReader.organisation(id);
+        Either<Failure, OrganisationSpec> organisation = mReader.findOrganisation(id);
         if (organisation.isLeft()) {
-            reply.fail(organisation.getLeft());
+            reply.sendFailure(organisation.getLeft());
             return;
         }
-        mBilling.usage(request.nowMs(), id, (atMs, result) -> reply.read(result));
+        mBilling.usage(request.nowMs(), id, (atMs, result) -> reply.sendWithAge(result));
     }
 
     private void statement(AdminRequest request, AdminReply reply) {
         OrganisationId id = new OrganisationId(request.variable(0));
-        mReader.all(
+        mReader.readAll(
                 request.nowMs(),
                 id,
                 (atMs, accounts) -> {
                     if (accounts.isLeft()) {
-                        reply.fail(accounts.getLeft());
+                        reply.sendFailure(accounts.getLeft());
                         return;
                     }
                     mBilling.usage(
                             atMs,
                             id,
                             (laterMs, usage) ->
-                                    reply.read(usage.map(u -> statement(id, accounts.get(), u))));
+                                    reply.sendWithAge(
+                                            usage.map(u -> statement(id, accounts.get(), u))));
                 });
     }
 
     private void audit(AdminRequest request, AdminReply reply) {
-        mBilling.audit(request.nowMs(), (atMs, result) -> reply.read(result));
+        mBilling.audit(request.nowMs(), (atMs, result) -> reply.sendWithAge(result));
     }
 
     private static Aged<StatementView> statement(
--- a/router/src/main/java/org/hornbeampass/router/admin/BudgetEndpoints.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/BudgetEndpoints.java
@@ -59,32 +59,33 @@
     }
 
     private void list(AdminRequest request, AdminReply reply) {
-        mReader.all(
+        mReader.readAll(
                 request.nowMs(),
                 new OrganisationId(request.variable(0)),
                 (atMs, result) ->
-                        reply.read(
+                        reply.sendWithAge(
                                 result.map(a -> new Aged<>(new BudgetList(a.value()), a.ageMs()))));
     }
 
     private void show(AdminRequest request, AdminReply reply) {
-        one(request, (atMs, result) -> reply.read(result));
+        readOne(request, (atMs, result) -> reply.sendWithAge(result));
     }
 
-    private void one(
+    private void readOne(
             AdminRequest request, BiConsumer<Long, Either<Failure, Aged<BudgetView>>> done) {
-        Either<Failure, BudgetKey> key = existing(request);
+        Either<Failure, BudgetKey> key = findBudget(request);
         if (key.isLeft()) {
             done.accept(request.nowMs(), Either.left(key.getLeft()));
             return;
         }
-        mReader.all(
+        mReader.readAll(
                 request.nowMs(),
                 key.get().organisation(),
-                (atMs, result) -> done.accept(atMs, result.map(a -> pick(a, key.get().budget()))));
+                (atMs, result) ->
+                        done.accept(atMs, result.map(a -> select(a, key.get().budget()))));
     }
 
-    private static Aged<BudgetView> pick(Aged<List<BudgetView>> all, BudgetId budget) {
+    private static Aged<BudgetView> select(Aged<List<BudgetView>> all, BudgetId budget) {
         BudgetView view =
                 all.value().stream()
                         .filter(b -> b.budget().equals(budget))
@@ -96,7 +97,7 @@
     private void create(AdminRequest request, AdminReply reply) {
         Optional<String> fault = AdminChecks.name("budget", request.variable(1));
         if (fault.isPresent()) {
-            reply.fail(Failure.of(ErrorKind.FIELD_INVALID, fault.get()));
+            reply.sendFailure(Failure.of(ErrorKind.FIELD_INVALID, fault.get()));
             return;
         }
         BudgetId budget = new BudgetId(request.variable(1));
@@ -104,13 +105,13 @@
     }
 
     private void delete(AdminRequest request, AdminReply reply) {
-        one(
+        readOne(
                 request,
                 (atMs, account) -> {
                     Optional<Failure> fault =
                             account.fold(Optional::of, BudgetEndpoints::notDeletable);
                     if (fault.isPresent()) {
-                        reply.fail(fault.get());
+                        reply.sendFailure(fault.get());
                         return;
                     }
                     BudgetId budget = account.get().value().budget();
@@ -119,11 +120,11 @@
     }
 
     private void topUp(AdminRequest request, AdminReply reply) {
-        Either<Failure, BudgetKey> key = existing(request);
+        Either<Failure, BudgetKey> key = findBudget(request);
         Either<Failure, TopUpBody> body =
-                request.body(TopUpBody.class).flatMap(BudgetEndpoints::checked);
+                request.body(TopUpBody.class).flatMap(BudgetEndpoints::validate);
         if (key.isLeft() || body.isLeft()) {
-            reply.fail(key.isLeft() ? key.getLeft() : body.getLeft());
+            reply.sendFailure(key.isLeft() ? key.getLeft() : body.getLeft());
             return;
         }
         TopUpBody topUp = body.get();
@@ -136,16 +137,16 @@
                         (atMs, result) -> {
                             String what = "topped up with id " + topUp.id();
                             log(request, key.get(), what, topUp.tokens(), result);
-                            reply.done(result);
+                            reply.sendResult(result);
                         });
     }
 
     private void setPaid(AdminRequest request, AdminReply reply) {
-        Either<Failure, BudgetKey> key = existing(request);
+        Either<Failure, BudgetKey> key = findBudget(request);
         Either<Failure, PaidBody> body =
-                request.body(PaidBody.class).flatMap(BudgetEndpoints::checked);
+                request.body(PaidBody.class).flatMap(BudgetEndpoints::validate);
         if (key.isLeft() || body.isLeft()) {
-            reply.fail(key.isLeft() ? key.getLeft() : body.getLeft());
+            reply.sendFailure(key.isLeft() ? key.getLeft() : body.getLeft());
             return;
         }
         mPorts.accounts()
@@ -156,14 +157,14 @@
                         body.get().expectedPaid(),
                         (atMs, result) -> {
                             log(request, key.get(), "set paid", body.get().paid(), result);
-                            reply.done(result);
+                            reply.sendResult(result);
                         });
     }
 
     private static void log(
             AdminRequest request,
             BudgetKey key,
-            String what,
+            String action,
             long tokens,
             Either<Failure, BudgetView> result) {
         String outcome = result.fold(f -> f.kind().code(), b -> "done, paid is " + b.paid());
@@ -171,7 +172,7 @@
                 "operator {} budget {} {} ({} tokens): {}",
                 request.operator(),
                 key,
-                what,
+                action,
                 tokens,
                 outcome);
     }
@@ -179,7 +180,7 @@
     private void modify(AdminRequest request, AdminReply reply, Change change) {
         Either<Failure, OptionalLong> expected = request.expectedRevision();
         if (expected.isLeft()) {
-            reply.fail(expected.getLeft());
+            reply.sendFailure(expected.getLeft());
             return;
         }
         OrganisationId id = new OrganisationId(request.variable(0));
@@ -187,19 +188,19 @@
                 request,
                 ObjectKey.organisation(id),
                 expected.get(),
-                () -> mReader.organisation(id).flatMap(change::of),
-                (atMs, result) -> reply.done(result));
+                () -> mReader.findOrganisation(id).flatMap(change::of),
+                (atMs, result) -> reply.sendResult(result));
     }
 
-    private Either<Failure, BudgetKey> existing(AdminRequest request) {
+    private Either<Failure, BudgetKey> findBudget(AdminRequest request) {
         OrganisationId id = new OrganisationId(request.variable(0));
         BudgetId budget = new BudgetId(request.variable(1));
-        return mReader.organisation(id)
+        return mReader.findOrganisation(id)
                 .flatMap(
                         spec ->
                                 spec.budgets().contains(budget)
                                         ? Either.right(new BudgetKey(id, budget))
-                                        : Either.left(unknown(spec, budget)));
+                                        : Either.left(unknownBudget(spec, budget)));
     }
 
     private static Either<Failure, ConfigChange> withBudget(
@@ -226,7 +227,7 @@
         }
         Set<BudgetId> budgets = new HashSet<>(spec.budgets());
         budgets.add(budget);
-        return Either.right(edit(spec, budgets));
+        return Either.right(withBudgets(spec, budgets));
     }
 
     private static Either<Failure, ConfigChange> withoutBudget(
@@ -242,10 +243,10 @@
                                         + " is the last one of organisation "
                                         + spec.id()
                                         + "; create another first, or delete the organisation"))
-                : Either.right(edit(spec, budgets));
+                : Either.right(withBudgets(spec, budgets));
     }
 
-    private static ConfigChange edit(OrganisationSpec spec, Set<BudgetId> budgets) {
+    private static ConfigChange withBudgets(OrganisationSpec spec, Set<BudgetId> budgets) {
         return new ConfigChange.PutOrganisation(
                 new OrganisationSpec(
                         spec.id(), spec.template(), spec.overrides(), budgets, spec.keyHashes()));
@@ -271,20 +272,20 @@
                                         + " tokens that are paid and not spent; lower it first"));
     }
 
-    private static Either<Failure, TopUpBody> checked(TopUpBody body) {
+    private static Either<Failure, TopUpBody> validate(TopUpBody body) {
         List<String> faults = new ArrayList<>();
         AdminChecks.name("id", body.id()).ifPresent(faults::add);
         AdminChecks.range(faults, "tokens", body.tokens(), 1, BudgetRecord.MAX_TOKENS);
-        return AdminChecks.unless(faults, body);
+        return AdminChecks.validOrFailure(faults, body);
     }
 
-    private static Either<Failure, PaidBody> checked(PaidBody body) {
+    private static Either<Failure, PaidBody> validate(PaidBody body) {
         List<String> faults = new ArrayList<>();
         AdminChecks.range(faults, "paid", body.paid(), 0, BudgetRecord.MAX_TOKENS);
-        return AdminChecks.unless(faults, body);
+        return AdminChecks.validOrFailure(faults, body);
     }
 
-    private static Failure unknown(OrganisationSpec spec, BudgetId budget) {
+    private static Failure unknownBudget(OrganisationSpec spec, BudgetId budget) {
         return Failure.of(
                 ErrorKind.NOT_FOUND,
                 "organisation "
--- a/router/src/main/java/org/hornbeampass/router/admin/BurnPort.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/BurnRatePort.java
@@ -8,7 +8,7 @@
  * <p>Implementations are thread-safe and never block.
  */
 @FunctionalInterface
-public interface BurnPort {
+public interface BurnRatePort {
     /** Returns what this router counted against objectives. */
-    SloView burn(long nowMs);
+    SloView burnRates(long nowMs);
 }
--- a/router/src/main/java/org/hornbeampass/router/admin/RouterBurn.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/BurnRateRecorder.java
@@ -14,13 +14,14 @@
  *
  * <p>Thread-safe as {@link BurnWindows} and the configuration are.
  */
-public final class RouterBurn implements BurnPort {
+public final class BurnRateRecorder implements BurnRatePort {
     private final VmId mVm;
     private final ConfigurationPort mConfiguration;
     private final BurnWindows mWindows;
 
     /** Starts counting. */
-    public RouterBurn(long nowMs, VmId vm, ConfigurationPort configuration, Objectives objectives) {
+    public BurnRateRecorder(
+            long nowMs, VmId vm, ConfigurationPort configuration, Objectives objectives) {
         mVm = vm;
         mConfiguration = configuration;
         mWindows = new BurnWindows(nowMs, objectives);
@@ -46,7 +47,7 @@
     }
 
     @Override
-    public SloView burn(long nowMs) {
+    public SloView burnRates(long nowMs) {
         return new SloView(mVm, nowMs, mWindows.report(nowMs));
     }
 }
--- a/router/src/main/java/org/hornbeampass/router/admin/ConfigChanges.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/ConfigChanges.java
@@ -59,7 +59,7 @@
                                             revision));
                     done.accept(
                             atMs,
-                            result.mapLeft(f -> named(f, object, expected))
+                            result.mapLeft(f -> withObjectName(f, object, expected))
                                     .map(revision -> new Changed(name(object), revision)));
                 });
     }
@@ -90,22 +90,22 @@
             BiConsumer<Long, Either<Failure, Changed>> done,
             int attempt) {
         OptionalLong current = revisionOf(object);
-        Either<Failure, ConfigChange> made =
-                current.isEmpty() ? Either.left(unknown(object)) : change.get();
-        if (made.isLeft()) {
-            done.accept(request.nowMs(), Either.left(made.getLeft()));
+        Either<Failure, ConfigChange> newChange =
+                current.isEmpty() ? Either.left(notFound(object)) : change.get();
+        if (newChange.isLeft()) {
+            done.accept(request.nowMs(), Either.left(newChange.getLeft()));
             return;
         }
-        boolean again = expected.isEmpty() && attempt < MAX_ATTEMPTS;
+        boolean mayRetry = expected.isEmpty() && attempt < MAX_ATTEMPTS;
         propose(
                 request,
-                made.get(),
+                newChange.get(),
                 expected.isPresent() ? expected : current,
                 (atMs, result) -> {
-                    boolean lost =
+                    boolean conflict =
                             result.isLeft()
                                     && result.getLeft().kind() == ErrorKind.REVISION_CONFLICT;
-                    if (lost && again) {
+                    if (conflict && mayRetry) {
                         modify(request, object, expected, change, done, attempt + 1);
                         return;
                     }
@@ -114,11 +114,11 @@
     }
 
     /** Returns the failure for an object that does not exist. */
-    static Failure unknown(ObjectKey object) {
+    static Failure notFound(ObjectKey object) {
         return Failure.of(
                 ErrorKind.NOT_FOUND,
                 "there is no "
-                        + words(object)
+                        + describe(object)
                         + "; `hornbeamctl "
                         + kind(object)
                         + " list` shows what there is");
@@ -131,22 +131,22 @@
         }
         long applied = mConfiguration.snapshot().revision();
         if (expected.getAsLong() > applied) {
-            return Optional.of(lagging(expected.getAsLong(), applied));
+            return Optional.of(notYetApplied(expected.getAsLong(), applied));
         }
         if (expected.getAsLong() == 0) {
             return current.isPresent()
-                    ? Optional.of(exists(object, current.getAsLong()))
+                    ? Optional.of(alreadyExists(object, current.getAsLong()))
                     : Optional.empty();
         }
         if (current.isEmpty()) {
-            return Optional.of(unknown(object));
+            return Optional.of(notFound(object));
         }
         return current.getAsLong() > expected.getAsLong()
                 ? Optional.of(conflict(object, expected.getAsLong(), current.getAsLong()))
                 : Optional.empty();
     }
 
-    private static Failure lagging(long expected, long applied) {
+    private static Failure notYetApplied(long expected, long applied) {
         return Failure.of(
                 ErrorKind.NOT_READY,
                 "this router runs revision "
@@ -157,10 +157,10 @@
                         + " another router");
     }
 
-    private static Failure exists(ObjectKey object, long revision) {
+    private static Failure alreadyExists(ObjectKey object, long revision) {
         return Failure.of(
                 ErrorKind.ALREADY_EXISTS,
-                words(object)
+                describe(object)
                         + " exists already, at revision "
                         + revision
                         + "; change it with `set`, or take another name");
@@ -169,7 +169,7 @@
     private static Failure conflict(ObjectKey object, long expected, long current) {
         return Failure.of(
                 ErrorKind.REVISION_CONFLICT,
-                words(object)
+                describe(object)
                         + " is at revision "
                         + current
                         + ", changed by another operator after revision "
@@ -179,7 +179,8 @@
                         + current);
     }
 
-    private static Failure named(Failure failure, ObjectKey object, OptionalLong expected) {
+    private static Failure withObjectName(
+            Failure failure, ObjectKey object, OptionalLong expected) {
         boolean creation = expected.isPresent() && expected.getAsLong() == 0;
         ErrorKind kind =
                 creation && failure.kind() == ErrorKind.REVISION_CONFLICT
@@ -188,7 +189,7 @@
         String message =
                 failure.message().contains(name(object))
                         ? failure.message()
-                        : words(object) + ": " + failure.message();
+                        : describe(object) + ": " + failure.message();
         return new Failure(kind, message, failure.retryAfterMs());
     }
 
@@ -205,7 +206,7 @@
         return object.value().substring(object.value().indexOf('/') + 1);
     }
 
-    private static String words(ObjectKey object) {
+    private static String describe(ObjectKey object) {
         return kind(object) + " " + name(object);
     }
 }
--- a/router/src/main/java/org/hornbeampass/router/admin/ConfigPages.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/ConfigPage.java
@@ -15,7 +15,7 @@
  * @param next the name after which the next page starts; empty on the last page
  * @param <T> the type of the values
  */
-record ConfigPages<T>(List<T> items, Optional<String> next) {
+record ConfigPage<T>(List<T> items, Optional<String> next) {
     /**
      * Cuts a page.
      *
@@ -23,13 +23,13 @@
      * @param after the name after which the page starts
      * @param limit the largest number of values on the page
      */
-    static <K, T> ConfigPages<T> cut(Map<K, T> all, Optional<String> after, int limit) {
+    static <K, T> ConfigPage<T> of(Map<K, T> all, Optional<String> after, int limit) {
         TreeMap<String, T> sorted = new TreeMap<>();
         all.forEach((name, value) -> sorted.put(name.toString(), value));
         Map<String, T> tail = after.isPresent() ? sorted.tailMap(after.get(), false) : sorted;
         List<String> names = tail.keySet().stream().limit(limit).toList();
         boolean last = names.size() == tail.size();
-        return new ConfigPages<>(
+        return new ConfigPage<>(
                 names.stream().map(sorted::get).toList(),
                 last ? Optional.empty() : Optional.of(names.get(names.size() - 1)));
     }
--- a/router/src/main/java/org/hornbeampass/router/admin/FleetEndpoints.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/FleetEndpoints.java
@@ -11,9 +11,9 @@
  */
 final class FleetEndpoints {
     private final FleetPort mFleet;
-    private final BurnPort mBurn;
+    private final BurnRatePort mBurn;
 
-    FleetEndpoints(FleetPort fleet, BurnPort burn) {
+    FleetEndpoints(FleetPort fleet, BurnRatePort burn) {
         mFleet = fleet;
         mBurn = burn;
     }
@@ -27,15 +27,15 @@
     }
 
     private void routers(AdminRequest request, AdminReply reply) {
-        reply.read(Aged.fresh(mFleet.routers(request.nowMs())));
+        reply.sendWithAge(Aged.fresh(mFleet.routers(request.nowMs())));
     }
 
     private void revision(AdminRequest request, AdminReply reply) {
-        reply.read(Aged.fresh(mFleet.revision(request.nowMs())));
+        reply.sendWithAge(Aged.fresh(mFleet.revision(request.nowMs())));
     }
 
     private void burn(AdminRequest request, AdminReply reply) {
-        reply.read(Aged.fresh(mBurn.burn(request.nowMs())));
+        reply.sendWithAge(Aged.fresh(mBurn.burnRates(request.nowMs())));
     }
 
     private void drain(AdminRequest request, AdminReply reply) {
@@ -43,6 +43,6 @@
                 request.nowMs(),
                 request.variable(0),
                 request.operator(),
-                (atMs, result) -> reply.done(result));
+                (atMs, result) -> reply.sendResult(result));
     }
 }
--- a/router/src/main/java/org/hornbeampass/router/admin/KeyEndpoints.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/KeyEndpoints.java
@@ -26,12 +26,12 @@
 final class KeyEndpoints {
     private final ConfigurationPort mConfiguration;
     private final ConfigChanges mChanges;
-    private final KeyMaker mKeyMaker;
+    private final KeyGenerator mKeyGenerator;
 
-    KeyEndpoints(ConfigurationPort configuration, ConfigChanges changes, KeyMaker keyMaker) {
+    KeyEndpoints(ConfigurationPort configuration, ConfigChanges changes, KeyGenerator keyGenerator) {
         mConfiguration = configuration;
         mChanges = changes;
-        mKeyMaker = keyMaker;
+        mKeyGenerator = keyGenerator;
     }
 
     List<AdminRoute> routes() {
@@ -44,18 +44,19 @@
     /** Creates an organisation with a first key. */
     void createWithKey(
             AdminRequest request, AdminReply reply, String keyName, OrganisationSpec spec) {
-        String key = mKeyMaker.next();
-        OrganisationSpec keyed = withKeys(spec, Map.of(keyName, KeyMaker.hash(key)));
+        String key = mKeyGenerator.next();
+        OrganisationSpec keyed = withKeys(spec, Map.of(keyName, KeyGenerator.hash(key)));
         mChanges.propose(
                 request,
                 new ConfigChange.PutOrganisation(keyed),
                 OptionalLong.of(0),
                 (atMs, result) -> {
                     if (result.isLeft()) {
-                        reply.fail(result.getLeft());
+                        reply.sendFailure(result.getLeft());
                         return;
                     }
-                    reply.created(new KeyCreated(spec.id(), keyName, key, result.get().revision()));
+                    reply.sendCreated(
+                            new KeyCreated(spec.id(), keyName, key, result.get().revision()));
                 });
     }
 
@@ -65,23 +66,23 @@
         Optional<String> fault = AdminChecks.name("key name", name);
         Either<Failure, OptionalLong> expected = request.expectedRevision();
         if (fault.isPresent() || expected.isLeft()) {
-            reply.fail(
+            reply.sendFailure(
                     fault.map(f -> Failure.of(ErrorKind.FIELD_INVALID, f))
                             .orElseGet(expected::getLeft));
             return;
         }
-        String key = mKeyMaker.next();
+        String key = mKeyGenerator.next();
         mChanges.modify(
                 request,
                 ObjectKey.organisation(id),
                 expected.get(),
-                () -> added(id, name, KeyMaker.hash(key)),
+                () -> withAddedKey(id, name, KeyGenerator.hash(key)),
                 (atMs, result) -> {
                     if (result.isLeft()) {
-                        reply.fail(result.getLeft());
+                        reply.sendFailure(result.getLeft());
                         return;
                     }
-                    reply.created(new KeyCreated(id, name, key, result.get().revision()));
+                    reply.sendCreated(new KeyCreated(id, name, key, result.get().revision()));
                 });
     }
 
@@ -89,22 +90,23 @@
         OrganisationId id = new OrganisationId(request.variable(0));
         Either<Failure, OptionalLong> expected = request.expectedRevision();
         if (expected.isLeft()) {
-            reply.fail(expected.getLeft());
+            reply.sendFailure(expected.getLeft());
             return;
         }
         mChanges.modify(
                 request,
                 ObjectKey.organisation(id),
                 expected.get(),
-                () -> revoked(id, request.variable(1)),
-                (atMs, result) -> reply.done(result));
+                () -> withoutKey(id, request.variable(1)),
+                (atMs, result) -> reply.sendResult(result));
     }
 
-    private Either<Failure, ConfigChange> added(OrganisationId id, String name, String hash) {
-        return existing(id).flatMap(spec -> added(spec, name, hash));
+    private Either<Failure, ConfigChange> withAddedKey(
+            OrganisationId id, String name, String hash) {
+        return findOrganisation(id).flatMap(spec -> withAddedKey(spec, name, hash));
     }
 
-    private static Either<Failure, ConfigChange> added(
+    private static Either<Failure, ConfigChange> withAddedKey(
             OrganisationSpec spec, String name, String hash) {
         if (spec.keyHashes().containsKey(name)) {
             return Either.left(
@@ -131,8 +133,8 @@
         return Either.right(new ConfigChange.PutOrganisation(withKeys(spec, keys)));
     }
 
-    private Either<Failure, ConfigChange> revoked(OrganisationId id, String name) {
-        return existing(id)
+    private Either<Failure, ConfigChange> withoutKey(OrganisationId id, String name) {
+        return findOrganisation(id)
                 .flatMap(
                         spec -> {
                             Map<String, String> keys = new HashMap<>(spec.keyHashes());
@@ -143,10 +145,10 @@
                         });
     }
 
-    private Either<Failure, OrganisationSpec> existing(OrganisationId id) {
+    private Either<Failure, OrganisationSpec> findOrganisation(OrganisationId id) {
         OrganisationSpec spec = mConfiguration.snapshot().organisations().get(id);
         return spec == null
-                ? Either.left(ConfigChanges.unknown(ObjectKey.organisation(id)))
+                ? Either.left(ConfigChanges.notFound(ObjectKey.organisation(id)))
                 : Either.right(spec);
     }
 
--- a/router/src/main/java/org/hornbeampass/router/admin/KeyMaker.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/KeyGenerator.java
@@ -12,14 +12,14 @@
  *
  * <p>A key has 256 random bits, so that a plain SHA-256 of it can't be searched. Thread-safe.
  */
-public final class KeyMaker {
+public final class KeyGenerator {
     private static final String PREFIX = "hp-";
     private static final int RANDOM_BYTES = 32;
 
     private final SecureRandom mRandom;
 
     /** Takes the source of random bits. */
-    public KeyMaker(SecureRandom random) {
+    public KeyGenerator(SecureRandom random) {
         mRandom = random;
     }
 
--- a/router/src/main/java/org/hornbeampass/router/admin/LastReads.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/LastReadCache.java
@@ -13,7 +13,7 @@
  * @param <K> the type of the names
  * @param <V> the type of the values, immutable
  */
-final class LastReads<K, V> {
+final class LastReadCache<K, V> {
     private static final int MAX_KEPT = 1024;
 
     private final Map<K, Kept<V>> mKept = new LinkedHashMap<>();
--- a/router/src/main/java/org/hornbeampass/router/admin/LedgerAccounts.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/LedgerAccounts.java
@@ -48,7 +48,7 @@
             String id,
             long tokens,
             BiConsumer<Long, Either<Failure, BudgetView>> done) {
-        mAccounts.topUp(nowMs, key, id, tokens, viewed(done));
+        mAccounts.topUp(nowMs, key, id, tokens, toViewCallback(done));
     }
 
     @Override
@@ -59,13 +59,13 @@
             OptionalLong expectedPaid,
             BiConsumer<Long, Either<Failure, BudgetView>> done) {
         if (expectedPaid.isPresent()) {
-            mAccounts.setPaid(nowMs, key, paid, expectedPaid.getAsLong(), viewed(done));
+            mAccounts.setPaid(nowMs, key, paid, expectedPaid.getAsLong(), toViewCallback(done));
             return;
         }
-        mAccounts.setPaid(nowMs, key, paid, viewed(done));
+        mAccounts.setPaid(nowMs, key, paid, toViewCallback(done));
     }
 
-    private static BiConsumer<Long, Either<Failure, BudgetStatement>> viewed(
+    private static BiConsumer<Long, Either<Failure, BudgetStatement>> toViewCallback(
             BiConsumer<Long, Either<Failure, BudgetView>> done) {
         return (atMs, result) -> done.accept(atMs, result.map(LedgerAccounts::view));
     }
--- a/router/src/main/java/org/hornbeampass/router/admin/LedgerAudit.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/LedgerAudit.java
@@ -50,7 +50,7 @@
         bills.totals().keySet().forEach(key -> organisations.add(key.organisation()));
         Run run = new Run(bills, List.copyOf(organisations), done);
         bills.findings().forEach(f -> run.mBreaches.add(new Breach(RECORDS, "request log", f)));
-        run.next(nowMs, 0);
+        run.auditNext(nowMs, 0);
     }
 
     /** One run. */
@@ -70,7 +70,7 @@
             mDone = done;
         }
 
-        private void next(long nowMs, int index) {
+        private void auditNext(long nowMs, int index) {
             if (index == mOrganisations.size()) {
                 mDone.accept(nowMs, Either.right(view()));
                 return;
@@ -85,11 +85,11 @@
                             return;
                         }
                         findings.get().forEach(f -> mBreaches.add(breach(f)));
-                        statements(atMs, index, id);
+                        readStatements(atMs, index, id);
                     });
         }
 
-        private void statements(long nowMs, int index, OrganisationId id) {
+        private void readStatements(long nowMs, int index, OrganisationId id) {
             mAccounts.statement(
                     nowMs,
                     id,
@@ -100,7 +100,7 @@
                         }
                         mBudgets += statements.get().size();
                         compare(id, statements.get());
-                        next(atMs, index + 1);
+                        auditNext(atMs, index + 1);
                     });
         }
 
--- a/router/src/main/java/org/hornbeampass/router/admin/MemberFleet.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/MemberFleet.java
@@ -26,10 +26,10 @@
 public final class MemberFleet implements FleetPort {
     private final Membership mMembership;
     private final ConfigStore mStore;
-    private final RouterDrains mDrains;
+    private final RouterDrainer mDrains;
 
     /** Takes the parts. */
-    public MemberFleet(Membership membership, ConfigStore store, RouterDrains drains) {
+    public MemberFleet(Membership membership, ConfigStore store, RouterDrainer drains) {
         mMembership = membership;
         mStore = store;
         mDrains = drains;
@@ -68,8 +68,9 @@
         mDrains.drain(nowMs, vmName, operator, done);
     }
 
-    private static RevisionView.RouterRevision revisionOf(VmRevision each) {
-        return new RevisionView.RouterRevision(each.member().vm(), each.revision().orElse(0));
+    private static RevisionView.RouterRevision revisionOf(VmRevision vmRevision) {
+        return new RevisionView.RouterRevision(
+                vmRevision.member().vm(), vmRevision.revision().orElse(0));
     }
 
     private static RouterView view(Member m, long revision) {
--- a/router/src/main/java/org/hornbeampass/router/admin/OperatorKeys.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/OperatorKeys.java
@@ -43,11 +43,11 @@
                 .filter(a -> a.toLowerCase(Locale.ROOT).startsWith(SCHEME))
                 .map(a -> a.substring(SCHEME.length()).trim())
                 .filter(k -> !k.isEmpty())
-                .map(KeyMaker::hash)
-                .flatMap(this::named);
+                .map(KeyGenerator::hash)
+                .flatMap(this::findByHash);
     }
 
-    private Optional<String> named(String hash) {
+    private Optional<String> findByHash(String hash) {
         byte[] given = hash.getBytes(StandardCharsets.US_ASCII);
         Optional<String> found = Optional.empty();
         for (OperatorKey key : mKeys) {
--- a/router/src/main/java/org/hornbeampass/router/admin/OrganisationEndpoints.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/OrganisationEndpoints.java
@@ -27,7 +27,7 @@
  */
 final class OrganisationEndpoints {
     private static final String FIRST_KEY = "first";
-    private static final int MAX_NAMED = 20;
+    private static final int MAX_LISTED_TEMPLATES = 20;
 
     private final ConfigurationPort mConfiguration;
     private final ConfigChanges mChanges;
@@ -53,13 +53,13 @@
     private void list(AdminRequest request, AdminReply reply) {
         Either<Failure, Integer> limit = request.limit();
         if (limit.isLeft()) {
-            reply.fail(limit.getLeft());
+            reply.sendFailure(limit.getLeft());
             return;
         }
         ConfigSnapshot snapshot = mConfiguration.snapshot();
-        ConfigPages<OrganisationSpec> page =
-                ConfigPages.cut(snapshot.organisations(), request.after(), limit.get());
-        reply.read(
+        ConfigPage<OrganisationSpec> page =
+                ConfigPage.of(snapshot.organisations(), request.after(), limit.get());
+        reply.sendWithAge(
                 aged(
                         request,
                         new OrganisationList(page.views(o -> view(snapshot, o)), page.next())));
@@ -70,17 +70,17 @@
         OrganisationId id = new OrganisationId(request.variable(0));
         OrganisationSpec spec = snapshot.organisations().get(id);
         if (spec == null) {
-            reply.fail(ConfigChanges.unknown(ObjectKey.organisation(id)));
+            reply.sendFailure(ConfigChanges.notFound(ObjectKey.organisation(id)));
             return;
         }
-        reply.read(aged(request, view(snapshot, spec)));
+        reply.sendWithAge(aged(request, view(snapshot, spec)));
     }
 
     private void create(AdminRequest request, AdminReply reply) {
         OrganisationId id = new OrganisationId(request.variable(0));
-        Either<Failure, OrganisationBody> body = checked(request);
+        Either<Failure, OrganisationBody> body = validate(request);
         if (body.isLeft()) {
-            reply.fail(body.getLeft());
+            reply.sendFailure(body.getLeft());
             return;
         }
         mKeys.createWithKey(request, reply, FIRST_KEY, spec(id, body.get(), Map.of()));
@@ -88,24 +88,24 @@
 
     private void put(AdminRequest request, AdminReply reply) {
         OrganisationId id = new OrganisationId(request.variable(0));
-        Either<Failure, OrganisationBody> body = checked(request);
+        Either<Failure, OrganisationBody> body = validate(request);
         Either<Failure, OptionalLong> expected = request.expectedRevision();
         if (body.isLeft() || expected.isLeft()) {
-            reply.fail(body.isLeft() ? body.getLeft() : expected.getLeft());
+            reply.sendFailure(body.isLeft() ? body.getLeft() : expected.getLeft());
             return;
         }
         mChanges.modify(
                 request,
                 ObjectKey.organisation(id),
                 expected.get(),
-                () -> Either.right(replaced(id, body.get())),
-                (atMs, result) -> reply.done(result));
+                () -> Either.right(replacement(id, body.get())),
+                (atMs, result) -> reply.sendResult(result));
     }
 
     private void delete(AdminRequest request, AdminReply reply) {
         Either<Failure, OptionalLong> expected = request.expectedRevision();
         if (expected.isLeft()) {
-            reply.fail(expected.getLeft());
+            reply.sendFailure(expected.getLeft());
             return;
         }
         OrganisationId id = new OrganisationId(request.variable(0));
@@ -114,18 +114,18 @@
                 ObjectKey.organisation(id),
                 expected.get(),
                 () -> Either.right(new ConfigChange.DeleteOrganisation(id)),
-                (atMs, result) -> reply.done(result));
+                (atMs, result) -> reply.sendResult(result));
     }
 
-    private ConfigChange replaced(OrganisationId id, OrganisationBody body) {
-        OrganisationSpec now = mConfiguration.snapshot().organisations().get(id);
-        Map<String, String> keys = now == null ? Map.of() : now.keyHashes();
+    private ConfigChange replacement(OrganisationId id, OrganisationBody body) {
+        OrganisationSpec current = mConfiguration.snapshot().organisations().get(id);
+        Map<String, String> keys = current == null ? Map.of() : current.keyHashes();
         return new ConfigChange.PutOrganisation(spec(id, body, keys));
     }
 
-    private Either<Failure, OrganisationBody> checked(AdminRequest request) {
+    private Either<Failure, OrganisationBody> validate(AdminRequest request) {
         return request.body(OrganisationBody.class)
-                .flatMap(b -> AdminChecks.unless(faults(request.variable(0), b), b));
+                .flatMap(b -> AdminChecks.validOrFailure(faults(request.variable(0), b), b));
     }
 
     private List<String> faults(String id, OrganisationBody body) {
@@ -150,7 +150,7 @@
                 + "\" is unknown; known are: "
                 + (known.isEmpty()
                         ? "none yet, create one with `hornbeamctl template create`"
-                        : String.join(", ", known.stream().limit(MAX_NAMED).toList()));
+                        : String.join(", ", known.stream().limit(MAX_LISTED_TEMPLATES).toList()));
     }
 
     private OrganisationView view(ConfigSnapshot snapshot, OrganisationSpec spec) {
--- a/router/src/main/java/org/hornbeampass/router/admin/RecordedBilling.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/RecordedBilling.java
@@ -31,7 +31,7 @@
  * last read, with their age.
  *
  * <p>Each read goes over every shard of the request log. Thread-safe: what is kept is guarded by
- * {@link LastReads}, and callbacks run with no lock held.
+ * {@link LastReadCache}, and callbacks run with no lock held.
  */
 public final class RecordedBilling implements BillingPort {
     private static final int MAX_OPEN_CLAIMS = 100;
@@ -40,7 +40,7 @@
     private final Platform mPlatform;
     private final LedgerSettings mSettings;
     private final LedgerAudit mLedgers;
-    private final LastReads<String, RequestAuditReport> mLast = new LastReads<>();
+    private final LastReadCache<String, RequestAuditReport> mLastReads = new LastReadCache<>();
 
     /**
      * Takes the records.
@@ -71,7 +71,7 @@
             long nowMs,
             OrganisationId organisation,
             BiConsumer<Long, Either<Failure, Aged<UsageView>>> done) {
-        sums(
+        readTotals(
                 nowMs,
                 (atMs, report) ->
                         done.accept(
@@ -100,21 +100,21 @@
                         });
     }
 
-    private void sums(
+    private void readTotals(
             long nowMs, BiConsumer<Long, Either<Failure, Aged<RequestAuditReport>>> done) {
         new RequestAudit(mPlatform, mSettings, MAX_OPEN_CLAIMS)
-                .run(nowMs, (atMs, report) -> done.accept(atMs, keptOrLast(atMs, report)));
+                .run(nowMs, (atMs, report) -> done.accept(atMs, currentOrLast(atMs, report)));
     }
 
-    private Either<Failure, Aged<RequestAuditReport>> keptOrLast(
+    private Either<Failure, Aged<RequestAuditReport>> currentOrLast(
             long nowMs, Either<Failure, RequestAuditReport> report) {
         if (report.isRight()) {
-            mLast.keep(nowMs, ALL, report.get());
+            mLastReads.keep(nowMs, ALL, report.get());
             return Either.right(Aged.fresh(report.get()));
         }
         Optional<Aged<RequestAuditReport>> last =
                 report.getLeft().kind() == ErrorKind.PLATFORM_UNAVAILABLE
-                        ? mLast.find(nowMs, ALL)
+                        ? mLastReads.find(nowMs, ALL)
                         : Optional.empty();
         return last.<Either<Failure, Aged<RequestAuditReport>>>map(Either::right)
                 .orElseGet(() -> Either.left(report.getLeft()));
--- a/router/src/main/java/org/hornbeampass/router/admin/RouterDrains.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/RouterDrainer.java
@@ -25,8 +25,8 @@
  * <p>Invariant: an order is for one incarnation, and has no effect on a later one. Thread-safe:
  * holds no state of its own.
  */
-public final class RouterDrains {
-    private static final Logger LOG = LogManager.getLogger(RouterDrains.class);
+public final class RouterDrainer {
+    private static final Logger LOG = LogManager.getLogger(RouterDrainer.class);
     private static final long TIMEOUT_MS = 3_000;
     private static final String DRAINING = "draining";
 
@@ -35,7 +35,7 @@
     private final DrainControl mControl;
 
     /** Takes the members, the network between them and this router's own means to drain. */
-    public RouterDrains(Membership membership, PeerNetwork network, DrainControl control) {
+    public RouterDrainer(Membership membership, PeerNetwork network, DrainControl control) {
         mMembership = membership;
         mNetwork = network;
         mControl = control;
@@ -49,12 +49,12 @@
             BiConsumer<Long, Either<Failure, Drained>> done) {
         Optional<Member> member = mMembership.view().member(vmName);
         if (member.isEmpty()) {
-            done.accept(nowMs, Either.left(unknown(vmName)));
+            done.accept(nowMs, Either.left(unknownRouter(vmName)));
             return;
         }
         DrainOrder order = new DrainOrder(member.get().vm(), operator);
         if (order.vm().equals(self())) {
-            done.accept(nowMs, Either.right(drained(vmName, carryOut(nowMs, order))));
+            done.accept(nowMs, Either.right(drained(vmName, execute(nowMs, order))));
             return;
         }
         mNetwork.request(
@@ -62,15 +62,15 @@
                 vmName,
                 order,
                 TIMEOUT_MS,
-                (atMs, reply) -> done.accept(atMs, reply.flatMap(r -> answered(vmName, r))));
+                (atMs, reply) -> done.accept(atMs, reply.flatMap(r -> toResult(vmName, r))));
     }
 
     /** Handles {@link DrainOrder}; a {@code PeerHandler}. */
     public void onDrainOrder(long nowMs, VmId from, DrainOrder order, Consumer<PeerMessage> reply) {
-        reply.accept(carryOut(nowMs, order));
+        reply.accept(execute(nowMs, order));
     }
 
-    private DrainAnswer carryOut(long nowMs, DrainOrder order) {
+    private DrainAnswer execute(long nowMs, DrainOrder order) {
         if (!order.vm().equals(self())) {
             return new DrainAnswer(false, mControl.inFlight());
         }
@@ -83,7 +83,7 @@
         return mMembership.view().self().vm();
     }
 
-    private static Either<Failure, Drained> answered(String vmName, PeerMessage reply) {
+    private static Either<Failure, Drained> toResult(String vmName, PeerMessage reply) {
         if (reply instanceof DrainAnswer answer && answer.draining()) {
             return Either.right(drained(vmName, answer));
         }
@@ -99,7 +99,7 @@
         return new Drained(vmName, DRAINING, answer.inFlight());
     }
 
-    private static Failure unknown(String vmName) {
+    private static Failure unknownRouter(String vmName) {
         return Failure.of(
                 ErrorKind.NOT_FOUND,
                 "there is no router "
--- a/router/src/main/java/org/hornbeampass/router/admin/StoredConfiguration.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/StoredConfiguration.java
@@ -17,17 +17,18 @@
  */
 public final class StoredConfiguration implements ConfigurationPort {
     private final ConfigStore mStore;
-    private final long mSilentMs;
+    private final long mMaxSilenceMs;
 
     /**
      * Takes the store.
      *
      * @param store the store
-     * @param silentMs for how long the platform may say nothing while all is well, in milliseconds
+     * @param maxSilenceMs for how long the platform may say nothing while all is well, in
+     *     milliseconds
      */
-    public StoredConfiguration(ConfigStore store, long silentMs) {
+    public StoredConfiguration(ConfigStore store, long maxSilenceMs) {
         mStore = store;
-        mSilentMs = silentMs;
+        mMaxSilenceMs = maxSilenceMs;
     }
 
     @Override
@@ -39,7 +40,7 @@
     public long ageMs(long nowMs) {
         OptionalLong confirmedMs = mStore.confirmedMs();
         long ageMs = confirmedMs.isPresent() ? nowMs - confirmedMs.getAsLong() : 0;
-        return ageMs <= mSilentMs ? 0 : ageMs;
+        return ageMs <= mMaxSilenceMs ? 0 : ageMs;
     }
 
     @Override
--- a/router/src/main/java/org/hornbeampass/router/admin/TemplateEndpoints.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/TemplateEndpoints.java
@@ -44,32 +44,31 @@
     private void list(AdminRequest request, AdminReply reply) {
         Either<Failure, Integer> limit = request.limit();
         if (limit.isLeft()) {
-            reply.fail(limit.getLeft());
+            reply.sendFailure(limit.getLeft());
             return;
         }
-        ConfigPages<Template> page =
-                ConfigPages.cut(
-                        mConfiguration.snapshot().templates(), request.after(), limit.get());
-        reply.read(aged(request, new TemplateList(page.views(this::view), page.next())));
+        ConfigPage<Template> page =
+                ConfigPage.of(mConfiguration.snapshot().templates(), request.after(), limit.get());
+        reply.sendWithAge(aged(request, new TemplateList(page.views(this::view), page.next())));
     }
 
     private void show(AdminRequest request, AdminReply reply) {
         String name = request.variable(0);
         Template template = mConfiguration.snapshot().templates().get(name);
         if (template == null) {
-            reply.fail(ConfigChanges.unknown(ObjectKey.template(name)));
+            reply.sendFailure(ConfigChanges.notFound(ObjectKey.template(name)));
             return;
         }
-        reply.read(aged(request, view(template)));
+        reply.sendWithAge(aged(request, view(template)));
     }
 
     private void put(AdminRequest request, AdminReply reply) {
         Either<Failure, Parameters> parameters =
-                request.body(Parameters.class).flatMap(p -> checked(request.variable(0), p));
+                request.body(Parameters.class).flatMap(p -> validate(request.variable(0), p));
         Either<Failure, OptionalLong> expected = request.expectedRevision();
         Optional<Failure> fault = firstFault(parameters, expected);
         if (fault.isPresent()) {
-            reply.fail(fault.get());
+            reply.sendFailure(fault.get());
             return;
         }
         Template template = new Template(request.variable(0), parameters.get());
@@ -77,7 +76,7 @@
                 request,
                 new ConfigChange.PutTemplate(template),
                 expected.get(),
-                (atMs, result) -> reply.done(result));
+                (atMs, result) -> reply.sendResult(result));
     }
 
     private void delete(AdminRequest request, AdminReply reply) {
@@ -86,7 +85,7 @@
         ObjectKey object = ObjectKey.template(name);
         Optional<Failure> fault = expected.isLeft() ? Optional.of(expected.getLeft()) : inUse(name);
         if (fault.isPresent()) {
-            reply.fail(fault.get());
+            reply.sendFailure(fault.get());
             return;
         }
         mChanges.modify(
@@ -94,7 +93,7 @@
                 object,
                 expected.get(),
                 () -> Either.right(new ConfigChange.DeleteTemplate(name)),
-                (atMs, result) -> reply.done(result));
+                (atMs, result) -> reply.sendResult(result));
     }
 
     private Optional<Failure> inUse(String template) {
@@ -128,11 +127,11 @@
         return new Aged<>(value, mConfiguration.ageMs(request.nowMs()));
     }
 
-    private static Either<Failure, Parameters> checked(String name, Parameters parameters) {
+    private static Either<Failure, Parameters> validate(String name, Parameters parameters) {
         List<String> faults = new ArrayList<>();
         AdminChecks.name("template", name).ifPresent(faults::add);
         faults.addAll(AdminChecks.parameters(parameters));
-        return AdminChecks.unless(faults, parameters);
+        return AdminChecks.validOrFailure(faults, parameters);
     }
 
     private static Optional<Failure> firstFault(Either<Failure, ?> one, Either<Failure, ?> two) {
--- a/router/src/main/java/org/hornbeampass/router/admin/UpstreamEndpoints.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/UpstreamEndpoints.java
@@ -43,42 +43,41 @@
     private void list(AdminRequest request, AdminReply reply) {
         Either<Failure, Integer> limit = request.limit();
         if (limit.isLeft()) {
-            reply.fail(limit.getLeft());
+            reply.sendFailure(limit.getLeft());
             return;
         }
-        ConfigPages<UpstreamSpec> page =
-                ConfigPages.cut(
-                        mConfiguration.snapshot().upstreams(), request.after(), limit.get());
-        reply.read(aged(request, new UpstreamList(page.views(this::view), page.next())));
+        ConfigPage<UpstreamSpec> page =
+                ConfigPage.of(mConfiguration.snapshot().upstreams(), request.after(), limit.get());
+        reply.sendWithAge(aged(request, new UpstreamList(page.views(this::view), page.next())));
     }
 
     private void show(AdminRequest request, AdminReply reply) {
-        Either<Failure, UpstreamSpec> spec = existing(request);
-        reply.read(spec.map(s -> aged(request, view(s))));
+        Either<Failure, UpstreamSpec> spec = findUpstream(request);
+        reply.sendWithAge(spec.map(s -> aged(request, view(s))));
     }
 
     private void put(AdminRequest request, AdminReply reply) {
         Either<Failure, UpstreamSpec> spec =
                 request.body(UpstreamSpec.class)
-                        .flatMap(s -> sameName(request.variable(0), s))
-                        .flatMap(s -> AdminChecks.unless(AdminChecks.upstream(s), s))
-                        .flatMap(this::addressIsFree);
+                        .flatMap(s -> requireMatchingId(request.variable(0), s))
+                        .flatMap(s -> AdminChecks.validOrFailure(AdminChecks.upstream(s), s))
+                        .flatMap(this::requireFreeAddress);
         Either<Failure, OptionalLong> expected = request.expectedRevision();
         if (spec.isLeft() || expected.isLeft()) {
-            reply.fail(spec.isLeft() ? spec.getLeft() : expected.getLeft());
+            reply.sendFailure(spec.isLeft() ? spec.getLeft() : expected.getLeft());
             return;
         }
         mChanges.propose(
                 request,
                 new ConfigChange.PutUpstream(spec.get()),
                 expected.get(),
-                (atMs, result) -> reply.done(result));
+                (atMs, result) -> reply.sendResult(result));
     }
 
     private void delete(AdminRequest request, AdminReply reply) {
         Either<Failure, OptionalLong> expected = request.expectedRevision();
         if (expected.isLeft()) {
-            reply.fail(expected.getLeft());
+            reply.sendFailure(expected.getLeft());
             return;
         }
         UpstreamId id = new UpstreamId(request.variable(0));
@@ -87,32 +86,32 @@
                 ObjectKey.upstream(id),
                 expected.get(),
                 () -> Either.right(new ConfigChange.DeleteUpstream(id)),
-                (atMs, result) -> reply.done(result));
+                (atMs, result) -> reply.sendResult(result));
     }
 
     private void drain(AdminRequest request, AdminReply reply) {
         Either<Failure, OptionalLong> expected = request.expectedRevision();
         if (expected.isLeft()) {
-            reply.fail(expected.getLeft());
+            reply.sendFailure(expected.getLeft());
             return;
         }
         mChanges.modify(
                 request,
                 ObjectKey.upstream(new UpstreamId(request.variable(0))),
                 expected.get(),
-                () -> existing(request).map(s -> new ConfigChange.PutUpstream(s.drained())),
-                (atMs, result) -> reply.done(result));
+                () -> findUpstream(request).map(s -> new ConfigChange.PutUpstream(s.drained())),
+                (atMs, result) -> reply.sendResult(result));
     }
 
-    private Either<Failure, UpstreamSpec> existing(AdminRequest request) {
+    private Either<Failure, UpstreamSpec> findUpstream(AdminRequest request) {
         String name = request.variable(0);
         UpstreamSpec spec = mConfiguration.snapshot().upstreams().get(new UpstreamId(name));
         return spec == null
-                ? Either.left(ConfigChanges.unknown(ObjectKey.upstream(new UpstreamId(name))))
+                ? Either.left(ConfigChanges.notFound(ObjectKey.upstream(new UpstreamId(name))))
                 : Either.right(spec);
     }
 
-    private Either<Failure, UpstreamSpec> addressIsFree(UpstreamSpec spec) {
+    private Either<Failure, UpstreamSpec> requireFreeAddress(UpstreamSpec spec) {
         Optional<UpstreamSpec> other =
                 mConfiguration.snapshot().upstreams().values().stream()
                         .filter(u -> !u.id().equals(spec.id()))
@@ -139,7 +138,7 @@
         return new Aged<>(value, mConfiguration.ageMs(request.nowMs()));
     }
 
-    private static Either<Failure, UpstreamSpec> sameName(String name, UpstreamSpec spec) {
+    private static Either<Failure, UpstreamSpec> requireMatchingId(String name, UpstreamSpec spec) {
         return name.equals(spec.id().value())
                 ? Either.right(spec)
                 : Either.left(
--- a/router/src/main/java/org/hornbeampass/router/daemon/OperatorSide.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/OperatorSide.java
@@ -4,14 +4,14 @@
 import org.hornbeampass.coordination.requests.LedgerSettings;
 import org.hornbeampass.router.admin.AdminHandler;
 import org.hornbeampass.router.admin.AdminPorts;
+import org.hornbeampass.router.admin.BurnRateRecorder;
 import org.hornbeampass.router.admin.DrainControl;
 import org.hornbeampass.router.admin.LedgerAccounts;
 import org.hornbeampass.router.admin.LedgerAudit;
 import org.hornbeampass.router.admin.MemberFleet;
 import org.hornbeampass.router.admin.OperatorKeys;
 import org.hornbeampass.router.admin.RecordedBilling;
-import org.hornbeampass.router.admin.RouterBurn;
-import org.hornbeampass.router.admin.RouterDrains;
+import org.hornbeampass.router.admin.RouterDrainer;
 import org.hornbeampass.router.admin.StoredConfiguration;
 import org.hornbeampass.router.serve.RouterMetrics;
 
@@ -36,11 +36,12 @@
             RouterMetrics metrics,
             long nowMs,
             DrainControl control) {
-        RouterDrains drains = new RouterDrains(parts.membership(), network.peerNetwork(), control);
+        RouterDrainer drains =
+                new RouterDrainer(parts.membership(), network.peerNetwork(), control);
         network.peers().on(DrainOrder.class, drains::onDrainOrder);
         StoredConfiguration configuration = new StoredConfiguration(parts.config(), SILENT_MS);
-        RouterBurn burn =
-                new RouterBurn(
+        BurnRateRecorder burn =
+                new BurnRateRecorder(
                         nowMs,
                         parts.membership().view().self().vm(),
                         configuration,
--- a/router/src/test/java/org/hornbeampass/router/admin/AdminMoneyTest.java
+++ b/router/src/test/java/org/hornbeampass/router/admin/AdminBudgetTest.java
@@ -17,7 +17,7 @@
 import java.util.Map;
 
 /** Tests {@link AdminHandler} on budgets, bills, statements, audits and drains. */
-class AdminMoneyTest {
+class AdminBudgetTest {
     private static final String KEY = "operator-key-of-the-test";
     private static final String BUDGETS = "/admin/v1/organisations/flight/budgets";
 
@@ -38,7 +38,7 @@
                                 new SloView(
                                         new VmId("vm-1", 7), nowMs, BurnReport.merged(List.of())));
         OperatorKeys keys =
-                new OperatorKeys(List.of(new OperatorKey("olga", KeyMaker.hash(KEY))), Map::of);
+                new OperatorKeys(List.of(new OperatorKey("olga", KeyGenerator.hash(KEY))), Map::of);
         mHandler = new AdminHandler(ports, keys, new SecureRandom());
         send("PUT", "/admin/v1/templates/desk", "{}");
         for (String name : List.of("flight", "mould")) {
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void topUp_withBadFields_namesThem() {
+    void topUp_withInvalidFields_reportsEachField() {
         assertThat(send("POST", BUDGETS + "/main/top-up", "{\"id\":\"\",\"tokens\":0}").answer())
                 .contains("field_invalid")
                 .contains("id \\\"\\\" must start")
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void paid_isSetOnlyWhereNoTopUpCameBetween() {
+    void paid_isSetOnlyIfNoTopUpCameBetween() {
         String top = BUDGETS + "/main/top-up";
         send("POST", top, "{\"id\":\"a\",\"tokens\":50}");
         send("POST", top, "{\"id\":\"b\",\"tokens\":7}");
@@ -117,7 +117,7 @@
     }
 
     @Test
-    void outage_answersWithTheLastReadAndItsAge_butDeletesNothing() {
+    void outage_returnsTheLastReadWithItsAge_andRejectsDeletion() {
         send("POST", BUDGETS + "/main/top-up", "{\"id\":\"a\",\"tokens\":50}");
         assertThat(send("GET", BUDGETS, "").answerHeaders()).containsEntry("Age", "0");
         mAccounts.outage();
@@ -133,7 +133,7 @@
     }
 
     @Test
-    void bills_areTheOrganisationsOwn() {
+    void bills_containOnlyThoseOfTheOrganisation() {
         mBilling.add(bill("flight", "r1", 10, 4));
         mBilling.add(bill("mould", "r2", 30, 6));
 
@@ -148,7 +148,7 @@
     }
 
     @Test
-    void statement_setsBillsBesideTheAccount() {
+    void statement_combinesAccountAndBills() {
         mBilling.add(bill("flight", "r1", 10, 4));
         mBilling.add(bill("flight", "r2", 20, 6));
         send("POST", BUDGETS + "/main/top-up", "{\"id\":\"a\",\"tokens\":500}");
@@ -165,7 +165,7 @@
     }
 
     @Test
-    void auditRoutersAndRevision_areRead() {
+    void auditSloRoutersAndRevision_areReadable() {
         assertThat(send("GET", "/admin/v1/audit", "").answer()).contains("\"breaches\":[]");
         assertThat(send("GET", "/admin/v1/slo", "").answer()).contains("\"scopes\":[]");
         assertThat(send("GET", "/admin/v1/routers", "").answer()).contains("vm-1~7");
--- a/router/src/test/java/org/hornbeampass/router/admin/AdminHandlerTest.java
+++ b/router/src/test/java/org/hornbeampass/router/admin/AdminHandlerTest.java
@@ -44,28 +44,28 @@
                                         new VmId("vm-1", 7), nowMs, BurnReport.merged(List.of())));
         OperatorKeys keys =
                 new OperatorKeys(
-                        List.of(new OperatorKey("olga", KeyMaker.hash(KEY))),
+                        List.of(new OperatorKey("olga", KeyGenerator.hash(KEY))),
                         () -> mConfiguration.snapshot().operatorKeys());
         mHandler = new AdminHandler(ports, keys, new SecureRandom());
     }
 
     @Test
-    void noKeyOrWrongKey_isRefusedOnEveryPath() {
+    void noKeyOrWrongKey_isRejectedOnEveryPath() {
         for (String path : List.of(DESK, "/admin/v1/nothing")) {
             FakeExchange none = new FakeExchange("GET", path, "");
             mHandler.handle(0, none);
-            assertRefused(none, ErrorKind.KEY_MISSING_OR_UNKNOWN, "operator's key");
+            assertRejected(none, ErrorKind.KEY_MISSING_OR_UNKNOWN, "operator's key");
 
             FakeExchange wrong =
                     new FakeExchange("GET", path, "").with("Authorization", "Bearer " + KEY + "x");
             mHandler.handle(0, wrong);
-            assertRefused(wrong, ErrorKind.KEY_MISSING_OR_UNKNOWN, "operator's key");
+            assertRejected(wrong, ErrorKind.KEY_MISSING_OR_UNKNOWN, "operator's key");
             assertThat(wrong.answer()).doesNotContain(KEY);
         }
     }
 
     @Test
-    void callersKey_isNoOperatorsKey() {
+    void callersKey_isNotAcceptedAsOperatorsKey() {
         createTemplate();
         KeyCreated created = created(createOrganisation());
 
@@ -74,14 +74,14 @@
                         .with("Authorization", "Bearer " + created.key());
         mHandler.handle(0, exchange);
 
-        assertRefused(exchange, ErrorKind.KEY_MISSING_OR_UNKNOWN, "callers' keys");
+        assertRejected(exchange, ErrorKind.KEY_MISSING_OR_UNKNOWN, "callers' keys");
     }
 
     @Test
     void operatorsKeyInTheConfiguration_isAccepted() {
         mConfiguration.propose(
                 0,
-                new ConfigChange.PutOperatorKey("pia", KeyMaker.hash("pias-key")),
+                new ConfigChange.PutOperatorKey("pia", KeyGenerator.hash("pias-key")),
                 OptionalLong.empty(),
                 (atMs, result) -> {});
 
@@ -94,83 +94,86 @@
     }
 
     @Test
-    void unknownPathAndMethod_nameWhatIsPossible() {
-        assertRefused(send("GET", "/admin/v1/organizations", ""), ErrorKind.NOT_FOUND, "docs/CLI");
-        assertRefused(send("PATCH", DESK, "{}"), ErrorKind.METHOD_NOT_ALLOWED, "DELETE or GET");
-        assertRefused(send("GET", "/admin/v1/" + "x".repeat(5000), ""), ErrorKind.NOT_FOUND, "...");
+    void unknownPathAndMethod_areRejectedWithAHint() {
+        assertRejected(send("GET", "/admin/v1/organizations", ""), ErrorKind.NOT_FOUND, "docs/CLI");
+        assertRejected(send("PATCH", DESK, "{}"), ErrorKind.METHOD_NOT_ALLOWED, "DELETE or GET");
+        assertRejected(
+                send("GET", "/admin/v1/" + "x".repeat(5000), ""), ErrorKind.NOT_FOUND, "...");
     }
 
     @Test
-    void malformedAndOversizedBodies_areNamed() {
-        assertRefused(send("PUT", DESK, "{\"models\":"), ErrorKind.MALFORMED_REQUEST, "line 1");
-        assertRefused(send("PUT", DESK, ""), ErrorKind.MALFORMED_REQUEST, "empty");
-        assertRefused(
+    void malformedAndOversizedBodies_areRejectedWithTheCause() {
+        assertRejected(send("PUT", DESK, "{\"models\":"), ErrorKind.MALFORMED_REQUEST, "line 1");
+        assertRejected(send("PUT", DESK, ""), ErrorKind.MALFORMED_REQUEST, "empty");
+        assertRejected(
                 send("PUT", DESK, " ".repeat(AdminPaths.MAX_BODY_BYTES + 1)),
                 ErrorKind.REQUEST_TOO_LARGE,
                 "262144");
-        assertRefused(send("PUT", DESK, "{\"maxTokens\":1}"), ErrorKind.FIELD_INVALID, "maxTokens");
+        assertRejected(
+                send("PUT", DESK, "{\"maxTokens\":1}"), ErrorKind.FIELD_INVALID, "maxTokens");
     }
 
     @Test
-    void badParameters_areNamedAllAtOnce() {
+    void invalidParameters_areAllReportedTogether() {
         FakeExchange exchange = send("PUT", DESK, "{\"priority\":11,\"maxConcurrent\":0}");
 
-        assertRefused(exchange, ErrorKind.FIELD_INVALID, "priority must be from 0 to 9, not 11");
+        assertRejected(exchange, ErrorKind.FIELD_INVALID, "priority must be from 0 to 9, not 11");
         assertThat(exchange.answer()).contains("maxConcurrent must be from 1");
         assertThat(mConfiguration.snapshot().revision()).isZero();
     }
 
     @Test
-    void badNames_areRefused() {
-        assertRefused(
+    void invalidNames_areRejected() {
+        assertRejected(
                 send("PUT", "/admin/v1/templates/a%20b", "{}"), ErrorKind.FIELD_INVALID, "a b");
-        assertRefused(send("PUT", "/admin/v1/templates/%20", "{}"), ErrorKind.NOT_FOUND, "nothing");
+        assertRejected(
+                send("PUT", "/admin/v1/templates/%20", "{}"), ErrorKind.NOT_FOUND, "nothing");
     }
 
     @Test
     void templateOfUnknownName_isNotFound() {
-        assertRefused(send("GET", DESK, ""), ErrorKind.NOT_FOUND, "no template desk");
-        assertRefused(send("DELETE", DESK, ""), ErrorKind.NOT_FOUND, "no template desk");
+        assertRejected(send("GET", DESK, ""), ErrorKind.NOT_FOUND, "no template desk");
+        assertRejected(send("DELETE", DESK, ""), ErrorKind.NOT_FOUND, "no template desk");
     }
 
     @Test
-    void createTwice_saysAlreadyExists() {
+    void createTwice_failsWithAlreadyExists() {
         createTemplate();
 
         FakeExchange again = new FakeExchange("PUT", DESK, "{}").with("If-None-Match", "*");
 
-        assertRefused(send(again), ErrorKind.ALREADY_EXISTS, "at revision 1");
+        assertRejected(send(again), ErrorKind.ALREADY_EXISTS, "at revision 1");
     }
 
     @Test
-    void staleIfMatch_isAConflictThatNamesTheWinner() {
+    void staleIfMatch_isAConflictWithTheCurrentRevision() {
         createTemplate();
         assertThat(send("PUT", DESK, "{\"priority\":2}").status()).isEqualTo(200);
 
         FakeExchange late = new FakeExchange("PUT", DESK, "{\"priority\":3}").with("If-Match", "1");
 
-        assertRefused(send(late), ErrorKind.REVISION_CONFLICT, "is at revision 2");
+        assertRejected(send(late), ErrorKind.REVISION_CONFLICT, "is at revision 2");
         assertThat(template().parameters().priority()).contains(2);
     }
 
     @Test
-    void raceLostAtThePlatform_isAConflict() {
+    void concurrentChangeAtThePlatform_isAConflict() {
         createTemplate();
         mConfiguration.beforeNextProposal(() -> send("PUT", DESK, "{\"priority\":2}"));
 
         FakeExchange late = new FakeExchange("PUT", DESK, "{\"priority\":3}").with("If-Match", "1");
 
-        assertRefused(send(late), ErrorKind.REVISION_CONFLICT, "template/desk");
+        assertRejected(send(late), ErrorKind.REVISION_CONFLICT, "template/desk");
         assertThat(template().parameters().priority()).contains(2);
     }
 
     @Test
-    void creationThatLosesARace_saysAlreadyExists() {
+    void concurrentCreation_failsWithAlreadyExists() {
         mConfiguration.beforeNextProposal(() -> send("PUT", DESK, "{\"priority\":2}"));
 
         FakeExchange late = new FakeExchange("PUT", DESK, "{}").with("If-None-Match", "*");
 
-        assertRefused(send(late), ErrorKind.ALREADY_EXISTS, "template/desk");
+        assertRejected(send(late), ErrorKind.ALREADY_EXISTS, "template/desk");
     }
 
     @Test
@@ -179,24 +182,24 @@
 
         FakeExchange ahead = new FakeExchange("PUT", DESK, "{}").with("If-Match", "5");
 
-        assertRefused(send(ahead), ErrorKind.NOT_READY, "runs revision 1");
+        assertRejected(send(ahead), ErrorKind.NOT_READY, "runs revision 1");
     }
 
     @Test
-    void ifMatchThatIsNoNumber_isRefused() {
+    void nonNumericIfMatch_isRejected() {
         FakeExchange exchange = new FakeExchange("PUT", DESK, "{}").with("If-Match", "abc");
 
-        assertRefused(send(exchange), ErrorKind.FIELD_INVALID, "If-Match");
+        assertRejected(send(exchange), ErrorKind.FIELD_INVALID, "If-Match");
     }
 
     @Test
-    void organisationOfUnknownTemplate_namesKnownOnes() {
+    void organisationWithUnknownTemplate_isRejectedWithTheKnownOnes() {
         createTemplate();
 
         FakeExchange exchange =
                 send("POST", ORGANISATION, "{\"template\":\"dusk\",\"budgets\":[\"main\"]}");
 
-        assertRefused(exchange, ErrorKind.FIELD_INVALID, "known are: desk");
+        assertRejected(exchange, ErrorKind.FIELD_INVALID, "known are: desk");
     }
 
     @Test
@@ -207,15 +210,15 @@
 
         assertThat(exchange.answerHeaders()).containsEntry("cache-control", "no-store");
         assertThat(created.key()).startsWith("hp-").hasSize(46);
-        assertThat(spec().keyHashes()).containsEntry("first", KeyMaker.hash(created.key()));
+        assertThat(spec().keyHashes()).containsEntry("first", KeyGenerator.hash(created.key()));
         assertThat(send("GET", ORGANISATION, "").answer())
                 .contains("first")
                 .doesNotContain(created.key())
-                .doesNotContain(KeyMaker.hash(created.key()));
+                .doesNotContain(KeyGenerator.hash(created.key()));
     }
 
     @Test
-    void organisationSet_keepsKeysAlsoWhenAKeyIsAddedMeanwhile() {
+    void organisationUpdate_keepsAKeyAddedConcurrently() {
         createTemplate();
         createOrganisation();
         mConfiguration.beforeNextProposal(() -> send("POST", ORGANISATION + "/keys/second", ""));
@@ -238,12 +241,12 @@
         createOrganisation();
 
         assertThat(send("POST", ORGANISATION + "/keys/second", "").status()).isEqualTo(201);
-        assertRefused(
+        assertRejected(
                 send("POST", ORGANISATION + "/keys/second", ""),
                 ErrorKind.ALREADY_EXISTS,
                 "second");
         assertThat(send("DELETE", ORGANISATION + "/keys/first", "").status()).isEqualTo(200);
-        assertRefused(
+        assertRejected(
                 send("DELETE", ORGANISATION + "/keys/first", ""), ErrorKind.NOT_FOUND, "no key");
         assertThat(spec().keyHashes()).containsOnlyKeys("second");
     }
@@ -253,7 +256,7 @@
         createTemplate();
         createOrganisation();
 
-        assertRefused(send("DELETE", DESK, ""), ErrorKind.FIELD_INVALID, "is used by flight");
+        assertRejected(send("DELETE", DESK, ""), ErrorKind.FIELD_INVALID, "is used by flight");
     }
 
     @Test
@@ -275,19 +278,19 @@
     }
 
     @Test
-    void upstreamWithFaults_isRefused() {
+    void invalidUpstream_isRejected() {
         String path = "/admin/v1/upstreams/u1";
         String rest = "\"domain\":\"a\",\"region\":\"r\",\"maxConcurrent\":8}";
 
-        assertRefused(
+        assertRejected(
                 send("PUT", path, "{\"id\":\"u1\",\"baseUri\":\"ftp://x\",\"model\":\"m\"," + rest),
                 ErrorKind.FIELD_INVALID,
                 "baseUri");
-        assertRefused(
+        assertRejected(
                 send("PUT", path, "{\"id\":\"u1\",\"baseUri\":\"http://h:1\"," + rest),
                 ErrorKind.FIELD_INVALID,
                 "exactly one of model and service");
-        assertRefused(
+        assertRejected(
                 send(
                         "PUT",
                         path,
@@ -297,20 +300,20 @@
     }
 
     @Test
-    void upstreamAtAnAddressInUse_isRefused() {
+    void upstreamAtAnAddressInUse_isRejected() {
         String rest =
                 "\"baseUri\":\"http://127.0.0.1:9\",\"model\":\"m\",\"domain\":\"a\",\"region\":\"r\",\"maxConcurrent\":8}";
         assertThat(send("PUT", "/admin/v1/upstreams/u1", "{\"id\":\"u1\"," + rest).status())
                 .isEqualTo(200);
 
-        assertRefused(
+        assertRejected(
                 send("PUT", "/admin/v1/upstreams/u2", "{\"id\":\"u2\"," + rest),
                 ErrorKind.FIELD_INVALID,
                 "is upstream u1's already");
     }
 
     @Test
-    void upstreamDrain_isAChangeThatLasts() {
+    void upstreamDrain_isStoredInTheConfiguration() {
         String path = "/admin/v1/upstreams/u1";
         send(
                 "PUT",
@@ -321,7 +324,7 @@
         assertThat(send("GET", path, "").answer()).contains("\"draining\":false");
         assertThat(send("POST", path + "/drain", "").answer()).contains("\"revision\":2");
         assertThat(send("GET", path, "").answer()).contains("\"draining\":true");
-        assertRefused(send("POST", "/admin/v1/upstreams/u9/drain", ""), ErrorKind.NOT_FOUND, "u9");
+        assertRejected(send("POST", "/admin/v1/upstreams/u9/drain", ""), ErrorKind.NOT_FOUND, "u9");
     }
 
     @Test
@@ -336,19 +339,19 @@
         assertThat(first.items()).extracting("name").containsExactly("a", "b");
         assertThat(second.items()).extracting("name").containsExactly("c");
         assertThat(second.next()).isEmpty();
-        assertRefused(
+        assertRejected(
                 send("GET", "/admin/v1/templates?limit=0", ""), ErrorKind.FIELD_INVALID, "limit");
-        assertRefused(
+        assertRejected(
                 send("GET", "/admin/v1/templates?limit=x", ""), ErrorKind.FIELD_INVALID, "limit");
     }
 
     @Test
-    void outage_readsSayTheirAge_changesAreRefused() {
+    void outage_readsCarryTheirAge_changesAreRejected() {
         createTemplate();
         mConfiguration.outage(65_432);
 
         assertThat(send("GET", DESK, "").answerHeaders()).containsEntry("Age", "65");
-        assertRefused(send("PUT", DESK, "{}"), ErrorKind.PLATFORM_UNAVAILABLE, "down");
+        assertRejected(send("PUT", DESK, "{}"), ErrorKind.PLATFORM_UNAVAILABLE, "down");
     }
 
     private void createTemplate() {
@@ -391,7 +394,7 @@
         return exchange;
     }
 
-    private static void assertRefused(FakeExchange exchange, ErrorKind kind, String part) {
+    private static void assertRejected(FakeExchange exchange, ErrorKind kind, String part) {
         assertThat(exchange.answer()).contains("\"" + kind.code() + "\"").contains(part);
         assertThat(exchange.status()).isEqualTo(kind.httpStatus());
     }
