--- a/router/src/main/java/org/hornbeampass/router/admin/AccountPort.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/AccountPort.java
@@ -12,18 +12,26 @@
 import java.util.function.BiConsumer;
 
 /**
- * What the operators' API needs of the budgets' accounts.
+ * Reads and changes the accounts of budgets for the operators' API.
  *
  * <p>Implementations are thread-safe and never block.
  */
 public interface AccountPort {
-    /** Reads the accounts of an organisation that something was ever paid into. */
+    /** Reads those accounts of an organisation into which tokens were ever paid. */
     void accounts(
             long nowMs,
             OrganisationId organisation,
             BiConsumer<Long, Either<Failure, List<BudgetView>>> done);
 
-    /** Adds tokens to what is paid, once for each id; done takes the account afterwards. */
+    /**
+     * Adds tokens to the paid amount of a budget, once for each id.
+     *
+     * @param nowMs the present time in milliseconds
+     * @param key the budget
+     * @param id the idempotency key of the top-up
+     * @param tokens how many tokens to add
+     * @param done receives the account after the change
+     */
     void topUp(
             long nowMs,
             BudgetKey key,
@@ -32,13 +40,15 @@
             BiConsumer<Long, Either<Failure, BudgetView>> done);
 
     /**
-     * Sets what is paid; below what is spent or held it is lowered as VMs give back.
+     * Sets the paid amount of a budget. A target below what is spent or held is reached step by
+     * step, as VMs give tokens back.
      *
      * @param nowMs the present time in milliseconds
      * @param key the budget
-     * @param paid what is to be paid
-     * @param expectedPaid what must be paid now; empty for any
-     * @param done takes the account afterwards, or {@code REVISION_CONFLICT}
+     * @param paid the new paid amount in tokens
+     * @param expectedPaid the paid amount that the account must have before the change; empty for
+     *     any
+     * @param done receives the account after the change, or {@code REVISION_CONFLICT}
      */
     void setPaid(
             long nowMs,
--- a/router/src/main/java/org/hornbeampass/router/admin/AccountReader.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/AccountReader.java
@@ -16,11 +16,11 @@
 import java.util.function.BiConsumer;
 
 /**
- * Reads the accounts of all budgets of an organisation; while the platform is unavailable, what was
- * last read, with its age.
+ * Reads the accounts of all budgets of an organisation. While the platform is unavailable, returns
+ * the accounts that were last read, with their age.
  *
- * <p>Thread-safe; callbacks run with no lock held. What is kept is bounded by {@link
- * LastReadCache}.
+ * <p>Thread-safe; callbacks run with no lock held. The number of stored results is bounded by
+ * {@link LastReadCache}.
  */
 final class AccountReader {
     private final ConfigurationPort mConfiguration;
@@ -42,7 +42,7 @@
                 : Either.right(spec);
     }
 
-    /** Reads all accounts of an organisation, those of budgets without any payment included. */
+    /** Reads the accounts of all budgets of an organisation, including budgets never paid into. */
     void readAll(
             long nowMs,
             OrganisationId id,
--- a/router/src/main/java/org/hornbeampass/router/admin/AdminChecks.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/AdminChecks.java
@@ -16,7 +16,7 @@
 import java.util.regex.Pattern;
 
 /**
- * Decides whether what an operator sends is within bounds, and names every fault at once.
+ * Validates operators' input and reports all its faults together.
  *
  * <p>Stateless; safe for use by any thread.
  */
@@ -34,12 +34,14 @@
 
     private AdminChecks() {}
 
-    /** Returns a text that is short enough for a message. */
+    /** Returns the text, cut to the length that error messages show. */
     static String shortened(String text) {
         return text.length() <= MAX_SHOWN ? text : text.substring(0, MAX_SHOWN) + "...";
     }
 
-    /** Returns the fault of a name that can't stand in a path or a platform key. */
+    /**
+     * Returns the fault of a name that is not usable in a path or a platform key; empty if valid.
+     */
     static Optional<String> name(String field, String value) {
         if (value == null) {
             return Optional.of(field + " is missing: set it");
@@ -57,7 +59,7 @@
         return Optional.empty();
     }
 
-    /** Returns the fault of a model's or adapter's name, which may hold '/' and ':' besides. */
+    /** Returns the fault of a model's or adapter's name, which may also contain '/' and ':'. */
     static Optional<String> modelName(String field, String value) {
         if (value.length() > MAX_NAME || !MODEL.matcher(value).matches()) {
             return Optional.of(
@@ -72,7 +74,7 @@
         return Optional.empty();
     }
 
-    /** Returns the faults of parameters. */
+    /** Returns the faults of parameters; empty if there are none. */
     static List<String> parameters(Parameters set) {
         List<String> faults = new ArrayList<>();
         set.models().ifPresent(m -> names(faults, "models", m));
@@ -87,7 +89,7 @@
         return faults;
     }
 
-    /** Returns the faults of an upstream. */
+    /** Returns the faults of an upstream; empty if there are none. */
     static List<String> upstream(UpstreamSpec spec) {
         List<String> faults = new ArrayList<>();
         name("id", spec.id().value()).ifPresent(faults::add);
@@ -100,7 +102,7 @@
         return faults;
     }
 
-    /** Checks that a collection of models, adapters or services is within bounds. */
+    /** Adds the faults of a collection of models, adapters or services, by its size and names. */
     static void names(List<String> faults, String field, Collection<?> values) {
         size(faults, field, values);
         for (Object value : values) {
@@ -108,14 +110,14 @@
         }
     }
 
-    /** Checks that a number is within bounds. */
+    /** Adds a fault if a number is outside its bounds, which are inclusive. */
     static void range(List<String> faults, String field, long value, long least, long most) {
         if (value < least || value > most) {
             faults.add(field + " must be from " + least + " to " + most + ", not " + value);
         }
     }
 
-    /** Returns a value, or all its faults in one failure. */
+    /** Returns the value if it has no faults; otherwise one failure that lists them all. */
     static <T> Either<Failure, T> validOrFailure(List<String> faults, T value) {
         return faults.isEmpty()
                 ? Either.right(value)
--- a/router/src/main/java/org/hornbeampass/router/admin/AdminEndpoint.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/AdminEndpoint.java
@@ -3,7 +3,7 @@
 /**
  * Handles the requests to one method and path.
  *
- * <p>Never blocks; replies once, now or later. Thread-safe.
+ * <p>Never blocks. Replies exactly once, during the call or later. Thread-safe.
  */
 @FunctionalInterface
 interface AdminEndpoint {
--- a/router/src/main/java/org/hornbeampass/router/admin/AdminHandler.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/AdminHandler.java
@@ -14,10 +14,11 @@
 import java.util.TreeSet;
 
 /**
- * Handles the operators' requests: checks the key, bounds the body, and finds the endpoint.
+ * Handles the operators' requests: checks the key, limits the body's size and selects the endpoint.
  *
- * <p>Invariants: without an operator's key nothing is told, not even which paths exist; callers'
- * keys are not operators' keys. Thread-safe: endpoints hold no state of their own.
+ * <p>Invariants: a request without an operator's key learns nothing, not even which paths exist;
+ * callers' keys are not accepted as operators' keys. Thread-safe: endpoints hold no state of their
+ * own.
  */
 public final class AdminHandler implements HttpHandler {
     private static final int MAX_PATH = 1024;
@@ -26,11 +27,11 @@
     private final List<AdminRoute> mRoutes;
 
     /**
-     * Makes the handler.
+     * Creates the handler.
      *
-     * @param ports the parts of the router that it stands on
+     * @param ports the parts of the router that the endpoints use
      * @param keys the operators' keys
-     * @param random where callers' new keys come from
+     * @param random the source of random bits for callers' new keys
      */
     public AdminHandler(AdminPorts ports, OperatorKeys keys, SecureRandom random) {
         mKeys = keys;
@@ -97,7 +98,7 @@
     private static Failure methodNotAllowed(String method, Set<String> methods) {
         return Failure.of(
                 ErrorKind.METHOD_NOT_ALLOWED,
-                method + " is not possible here; use " + String.join(" or ", methods));
+                method + " is not allowed on this path; use " + String.join(" or ", methods));
     }
 
     private static List<AdminRoute> routes(AdminPorts ports, KeyGenerator keyGenerator) {
--- a/router/src/main/java/org/hornbeampass/router/admin/AdminPorts.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/AdminPorts.java
@@ -1,15 +1,15 @@
 package org.hornbeampass.router.admin;
 
 /**
- * The parts of a router that the operators' API stands on.
+ * The parts of a router that the operators' API uses.
  *
  * <p>Immutable; safe for use by any thread.
  *
  * @param configuration templates, organisations and upstreams
  * @param accounts the budgets' accounts
  * @param billing bills, usage and the audit
- * @param fleet the routers at run time
- * @param burn service-level objectives
+ * @param fleet the routers that run at present
+ * @param burn burn rates of the service-level objectives
  */
 public record AdminPorts(
         ConfigurationPort configuration,
--- a/router/src/main/java/org/hornbeampass/router/admin/AdminReply.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/AdminReply.java
@@ -11,9 +11,9 @@
 import java.util.Map;
 
 /**
- * Answers one request to the operators' API.
+ * Sends the response to one request to the operators' API.
  *
- * <p>Invariant: exactly one of its methods is called, once. Thread-safe as its exchange is.
+ * <p>Invariant: exactly one of its methods is called, once. As thread-safe as its exchange.
  */
 final class AdminReply {
     private static final int OK = 200;
@@ -28,13 +28,13 @@
         mExchange = exchange;
     }
 
-    /** Answers with something read, and says how old it is. */
+    /** Sends a value that was read, with its age in whole seconds in the {@code Age} header. */
     void sendWithAge(Aged<?> value) {
         long seconds = Math.max(0, value.ageMs()) / MS_PER_SECOND;
         send(OK, Map.of(CONTENT_TYPE, JSON, AdminPaths.AGE, Long.toString(seconds)), value.value());
     }
 
-    /** Answers with something read, or a failure. */
+    /** Sends a value that was read with its age, or a failure. */
     void sendWithAge(Either<Failure, ? extends Aged<?>> result) {
         if (result.isLeft()) {
             sendFailure(result.getLeft());
@@ -43,7 +43,7 @@
         sendWithAge(result.get());
     }
 
-    /** Answers with what a change gave, or a failure. */
+    /** Sends the result of a change, or a failure. */
     void sendResult(Either<Failure, ?> result) {
         if (result.isLeft()) {
             sendFailure(result.getLeft());
@@ -52,12 +52,12 @@
         send(OK, Map.of(CONTENT_TYPE, JSON), result.get());
     }
 
-    /** Answers with what a creation gave; never cached, since it may show a key. */
+    /** Sends the result of a creation; marked as not cacheable, since it may contain a key. */
     void sendCreated(Object value) {
         send(CREATED, Map.of(CONTENT_TYPE, JSON, "cache-control", "no-store"), value);
     }
 
-    /** Answers with a failure. */
+    /** Sends a failure. */
     void sendFailure(Failure failure) {
         ErrorAnswer answer = ErrorAnswer.of(failure);
         mExchange.respond(answer.status(), answer.headers(), answer.body());
--- a/router/src/main/java/org/hornbeampass/router/admin/AdminRequest.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/AdminRequest.java
@@ -13,31 +13,31 @@
 import java.util.OptionalLong;
 
 /**
- * One request to the operators' API, whose key has been checked.
+ * A request to the operators' API whose key has been checked.
  *
  * <p>Immutable; safe for use by any thread.
  *
  * @param nowMs when it arrived, in milliseconds
  * @param exchange the request
- * @param operator whose key it carries
- * @param variables the path's variable segments in their order
+ * @param operator the name of the operator whose key it carries
+ * @param variables the path's variable segments in the order of the path
  */
 record AdminRequest(long nowMs, HttpExchange exchange, String operator, List<String> variables) {
     private static final String ANY = "*";
 
-    /** Returns a variable segment of the path. */
+    /** Returns the variable segment of the path at an index, counted from 0. */
     String variable(int index) {
         return variables.get(index);
     }
 
-    /** Reads the body strictly. */
+    /** Parses the body strictly: an unknown field is a failure. */
     <T> Either<Failure, T> body(Class<T> type) {
         return AdminJson.readRequest(exchange.body(), type);
     }
 
     /**
-     * Returns the revision that the change expects: from {@code If-Match}, or 0 for {@code
-     * If-None-Match: *}; empty where neither is given.
+     * Returns the revision that the object must have for the change: from {@code If-Match}, or 0
+     * for {@code If-None-Match: *}; empty where neither is given.
      */
     Either<Failure, OptionalLong> expectedRevision() {
         Optional<String> none = exchange.header("If-None-Match");
@@ -56,7 +56,7 @@
                 : invalid("If-Match", match.get(), "give the revision that a read returned");
     }
 
-    /** Returns how many items a page may have. */
+    /** Returns the maximum number of items on the page, from the query or the default. */
     Either<Failure, Integer> limit() {
         Optional<String> text = exchange.query("limit");
         if (text.isEmpty()) {
@@ -69,7 +69,7 @@
         return Either.right((int) limit.getAsLong());
     }
 
-    /** Returns where the page starts. */
+    /** Returns the name after which the page starts; empty for the first page. */
     Optional<String> after() {
         return exchange.query("after").filter(a -> !a.isEmpty());
     }
--- a/router/src/main/java/org/hornbeampass/router/admin/AdminRoute.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/AdminRoute.java
@@ -5,18 +5,18 @@
 import java.util.Optional;
 
 /**
- * One method and path with its endpoint.
+ * An HTTP method and a path pattern with the endpoint that handles them.
  *
  * <p>Immutable; safe for use by any thread.
  *
  * @param method the HTTP method in upper case
  * @param pattern the path, in which {@code *} stands for one variable segment
- * @param endpoint what handles it
+ * @param endpoint handles the requests that match
  */
 record AdminRoute(String method, String pattern, AdminEndpoint endpoint) {
     private static final String VARIABLE = "*";
 
-    /** Returns the variable segments of a path that fits the pattern. */
+    /** Returns the variable segments of a path that matches the pattern; empty if it does not. */
     Optional<List<String>> match(String path) {
         String[] expected = pattern.split("/", -1);
         String[] given = path.split("/", -1);
--- a/router/src/main/java/org/hornbeampass/router/admin/Aged.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/Aged.java
@@ -5,8 +5,8 @@
  *
  * <p>Immutable; safe for use by any thread.
  *
- * @param value what was read
- * @param ageMs how long ago it was true, in milliseconds
+ * @param value the value as it was read
+ * @param ageMs how long ago the value was last known to be current, in milliseconds
  * @param <T> the type of the value
  */
 public record Aged<T>(T value, long ageMs) {
--- a/router/src/main/java/org/hornbeampass/router/admin/BillingPort.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/BillingPort.java
@@ -12,19 +12,19 @@
 import java.util.function.BiConsumer;
 
 /**
- * What the operators' API needs of the bills that the platform stores.
+ * Reads the bills that the platform stores for the operators' API.
  *
  * <p>Implementations are thread-safe and never block.
  */
 public interface BillingPort {
     /**
-     * Reads a page of an organisation's newest bills that stand.
+     * Reads a page of an organisation's newest bills that are in effect.
      *
      * @param nowMs the present time in milliseconds
-     * @param organisation whose bills
-     * @param after where the page starts, from the page before
+     * @param organisation the organisation that was billed
+     * @param after where the page starts, as returned with the previous page; empty for the first
      * @param limit the largest number of bills on the page
-     * @param done run once with the page
+     * @param done called once with the page
      */
     void bills(
             long nowMs,
@@ -33,12 +33,12 @@
             int limit,
             BiConsumer<Long, Either<Failure, Aged<BillList>>> done);
 
-    /** Sums what an organisation was billed, budget by budget. */
+    /** Sums the bills of an organisation for each budget. */
     void usage(
             long nowMs,
             OrganisationId organisation,
             BiConsumer<Long, Either<Failure, Aged<UsageView>>> done);
 
-    /** Checks bills and accounts against the rules that must always hold. */
+    /** Checks bills and accounts against their invariants. */
     void audit(long nowMs, BiConsumer<Long, Either<Failure, Aged<AuditView>>> done);
 }
--- a/router/src/main/java/org/hornbeampass/router/admin/BudgetEndpoints.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/BudgetEndpoints.java
@@ -30,8 +30,8 @@
 /**
  * The endpoints for budgets.
  *
- * <p>Invariant: a top-up carries an id and is applied once for it. Thread-safe: holds no state of
- * its own.
+ * <p>Invariant: a top-up carries an id and is applied at most once for each id. Thread-safe: holds
+ * no state of its own.
  */
 final class BudgetEndpoints {
     private static final Logger LOG = LogManager.getLogger(BudgetEndpoints.class);
@@ -257,7 +257,7 @@
             return Optional.of(
                     Failure.of(
                             ErrorKind.PLATFORM_UNAVAILABLE,
-                            "whether the budget is empty can't be read now; try again later"));
+                            "the budget's account can't be read at present; try again later"));
         }
         long left = account.value().available() + account.value().held();
         return left == 0
@@ -269,7 +269,7 @@
                                         + account.value().budget()
                                         + " has "
                                         + left
-                                        + " tokens that are paid and not spent; lower it first"));
+                                        + " tokens that are paid but not spent; lower it first"));
     }
 
     private static Either<Failure, TopUpBody> validate(TopUpBody body) {
@@ -298,7 +298,7 @@
                                 spec.budgets().stream().map(BudgetId::value).sorted().toList()));
     }
 
-    /** A change of an organisation. */
+    /** Computes the change of an organisation from its present configuration. */
     @FunctionalInterface
     private interface Change {
         Either<Failure, ConfigChange> of(OrganisationSpec spec);
--- a/router/src/main/java/org/hornbeampass/router/admin/BurnRatePort.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/BurnRatePort.java
@@ -3,12 +3,12 @@
 import org.hornbeampass.protocol.admin.SloView;
 
 /**
- * What the operators' API needs of the service-level objectives.
+ * Reports the burn rates of the service-level objectives for the operators' API.
  *
  * <p>Implementations are thread-safe and never block.
  */
 @FunctionalInterface
 public interface BurnRatePort {
-    /** Returns what this router counted against objectives. */
+    /** Returns the counts of this router for each objective, as of a time in milliseconds. */
     SloView burnRates(long nowMs);
 }
--- a/router/src/main/java/org/hornbeampass/router/admin/BurnRateRecorder.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/BurnRateRecorder.java
@@ -10,16 +10,17 @@
 import java.util.Optional;
 
 /**
- * Counts this router's ended requests against objectives, with the failure domains of upstreams.
+ * Counts this router's completed requests for the burn rates of objectives, and adds the failure
+ * domains of their upstreams.
  *
- * <p>Thread-safe as {@link BurnWindows} and the configuration are.
+ * <p>As thread-safe as {@link BurnWindows} and the configuration.
  */
 public final class BurnRateRecorder implements BurnRatePort {
     private final VmId mVm;
     private final ConfigurationPort mConfiguration;
     private final BurnWindows mWindows;
 
-    /** Starts counting. */
+    /** Creates a recorder that counts from {@code nowMs}, in milliseconds. */
     public BurnRateRecorder(
             long nowMs, VmId vm, ConfigurationPort configuration, Objectives objectives) {
         mVm = vm;
@@ -27,7 +28,7 @@
         mWindows = new BurnWindows(nowMs, objectives);
     }
 
-    /** Counts a request that has ended. */
+    /** Counts a completed request. */
     public void record(long nowMs, SloSample sample) {
         Optional<UpstreamSpec> upstream =
                 sample.upstream()
--- a/router/src/main/java/org/hornbeampass/router/admin/ConfigChanges.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/ConfigChanges.java
@@ -16,11 +16,11 @@
 import java.util.function.Supplier;
 
 /**
- * Proposes operators' changes, and tells the loser of a race who won.
+ * Proposes operators' changes and reports the current revision when a concurrent change came first.
  *
- * <p>Invariant: a change that the operator made conditional is proposed once; one that keeps parts
- * of what is there is proposed again, from what is there then, up to {@value #MAX_ATTEMPTS} times.
- * Thread-safe; run with no lock held.
+ * <p>Invariant: a change with an expected revision is proposed once. Without one, a change that
+ * keeps parts of the present object is computed again from the new state after a conflict, up to
+ * {@value #MAX_ATTEMPTS} attempts in all. Thread-safe; callbacks run with no lock held.
  */
 final class ConfigChanges {
     private static final Logger LOG = LogManager.getLogger(ConfigChanges.class);
@@ -32,7 +32,7 @@
         mConfiguration = configuration;
     }
 
-    /** Proposes one change as it is. */
+    /** Proposes a change once, without another attempt after a conflict. */
     void propose(
             AdminRequest request,
             ConfigChange change,
@@ -65,13 +65,14 @@
     }
 
     /**
-     * Proposes a change that is made from what is there, again where another was faster.
+     * Proposes a change that is computed from the present configuration; without an expected
+     * revision, tries again after a conflict with a concurrent change.
      *
      * @param request the operator's request
      * @param object the object, which must exist
      * @param expected the revision that the operator expects; empty for any
-     * @param change makes the change from the present configuration
-     * @param done run once
+     * @param change computes the change from the present configuration
+     * @param done called once with the result
      */
     void modify(
             AdminRequest request,
@@ -121,7 +122,7 @@
                         + describe(object)
                         + "; `hornbeamctl "
                         + kind(object)
-                        + " list` shows what there is");
+                        + " list` shows those that exist");
     }
 
     private Optional<Failure> precheck(
@@ -153,7 +154,7 @@
                         + applied
                         + " and has not yet applied "
                         + expected
-                        + ", on which the change was made; send it again in a moment, or to"
+                        + ", on which the change is based; send it again in a moment, or to"
                         + " another router");
     }
 
@@ -174,7 +175,7 @@
                         + current
                         + ", changed by another operator after revision "
                         + expected
-                        + " on which this change was made; read it again, decide, and send the"
+                        + " on which this change is based; read it again, decide, and send the"
                         + " change with If-Match: "
                         + current);
     }
--- a/router/src/main/java/org/hornbeampass/router/admin/ConfigPage.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/ConfigPage.java
@@ -7,7 +7,7 @@
 import java.util.function.Function;
 
 /**
- * One page of a map's values in the order of their names.
+ * A page of a map's values, sorted by name.
  *
  * <p>Immutable; safe for use by any thread.
  *
@@ -17,10 +17,10 @@
  */
 record ConfigPage<T>(List<T> items, Optional<String> next) {
     /**
-     * Cuts a page.
+     * Returns the page of a map that starts after a name.
      *
      * @param all all values by name
-     * @param after the name after which the page starts
+     * @param after the name after which the page starts; empty for the first page
      * @param limit the largest number of values on the page
      */
     static <K, T> ConfigPage<T> of(Map<K, T> all, Optional<String> after, int limit) {
@@ -34,7 +34,7 @@
                 last ? Optional.empty() : Optional.of(names.get(names.size() - 1)));
     }
 
-    /** Returns the page with each value as operators see it. */
+    /** Returns the page's values, each converted to its view for operators. */
     <V> List<V> views(Function<T, V> view) {
         return items.stream().map(view).toList();
     }
--- a/router/src/main/java/org/hornbeampass/router/admin/ConfigurationPort.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/ConfigurationPort.java
@@ -10,7 +10,7 @@
 import java.util.function.BiConsumer;
 
 /**
- * What the operators' API needs of the configuration.
+ * Reads and changes the configuration for the operators' API.
  *
  * <p>Implementations are thread-safe and never block.
  */
@@ -19,8 +19,8 @@
     ConfigSnapshot snapshot();
 
     /**
-     * Returns how long ago this router last knew that it runs the newest configuration, in
-     * milliseconds; 0 while it hears of changes as they are made.
+     * Returns how long ago this router last confirmed that it runs the newest configuration, in
+     * milliseconds; 0 while it receives changes as they are made.
      */
     long ageMs(long nowMs);
 
@@ -30,8 +30,8 @@
      * @param nowMs the present time in milliseconds
      * @param change the change
      * @param expectedRevision the revision that the object must have; 0 where it must not exist;
-     *     empty for the one that this router has in force
-     * @param done run once with the accepted change's revision, or why it was not accepted
+     *     empty for the revision that this router has applied
+     * @param done called once with the accepted change's revision, or why it was rejected
      */
     void propose(
             long nowMs,
--- a/router/src/main/java/org/hornbeampass/router/admin/DrainControl.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/DrainControl.java
@@ -1,12 +1,12 @@
 package org.hornbeampass.router.admin;
 
 /**
- * This router's own means to drain.
+ * Drains this router.
  *
  * <p>Implementations are thread-safe and never block.
  */
 public interface DrainControl {
-    /** Begins to drain; without effect where it has begun. */
+    /** Begins to drain; no effect if draining has already begun. */
     void begin(long nowMs);
 
     /** Returns the number of requests in progress. */
--- a/router/src/main/java/org/hornbeampass/router/admin/FleetEndpoints.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/FleetEndpoints.java
@@ -5,7 +5,7 @@
 import java.util.List;
 
 /**
- * The endpoints for routers, for where a revision is in force, and for objectives.
+ * The endpoints for routers, for the revision that each has applied, and for objectives.
  *
  * <p>Thread-safe: holds no state of its own.
  */
--- a/router/src/main/java/org/hornbeampass/router/admin/FleetPort.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/FleetPort.java
@@ -10,7 +10,7 @@
 import java.util.function.BiConsumer;
 
 /**
- * What the operators' API needs of the routers' view of each other.
+ * Reports the routers known to this one, and drains them, for the operators' API.
  *
  * <p>Implementations are thread-safe and never block.
  */
@@ -18,10 +18,10 @@
     /** Returns the routers that this router knows of. */
     RouterList routers(long nowMs);
 
-    /** Returns which revision runs where; 0 for a router that nothing was heard of. */
+    /** Returns the revision that each router has applied; 0 for a router that sent no report. */
     RevisionView revision(long nowMs);
 
-    /** Orders a router to leave the address answers, finish its requests and stop. */
+    /** Orders a router to drop out of address answers, finish its requests in flight and stop. */
     void drainRouter(
             long nowMs,
             String vmName,
--- a/router/src/main/java/org/hornbeampass/router/admin/KeyEndpoints.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/KeyEndpoints.java
@@ -20,7 +20,7 @@
 /**
  * The endpoints for callers' keys.
  *
- * <p>Invariant: a key leaves the router once, in the answer to its creation; only its hash is kept.
+ * <p>Invariant: a key is sent once, in the response to its creation, and only its hash is stored.
  * Thread-safe: holds no state of its own.
  */
 final class KeyEndpoints {
@@ -28,7 +28,8 @@
     private final ConfigChanges mChanges;
     private final KeyGenerator mKeyGenerator;
 
-    KeyEndpoints(ConfigurationPort configuration, ConfigChanges changes, KeyGenerator keyGenerator) {
+    KeyEndpoints(
+            ConfigurationPort configuration, ConfigChanges changes, KeyGenerator keyGenerator) {
         mConfiguration = configuration;
         mChanges = changes;
         mKeyGenerator = keyGenerator;
@@ -41,7 +42,7 @@
                 new AdminRoute("DELETE", one, this::revoke));
     }
 
-    /** Creates an organisation with a first key. */
+    /** Creates an organisation with one key and replies with that key. */
     void createWithKey(
             AdminRequest request, AdminReply reply, String keyName, OrganisationSpec spec) {
         String key = mKeyGenerator.next();
--- a/router/src/main/java/org/hornbeampass/router/admin/KeyGenerator.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/KeyGenerator.java
@@ -8,9 +8,10 @@
 import java.util.HexFormat;
 
 /**
- * Makes callers' keys and their hashes.
+ * Generates callers' keys and computes the hashes of keys.
  *
- * <p>A key has 256 random bits, so that a plain SHA-256 of it can't be searched. Thread-safe.
+ * <p>A key has 256 random bits, so that it can't be found from its unsalted SHA-256 by trying keys.
+ * Thread-safe.
  */
 public final class KeyGenerator {
     private static final String PREFIX = "hp-";
@@ -18,12 +19,12 @@
 
     private final SecureRandom mRandom;
 
-    /** Takes the source of random bits. */
+    /** Creates a generator that draws on a source of random bits. */
     public KeyGenerator(SecureRandom random) {
         mRandom = random;
     }
 
-    /** Returns a new key, safe for use in a header. */
+    /** Returns a new key, whose characters are all allowed in a header. */
     public String next() {
         byte[] bits = new byte[RANDOM_BYTES];
         mRandom.nextBytes(bits);
--- a/router/src/main/java/org/hornbeampass/router/admin/LastReadCache.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/LastReadCache.java
@@ -5,10 +5,10 @@
 import java.util.Optional;
 
 /**
- * Keeps what was last read, for as long as the platform can't be read.
+ * Keeps the values last read from the platform, for use while it is unavailable.
  *
- * <p>Invariant: at most {@value #MAX_KEPT} values, those least recently kept dropped first.
- * Thread-safe: one lock guards the table, and nothing is called while it is held.
+ * <p>Invariant: it holds at most {@value #MAX_KEPT} values and drops the least recently stored
+ * first. Thread-safe: one lock guards the table, and no callback runs while it is held.
  *
  * @param <K> the type of the names
  * @param <V> the type of the values, immutable
@@ -21,7 +21,7 @@
     /** A value with the time at which it was read. */
     private record Kept<V>(V value, long readMs) {}
 
-    /** Keeps a value that was read just now. */
+    /** Stores a value that was read just now, in place of the previous one of that name. */
     synchronized void keep(long nowMs, K name, V value) {
         mKept.remove(name);
         mKept.put(name, new Kept<>(value, nowMs));
@@ -30,7 +30,7 @@
         }
     }
 
-    /** Returns a kept value with its age. */
+    /** Returns the stored value of a name with its age. */
     synchronized Optional<Aged<V>> find(long nowMs, K name) {
         return Optional.ofNullable(mKept.get(name))
                 .map(k -> new Aged<>(k.value(), nowMs - k.readMs()));
--- a/router/src/main/java/org/hornbeampass/router/admin/LedgerAccounts.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/LedgerAccounts.java
@@ -14,14 +14,14 @@
 import java.util.function.BiConsumer;
 
 /**
- * The budgets' accounts as the platform's ledgers have them.
+ * Reads and changes the budgets' accounts in the platform's ledgers.
  *
- * <p>Thread-safe as {@link BudgetAdmin} is.
+ * <p>As thread-safe as {@link BudgetAdmin}.
  */
 public final class LedgerAccounts implements AccountPort {
     private final BudgetAdmin mAccounts;
 
-    /** Takes the operators' side of the budgets. */
+    /** Creates the port on the operators' interface to the ledgers. */
     public LedgerAccounts(BudgetAdmin accounts) {
         mAccounts = accounts;
     }
@@ -70,7 +70,7 @@
         return (atMs, result) -> done.accept(atMs, result.map(LedgerAccounts::view));
     }
 
-    /** Returns a statement as operators see it. */
+    /** Converts a statement to the view that operators receive. */
     static BudgetView view(BudgetStatement s) {
         return new BudgetView(
                 s.key().organisation(),
--- a/router/src/main/java/org/hornbeampass/router/admin/LedgerAudit.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/LedgerAudit.java
@@ -20,11 +20,12 @@
 import java.util.function.BiConsumer;
 
 /**
- * Checks the budgets' ledgers by themselves and against the bills, organisation by organisation.
+ * Checks the budgets' ledgers for consistency and against the bills, one organisation at a time.
  *
- * <p>Bills are read before ledgers, and a ledger's draw only grows by what is granted before a
- * request runs, so that a bill beyond what is drawn is a breach and not a matter of timing.
- * Thread-safe: each run has its own state, and each step follows the reply of the last one.
+ * <p>Bills are read before ledgers, and the tokens drawn from a ledger grow by each grant before
+ * the request that uses it runs. Bills that exceed the drawn tokens are therefore a breach, not an
+ * effect of the order of reads. Thread-safe: each run has its own state, and each step starts when
+ * the reply to the previous one has arrived.
  */
 public final class LedgerAudit {
     private static final String WITHIN_PAID = "billed_within_paid";
@@ -34,13 +35,13 @@
     private final ConfigurationPort mConfiguration;
     private final BudgetAdmin mAccounts;
 
-    /** Takes the organisations and their accounts. */
+    /** Creates an audit of the configured organisations and their accounts. */
     public LedgerAudit(ConfigurationPort configuration, BudgetAdmin accounts) {
         mConfiguration = configuration;
         mAccounts = accounts;
     }
 
-    /** Checks all organisations that are configured or were billed; {@code done} is run once. */
+    /** Checks all organisations that are configured or were billed; calls {@code done} once. */
     void run(
             long nowMs,
             RequestAuditReport bills,
@@ -53,7 +54,7 @@
         run.auditNext(nowMs, 0);
     }
 
-    /** One run. */
+    /** The state of one audit. */
     private final class Run {
         private final RequestAuditReport mBills;
         private final List<OrganisationId> mOrganisations;
--- a/router/src/main/java/org/hornbeampass/router/admin/MemberFleet.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/MemberFleet.java
@@ -19,7 +19,7 @@
 import java.util.function.BiConsumer;
 
 /**
- * The routers as this router's membership and configuration store know them.
+ * Reports the routers as known to this router's membership and configuration store.
  *
  * <p>Thread-safe: holds no state of its own.
  */
@@ -28,7 +28,7 @@
     private final ConfigStore mStore;
     private final RouterDrainer mDrains;
 
-    /** Takes the parts. */
+    /** Creates the fleet from the sources of its data and the means to drain routers. */
     public MemberFleet(Membership membership, ConfigStore store, RouterDrainer drains) {
         mMembership = membership;
         mStore = store;
--- a/router/src/main/java/org/hornbeampass/router/admin/OperatorKeys.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/OperatorKeys.java
@@ -9,11 +9,11 @@
 import java.util.function.Supplier;
 
 /**
- * Decides which operator a request comes from, by the keys of the settings and those of the
- * configuration.
+ * Identifies the operator who sent a request, by the keys in the settings and in the configuration.
  *
- * <p>Invariant: a comparison takes the same time whether and where keys differ, and looks at every
- * key. No key is kept, only hashes. Thread-safe as the supplier is.
+ * <p>Invariant: each check compares with every key in constant time, whether and where they differ,
+ * so that its time reveals nothing about a key. Only hashes of keys are stored. As thread-safe as
+ * the supplier.
  */
 public final class OperatorKeys {
     private static final String SCHEME = "bearer ";
@@ -22,10 +22,10 @@
     private final Supplier<Map<String, String>> mConfigured;
 
     /**
-     * Takes the keys.
+     * Creates the check for the given keys.
      *
-     * @param keys the keys of the settings
-     * @param configured names of the keys in the configuration with the SHA-256 of each, in
+     * @param keys the keys in the settings
+     * @param configured the names of the keys in the configuration, each with its SHA-256 in
      *     lower-case hex
      */
     public OperatorKeys(List<OperatorKey> keys, Supplier<Map<String, String>> configured) {
@@ -34,7 +34,7 @@
     }
 
     /**
-     * Returns the operator's name; empty where the header is absent or its key unknown.
+     * Returns the operator's name; empty if the header is absent or its key unknown.
      *
      * @param authorization the value of the authorization header
      */
--- a/router/src/main/java/org/hornbeampass/router/admin/OrganisationEndpoints.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/OrganisationEndpoints.java
@@ -21,7 +21,7 @@
 import java.util.TreeSet;
 
 /**
- * The endpoints for organisations, but for their keys and budgets.
+ * The endpoints for organisations, except those for their keys and budgets.
  *
  * <p>Thread-safe: holds no state of its own.
  */
--- a/router/src/main/java/org/hornbeampass/router/admin/RecordedBilling.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/RecordedBilling.java
@@ -27,11 +27,11 @@
 import java.util.function.BiConsumer;
 
 /**
- * Bills as the platform's records have them; while the platform is unavailable, the sums that were
- * last read, with their age.
+ * Reads bills from the platform's records. While the platform is unavailable, usage is reported
+ * from the totals that were last read, with their age.
  *
- * <p>Each read goes over every shard of the request log. Thread-safe: what is kept is guarded by
- * {@link LastReadCache}, and callbacks run with no lock held.
+ * <p>Each read covers every shard of the request log. Thread-safe: {@link LastReadCache} guards the
+ * stored totals, and callbacks run with no lock held.
  */
 public final class RecordedBilling implements BillingPort {
     private static final int MAX_OPEN_CLAIMS = 100;
@@ -43,10 +43,10 @@
     private final LastReadCache<String, RequestAuditReport> mLastReads = new LastReadCache<>();
 
     /**
-     * Takes the records.
+     * Creates the port.
      *
-     * @param platform the platform that keeps them
-     * @param settings the settings with which they are written
+     * @param platform the platform that stores the records
+     * @param settings the settings with which the records are written
      * @param ledgers checks the budgets' ledgers
      */
     public RecordedBilling(Platform platform, LedgerSettings settings, LedgerAudit ledgers) {
--- a/router/src/main/java/org/hornbeampass/router/admin/RouterDrainer.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/RouterDrainer.java
@@ -20,9 +20,9 @@
 import java.util.function.Consumer;
 
 /**
- * Carries operators' orders to drain to the router that is meant, this one or another.
+ * Executes operators' orders to drain this router, and sends those for other routers to them.
  *
- * <p>Invariant: an order is for one incarnation, and has no effect on a later one. Thread-safe:
+ * <p>Invariant: an order addresses one incarnation and has no effect on a later one. Thread-safe:
  * holds no state of its own.
  */
 public final class RouterDrainer {
@@ -34,14 +34,14 @@
     private final PeerNetwork mNetwork;
     private final DrainControl mControl;
 
-    /** Takes the members, the network between them and this router's own means to drain. */
+    /** Creates a drainer from the membership, the peer network and this router's drain control. */
     public RouterDrainer(Membership membership, PeerNetwork network, DrainControl control) {
         mMembership = membership;
         mNetwork = network;
         mControl = control;
     }
 
-    /** Orders a router to drain. */
+    /** Orders the router on the named VM to drain; calls {@code done} once. */
     public void drain(
             long nowMs,
             String vmName,
@@ -65,7 +65,7 @@
                 (atMs, reply) -> done.accept(atMs, reply.flatMap(r -> toResult(vmName, r))));
     }
 
-    /** Handles {@link DrainOrder}; a {@code PeerHandler}. */
+    /** Handles a {@link DrainOrder} from a peer; used as a {@code PeerHandler}. */
     public void onDrainOrder(long nowMs, VmId from, DrainOrder order, Consumer<PeerMessage> reply) {
         reply.accept(execute(nowMs, order));
     }
@@ -92,7 +92,7 @@
                         ErrorKind.NOT_FOUND,
                         "router "
                                 + vmName
-                                + " was replaced by a newer one; look with `hornbeamctl routers`"));
+                                + " was replaced by a newer one; check `hornbeamctl routers`"));
     }
 
     private static Drained drained(String vmName, DrainAnswer answer) {
@@ -104,6 +104,6 @@
                 ErrorKind.NOT_FOUND,
                 "there is no router "
                         + AdminChecks.shortened(vmName)
-                        + "; `hornbeamctl routers` shows what there is");
+                        + "; `hornbeamctl routers` shows those that exist");
     }
 }
--- a/router/src/main/java/org/hornbeampass/router/admin/StoredConfiguration.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/StoredConfiguration.java
@@ -11,20 +11,20 @@
 import java.util.function.BiConsumer;
 
 /**
- * The configuration of this router's {@link ConfigStore}.
+ * Reads and changes the configuration in this router's {@link ConfigStore}.
  *
- * <p>Thread-safe as the store is.
+ * <p>As thread-safe as the store.
  */
 public final class StoredConfiguration implements ConfigurationPort {
     private final ConfigStore mStore;
     private final long mMaxSilenceMs;
 
     /**
-     * Takes the store.
+     * Creates the port.
      *
-     * @param store the store
-     * @param maxSilenceMs for how long the platform may say nothing while all is well, in
-     *     milliseconds
+     * @param store holds the configuration that this router runs
+     * @param maxSilenceMs the longest time without a confirmation from the platform that counts as
+     *     normal, in milliseconds; up to it, the age is reported as 0
      */
     public StoredConfiguration(ConfigStore store, long maxSilenceMs) {
         mStore = store;
--- a/router/src/main/java/org/hornbeampass/router/admin/package-info.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/package-info.java
@@ -1,2 +1,4 @@
-/** The operators' API below {@code /admin/v1}, on top of small interfaces to the router's parts. */
+/**
+ * The operators' HTTP API under {@code /admin/v1}, built on small interfaces to the router's parts.
+ */
 package org.hornbeampass.router.admin;
--- a/router/src/test/java/org/hornbeampass/router/admin/AdminBudgetTest.java
+++ b/router/src/test/java/org/hornbeampass/router/admin/AdminBudgetTest.java
@@ -16,7 +16,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** Tests {@link AdminHandler} on budgets, bills, statements, audits and drains. */
+/**
+ * Tests the endpoints of {@link AdminHandler} for budgets, bills, statements, audits and drains.
+ */
 class AdminBudgetTest {
     private static final String KEY = "operator-key-of-the-test";
     private static final String BUDGETS = "/admin/v1/organisations/flight/budgets";
--- a/router/src/test/java/org/hornbeampass/router/admin/AdminHandlerTest.java
+++ b/router/src/test/java/org/hornbeampass/router/admin/AdminHandlerTest.java
@@ -22,7 +22,9 @@
 import java.util.List;
 import java.util.OptionalLong;
 
-/** Tests {@link AdminHandler} on its configuration side: input, races, keys, pages and outages. */
+/**
+ * Tests how {@link AdminHandler} changes the configuration: input, conflicts, keys, pages, outages.
+ */
 class AdminHandlerTest {
     private static final String KEY = "operator-key-of-the-test";
     private static final String DESK = "/admin/v1/templates/desk";
--- a/router/src/test/java/org/hornbeampass/router/admin/FakeExchange.java
+++ b/router/src/test/java/org/hornbeampass/router/admin/FakeExchange.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** A request made by a test, which keeps its answer; for use by one thread. */
+/** A request made by a test that records its response; for use by one thread. */
 final class FakeExchange implements HttpExchange {
     private final String mMethod;
     private final URI mUri;
--- a/router/src/test/java/org/hornbeampass/router/admin/FakeFleet.java
+++ b/router/src/test/java/org/hornbeampass/router/admin/FakeFleet.java
@@ -15,7 +15,7 @@
 import java.util.List;
 import java.util.function.BiConsumer;
 
-/** A fleet of one router, held by a test; for use by one thread. */
+/** A fleet with a single router, for tests; for use by one thread. */
 final class FakeFleet implements FleetPort {
     private static final VmId VM = new VmId("vm-1", 7);
 
--- a/router/src/test/java/org/hornbeampass/router/admin/MemoryAccounts.java
+++ b/router/src/test/java/org/hornbeampass/router/admin/MemoryAccounts.java
@@ -16,13 +16,13 @@
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
 
-/** Accounts held in memory by a test; for use by one thread. */
+/** Stores accounts in memory for tests; for use by one thread. */
 final class MemoryAccounts implements AccountPort {
     private final Map<String, BudgetView> mAccounts = new TreeMap<>();
     private final Set<String> mApplied = new HashSet<>();
     private boolean mOutage;
 
-    /** Lets the platform be unavailable. */
+    /** Makes all further reads fail as if the platform were unavailable. */
     void outage() {
         mOutage = true;
     }
--- a/router/src/test/java/org/hornbeampass/router/admin/MemoryBilling.java
+++ b/router/src/test/java/org/hornbeampass/router/admin/MemoryBilling.java
@@ -15,7 +15,7 @@
 import java.util.Optional;
 import java.util.function.BiConsumer;
 
-/** Bills held in memory by a test; for use by one thread. */
+/** Stores bills in memory for tests; for use by one thread. */
 final class MemoryBilling implements BillingPort {
     private final List<BillView> mBills = new ArrayList<>();
 
--- a/router/src/test/java/org/hornbeampass/router/admin/MemoryConfiguration.java
+++ b/router/src/test/java/org/hornbeampass/router/admin/MemoryConfiguration.java
@@ -11,7 +11,7 @@
 import java.util.OptionalLong;
 import java.util.function.BiConsumer;
 
-/** A configuration held in memory by a test; for use by one thread. */
+/** Stores a configuration in memory for tests; for use by one thread. */
 final class MemoryConfiguration implements ConfigurationPort {
     private ConfigSnapshot mSnapshot = ConfigSnapshot.empty();
     private Runnable mBeforePropose = () -> {};
@@ -23,7 +23,9 @@
         mBeforePropose = action;
     }
 
-    /** Lets the platform be unavailable, with this age of what is known. */
+    /**
+     * Makes further proposals fail as if the platform were unavailable, and sets the age of reads.
+     */
     void outage(long ageMs) {
         mAgeMs = ageMs;
         mOutage = Optional.of(Failure.of(ErrorKind.PLATFORM_UNAVAILABLE, "platform is down"));
