--- a/router/src/main/java/org/hornbeampass/router/admin/AdminReply.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/AdminReply.java
@@ -11,9 +11,9 @@
 import java.util.Map;
 
 /**
- * Answers one request to the operators' API.
+ * Sends the response to one request to the operators' API.
  *
- * <p>Invariant: exactly one of its methods is called, once. Thread-safe as its exchange is.
+ * <p>Invariant: exactly one of its methods is called, once. As thread-safe as its exchange.
  */
 final class AdminReply {
     private static final int OK = 200;
@@ -28,37 +28,37 @@
         mExchange = exchange;
     }
 
-    /** Answers with something read, and says how old it is. */
-    void read(Aged<?> value) {
+    /** Sends a value that was read, with its age in whole seconds in the {@code Age} header. */
+    void sendWithAge(Aged<?> value) {
         long seconds = Math.max(0, value.ageMs()) / MS_PER_SECOND;
         send(OK, Map.of(CONTENT_TYPE, JSON, AdminPaths.AGE, Long.toString(seconds)), value.value());
     }
 
-    /** Answers with something read, or a failure. */
-    void read(Either<Failure, ? extends Aged<?>> result) {
+    /** Sends a value that was read with its age, or a failure. */
+    void sendWithAge(Either<Failure, ? extends Aged<?>> result) {
         if (result.isLeft()) {
-            fail(result.getLeft());
+            sendFailure(result.getLeft());
             return;
         }
-        read(result.get());
+        sendWithAge(result.get());
     }
 
-    /** Answers with what a change gave, or a failure. */
-    void done(Either<Failure, ?> result) {
+    /** Sends the result of a change, or a failure. */
+    void sendResult(Either<Failure, ?> result) {
         if (result.isLeft()) {
-            fail(result.getLeft());
+            sendFailure(result.getLeft());
             return;
         }
         send(OK, Map.of(CONTENT_TYPE, JSON), result.get());
     }
 
-    /** Answers with what a creation gave; never cached, since it may show a key. */
-    void created(Object value) {
+    /** Sends the result of a creation; marked as not cacheable, since it may contain a key. */
+    void sendCreated(Object value) {
         send(CREATED, Map.of(CONTENT_TYPE, JSON, "cache-control", "no-store"), value);
     }
 
-    /** Answers with a failure. */
-    void fail(Failure failure) {
+    /** Sends a failure. */
+    void sendFailure(Failure failure) {
         ErrorAnswer answer = ErrorAnswer.of(failure);
         mExchange.respond(answer.status(), answer.headers(), answer.body());
     }
--- a/router/src/main/java/org/hornbeampass/router/admin/ConfigChanges.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/ConfigChanges.java
@@ -16,11 +16,11 @@
 import java.util.function.Supplier;
 
 /**
- * Proposes operators' changes, and tells the loser of a race who won.
+ * Proposes operators' changes and reports the current revision when a concurrent change came first.
  *
- * <p>Invariant: a change that the operator made conditional is proposed once; one that keeps parts
- * of what is there is proposed again, from what is there then, up to {@value #MAX_ATTEMPTS} times.
- * Thread-safe; run with no lock held.
+ * <p>Invariant: a change with an expected revision is proposed once. Without one, a change that
+ * keeps parts of the present object is computed again from the new state after a conflict, up to
+ * {@value #MAX_ATTEMPTS} attempts in all. Thread-safe; callbacks run with no lock held.
  */
 final class ConfigChanges {
     private static final Logger LOG = LogManager.getLogger(ConfigChanges.class);
@@ -32,7 +32,7 @@
         mConfiguration = configuration;
     }
 
-    /** Proposes one change as it is. */
+    /** Proposes a change once, without another attempt after a conflict. */
     void propose(
             AdminRequest request,
             ConfigChange change,
@@ -59,19 +59,20 @@
                                             revision));
                     done.accept(
                             atMs,
-                            result.mapLeft(f -> named(f, object, expected))
+                            result.mapLeft(f -> withObjectName(f, object, expected))
                                     .map(revision -> new Changed(name(object), revision)));
                 });
     }
 
     /**
-     * Proposes a change that is made from what is there, again where another was faster.
+     * Proposes a change that is computed from the present configuration; without an expected
+     * revision, tries again after a conflict with a concurrent change.
      *
      * @param request the operator's request
      * @param object the object, which must exist
      * @param expected the revision that the operator expects; empty for any
-     * @param change makes the change from the present configuration
-     * @param done run once
+     * @param change computes the change from the present configuration
+     * @param done called once with the result
      */
     void modify(
             AdminRequest request,
@@ -90,22 +91,22 @@
             BiConsumer<Long, Either<Failure, Changed>> done,
             int attempt) {
         OptionalLong current = revisionOf(object);
-        Either<Failure, ConfigChange> made =
-                current.isEmpty() ? Either.left(unknown(object)) : change.get();
-        if (made.isLeft()) {
-            done.accept(request.nowMs(), Either.left(made.getLeft()));
+        Either<Failure, ConfigChange> newChange =
+                current.isEmpty() ? Either.left(notFound(object)) : change.get();
+        if (newChange.isLeft()) {
+            done.accept(request.nowMs(), Either.left(newChange.getLeft()));
             return;
         }
-        boolean again = expected.isEmpty() && attempt < MAX_ATTEMPTS;
+        boolean mayRetry = expected.isEmpty() && attempt < MAX_ATTEMPTS;
         propose(
                 request,
-                made.get(),
+                newChange.get(),
                 expected.isPresent() ? expected : current,
                 (atMs, result) -> {
-                    boolean lost =
+                    boolean conflict =
                             result.isLeft()
                                     && result.getLeft().kind() == ErrorKind.REVISION_CONFLICT;
-                    if (lost && again) {
+                    if (conflict && mayRetry) {
                         modify(request, object, expected, change, done, attempt + 1);
                         return;
                     }
@@ -114,14 +115,14 @@
     }
 
     /** Returns the failure for an object that does not exist. */
-    static Failure unknown(ObjectKey object) {
+    static Failure notFound(ObjectKey object) {
         return Failure.of(
                 ErrorKind.NOT_FOUND,
                 "there is no "
-                        + words(object)
+                        + describe(object)
                         + "; `hornbeamctl "
                         + kind(object)
-                        + " list` shows what there is");
+                        + " list` shows those that exist");
     }
 
     private Optional<Failure> precheck(
@@ -131,36 +132,36 @@
         }
         long applied = mConfiguration.snapshot().revision();
         if (expected.getAsLong() > applied) {
-            return Optional.of(lagging(expected.getAsLong(), applied));
+            return Optional.of(notYetApplied(expected.getAsLong(), applied));
         }
         if (expected.getAsLong() == 0) {
             return current.isPresent()
-                    ? Optional.of(exists(object, current.getAsLong()))
+                    ? Optional.of(alreadyExists(object, current.getAsLong()))
                     : Optional.empty();
         }
         if (current.isEmpty()) {
-            return Optional.of(unknown(object));
+            return Optional.of(notFound(object));
         }
         return current.getAsLong() > expected.getAsLong()
                 ? Optional.of(conflict(object, expected.getAsLong(), current.getAsLong()))
                 : Optional.empty();
     }
 
-    private static Failure lagging(long expected, long applied) {
+    private static Failure notYetApplied(long expected, long applied) {
         return Failure.of(
                 ErrorKind.NOT_READY,
                 "this router runs revision "
                         + applied
                         + " and has not yet applied "
                         + expected
-                        + ", on which the change was made; send it again in a moment, or to"
+                        + ", on which the change is based; send it again in a moment, or to"
                         + " another router");
     }
 
-    private static Failure exists(ObjectKey object, long revision) {
+    private static Failure alreadyExists(ObjectKey object, long revision) {
         return Failure.of(
                 ErrorKind.ALREADY_EXISTS,
-                words(object)
+                describe(object)
                         + " exists already, at revision "
                         + revision
                         + "; change it with `set`, or take another name");
@@ -169,17 +170,18 @@
     private static Failure conflict(ObjectKey object, long expected, long current) {
         return Failure.of(
                 ErrorKind.REVISION_CONFLICT,
-                words(object)
+                describe(object)
                         + " is at revision "
                         + current
                         + ", changed by another operator after revision "
                         + expected
-                        + " on which this change was made; read it again, decide, and send the"
+                        + " on which this change is based; read it again, decide, and send the"
                         + " change with If-Match: "
                         + current);
     }
 
-    private static Failure named(Failure failure, ObjectKey object, OptionalLong expected) {
+    private static Failure withObjectName(
+            Failure failure, ObjectKey object, OptionalLong expected) {
         boolean creation = expected.isPresent() && expected.getAsLong() == 0;
         ErrorKind kind =
                 creation && failure.kind() == ErrorKind.REVISION_CONFLICT
@@ -188,7 +190,7 @@
         String message =
                 failure.message().contains(name(object))
                         ? failure.message()
-                        : words(object) + ": " + failure.message();
+                        : describe(object) + ": " + failure.message();
         return new Failure(kind, message, failure.retryAfterMs());
     }
 
@@ -205,7 +207,7 @@
         return object.value().substring(object.value().indexOf('/') + 1);
     }
 
-    private static String words(ObjectKey object) {
+    private static String describe(ObjectKey object) {
         return kind(object) + " " + name(object);
     }
 }
--- a/router/src/main/java/org/hornbeampass/router/admin/LedgerAccounts.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/LedgerAccounts.java
@@ -14,14 +14,14 @@
 import java.util.function.BiConsumer;
 
 /**
- * The budgets' accounts as the platform's ledgers have them.
+ * Reads and changes the budgets' accounts in the platform's ledgers.
  *
- * <p>Thread-safe as {@link BudgetAdmin} is.
+ * <p>As thread-safe as {@link BudgetAdmin}.
  */
 public final class LedgerAccounts implements AccountPort {
     private final BudgetAdmin mAccounts;
 
-    /** Takes the operators' side of the budgets. */
+    /** Creates the port on the operators' interface to the ledgers. */
     public LedgerAccounts(BudgetAdmin accounts) {
         mAccounts = accounts;
     }
@@ -48,7 +48,7 @@
             String id,
             long tokens,
             BiConsumer<Long, Either<Failure, BudgetView>> done) {
-        mAccounts.topUp(nowMs, key, id, tokens, viewed(done));
+        mAccounts.topUp(nowMs, key, id, tokens, toViewCallback(done));
     }
 
     @Override
@@ -59,18 +59,18 @@
             OptionalLong expectedPaid,
             BiConsumer<Long, Either<Failure, BudgetView>> done) {
         if (expectedPaid.isPresent()) {
-            mAccounts.setPaid(nowMs, key, paid, expectedPaid.getAsLong(), viewed(done));
+            mAccounts.setPaid(nowMs, key, paid, expectedPaid.getAsLong(), toViewCallback(done));
             return;
         }
-        mAccounts.setPaid(nowMs, key, paid, viewed(done));
+        mAccounts.setPaid(nowMs, key, paid, toViewCallback(done));
     }
 
-    private static BiConsumer<Long, Either<Failure, BudgetStatement>> viewed(
+    private static BiConsumer<Long, Either<Failure, BudgetStatement>> toViewCallback(
             BiConsumer<Long, Either<Failure, BudgetView>> done) {
         return (atMs, result) -> done.accept(atMs, result.map(LedgerAccounts::view));
     }
 
-    /** Returns a statement as operators see it. */
+    /** Converts a statement to the view that operators receive. */
     static BudgetView view(BudgetStatement s) {
         return new BudgetView(
                 s.key().organisation(),
--- a/router/src/main/java/org/hornbeampass/router/admin/LedgerAudit.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/LedgerAudit.java
@@ -20,11 +20,12 @@
 import java.util.function.BiConsumer;
 
 /**
- * Checks the budgets' ledgers by themselves and against the bills, organisation by organisation.
+ * Checks the budgets' ledgers for consistency and against the bills, one organisation at a time.
  *
- * <p>Bills are read before ledgers, and a ledger's draw only grows by what is granted before a
- * request runs, so that a bill beyond what is drawn is a breach and not a matter of timing.
- * Thread-safe: each run has its own state, and each step follows the reply of the last one.
+ * <p>Bills are read before ledgers, and the tokens drawn from a ledger grow by each grant before
+ * the request that uses it runs. Bills that exceed the drawn tokens are therefore a breach, not an
+ * effect of the order of reads. Thread-safe: each run has its own state, and each step starts when
+ * the reply to the previous one has arrived.
  */
 public final class LedgerAudit {
     private static final String WITHIN_PAID = "billed_within_paid";
@@ -34,13 +35,13 @@
     private final ConfigurationPort mConfiguration;
     private final BudgetAdmin mAccounts;
 
-    /** Takes the organisations and their accounts. */
+    /** Creates an audit of the configured organisations and their accounts. */
     public LedgerAudit(ConfigurationPort configuration, BudgetAdmin accounts) {
         mConfiguration = configuration;
         mAccounts = accounts;
     }
 
-    /** Checks all organisations that are configured or were billed; {@code done} is run once. */
+    /** Checks all organisations that are configured or were billed; calls {@code done} once. */
     void run(
             long nowMs,
             RequestAuditReport bills,
@@ -50,10 +51,10 @@
         bills.totals().keySet().forEach(key -> organisations.add(key.organisation()));
         Run run = new Run(bills, List.copyOf(organisations), done);
         bills.findings().forEach(f -> run.mBreaches.add(new Breach(RECORDS, "request log", f)));
-        run.next(nowMs, 0);
+        run.auditNext(nowMs, 0);
     }
 
-    /** One run. */
+    /** The state of one audit. */
     private final class Run {
         private final RequestAuditReport mBills;
         private final List<OrganisationId> mOrganisations;
@@ -70,7 +71,7 @@
             mDone = done;
         }
 
-        private void next(long nowMs, int index) {
+        private void auditNext(long nowMs, int index) {
             if (index == mOrganisations.size()) {
                 mDone.accept(nowMs, Either.right(view()));
                 return;
@@ -85,11 +86,11 @@
                             return;
                         }
                         findings.get().forEach(f -> mBreaches.add(breach(f)));
-                        statements(atMs, index, id);
+                        readStatements(atMs, index, id);
                     });
         }
 
-        private void statements(long nowMs, int index, OrganisationId id) {
+        private void readStatements(long nowMs, int index, OrganisationId id) {
             mAccounts.statement(
                     nowMs,
                     id,
@@ -100,7 +101,7 @@
                         }
                         mBudgets += statements.get().size();
                         compare(id, statements.get());
-                        next(atMs, index + 1);
+                        auditNext(atMs, index + 1);
                     });
         }
 
--- a/router/src/main/java/org/hornbeampass/router/admin/MemberFleet.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/MemberFleet.java
@@ -19,17 +19,17 @@
 import java.util.function.BiConsumer;
 
 /**
- * The routers as this router's membership and configuration store know them.
+ * Reports the routers as known to this router's membership and configuration store.
  *
  * <p>Thread-safe: holds no state of its own.
  */
 public final class MemberFleet implements FleetPort {
     private final Membership mMembership;
     private final ConfigStore mStore;
-    private final RouterDrains mDrains;
+    private final RouterDrainer mDrains;
 
-    /** Takes the parts. */
-    public MemberFleet(Membership membership, ConfigStore store, RouterDrains drains) {
+    /** Creates the fleet from the sources of its data and the means to drain routers. */
+    public MemberFleet(Membership membership, ConfigStore store, RouterDrainer drains) {
         mMembership = membership;
         mStore = store;
         mDrains = drains;
@@ -69,8 +69,9 @@
         mDrains.drain(nowMs, vmName, operator, done);
     }
 
-    private static RevisionView.RouterRevision revisionOf(VmRevision each) {
-        return new RevisionView.RouterRevision(each.member().vm(), each.revision().orElse(0));
+    private static RevisionView.RouterRevision revisionOf(VmRevision vmRevision) {
+        return new RevisionView.RouterRevision(
+                vmRevision.member().vm(), vmRevision.revision().orElse(0));
     }
 
     private static RouterView view(Member m, long revision) {
--- a/router/src/main/java/org/hornbeampass/router/admin/RouterDrains.java
+++ b/router/src/main/java/org/hornbeampass/router/admin/RouterDrainer.java
@@ -20,13 +20,13 @@
 import java.util.function.Consumer;
 
 /**
- * Carries operators' orders to drain to the router that is meant, this one or another.
+ * Executes operators' orders to drain this router, and sends those for other routers to them.
  *
- * <p>Invariant: an order is for one incarnation, and has no effect on a later one. Thread-safe:
+ * <p>Invariant: an order addresses one incarnation and has no effect on a later one. Thread-safe:
  * holds no state of its own.
  */
-public final class RouterDrains {
-    private static final Logger LOG = LogManager.getLogger(RouterDrains.class);
+public final class RouterDrainer {
+    private static final Logger LOG = LogManager.getLogger(RouterDrainer.class);
     private static final long TIMEOUT_MS = 3_000;
     private static final String DRAINING = "draining";
 
@@ -34,14 +34,14 @@
     private final PeerNetwork mNetwork;
     private final DrainControl mControl;
 
-    /** Takes the members, the network between them and this router's own means to drain. */
-    public RouterDrains(Membership membership, PeerNetwork network, DrainControl control) {
+    /** Creates a drainer from the membership, the peer network and this router's drain control. */
+    public RouterDrainer(Membership membership, PeerNetwork network, DrainControl control) {
         mMembership = membership;
         mNetwork = network;
         mControl = control;
     }
 
-    /** Orders a router to drain. */
+    /** Orders the router on the named VM to drain; calls {@code done} once. */
     public void drain(
             long nowMs,
             String vmName,
@@ -49,12 +49,12 @@
             BiConsumer<Long, Either<Failure, Drained>> done) {
         Optional<Member> member = mMembership.view().member(vmName);
         if (member.isEmpty()) {
-            done.accept(nowMs, Either.left(unknown(vmName)));
+            done.accept(nowMs, Either.left(unknownRouter(vmName)));
             return;
         }
         DrainOrder order = new DrainOrder(member.get().vm(), operator);
         if (order.vm().equals(self())) {
-            done.accept(nowMs, Either.right(drained(vmName, carryOut(nowMs, order))));
+            done.accept(nowMs, Either.right(drained(vmName, execute(nowMs, order))));
             return;
         }
         mNetwork.request(
@@ -62,15 +62,15 @@
                 vmName,
                 order,
                 TIMEOUT_MS,
-                (atMs, reply) -> done.accept(atMs, reply.flatMap(r -> answered(vmName, r))));
+                (atMs, reply) -> done.accept(atMs, reply.flatMap(r -> toResult(vmName, r))));
     }
 
-    /** Handles {@link DrainOrder}; a {@code PeerHandler}. */
+    /** Handles a {@link DrainOrder} from a peer; used as a {@code PeerHandler}. */
     public void onDrainOrder(long nowMs, VmId from, DrainOrder order, Consumer<PeerMessage> reply) {
-        reply.accept(carryOut(nowMs, order));
+        reply.accept(execute(nowMs, order));
     }
 
-    private DrainAnswer carryOut(long nowMs, DrainOrder order) {
+    private DrainAnswer execute(long nowMs, DrainOrder order) {
         if (!order.vm().equals(self())) {
             return new DrainAnswer(false, mControl.inFlight());
         }
@@ -83,7 +83,7 @@
         return mMembership.view().self().vm();
     }
 
-    private static Either<Failure, Drained> answered(String vmName, PeerMessage reply) {
+    private static Either<Failure, Drained> toResult(String vmName, PeerMessage reply) {
         if (reply instanceof DrainAnswer answer && answer.draining()) {
             return Either.right(drained(vmName, answer));
         }
@@ -92,18 +92,18 @@
                         ErrorKind.NOT_FOUND,
                         "router "
                                 + vmName
-                                + " was replaced by a newer one; look with `hornbeamctl routers`"));
+                                + " was replaced by a newer one; check `hornbeamctl routers`"));
     }
 
     private static Drained drained(String vmName, DrainAnswer answer) {
         return new Drained(vmName, DRAINING, answer.inFlight());
     }
 
-    private static Failure unknown(String vmName) {
+    private static Failure unknownRouter(String vmName) {
         return Failure.of(
                 ErrorKind.NOT_FOUND,
                 "there is no router "
                         + AdminChecks.shortened(vmName)
-                        + "; `hornbeamctl routers` shows what there is");
+                        + "; `hornbeamctl routers` shows those that exist");
     }
 }
