--- a/router/src/main/java/org/hornbeampass/router/daemon/RelayDaemon.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/RelayDaemon.java
@@ -277,7 +277,7 @@
         mMetrics.register("permits_expired", (Gauge<Long>) permits::expired);
         mMetrics.register("vms", (Gauge<Integer>) mFleet::vms);
         mMetrics.register("caller_connections", (Gauge<Integer>) this::connections);
-        mMetrics.register("upstream_connections_opened", (Gauge<Long>) mPool::opened);
+        mMetrics.register("upstream_connections_opened", (Gauge<Long>) mPool::openedConnections);
     }
 
     private long failingMs(WatchedView view) {
--- a/router/src/main/java/org/hornbeampass/router/daemon/RelayShutdown.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/RelayShutdown.java
@@ -84,7 +84,7 @@
             mDone.complete(null);
             return;
         }
-        if (mStopped && mCallers.busy() == 0) {
+        if (mStopped && mCallers.busyConnections() == 0) {
             finish(nowMs);
         }
     }
--- a/router/src/main/java/org/hornbeampass/router/daemon/StoreChanges.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/StoreChanges.java
@@ -86,7 +86,7 @@
     private void list(long nowMs, UpstreamEntry entry, long revision) {
         EntryResult verdict = mParts.upstreamRegistry().onEntry(nowMs, entry);
         if (verdict.replacesIncarnation()) {
-            mParts.pool().forget(entry.address());
+            mParts.pool().closeIdle(entry.address());
         }
         mParts.log()
                 .logStateChange(
--- a/router/src/main/java/org/hornbeampass/router/relay/RelayAttempts.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/RelayAttempts.java
@@ -96,14 +96,14 @@
             return;
         }
         connection.flush();
-        if (!connection.writable()) {
-            mCall.caller().reading(false);
+        if (!connection.isWritable()) {
+            mCall.caller().setReading(false);
         }
     }
 
     @Override
     public void onUpstreamWritable(long nowMs) {
-        mCall.caller().reading(true);
+        mCall.caller().setReading(true);
     }
 
     @Override
@@ -212,13 +212,13 @@
     }
 
     @Override
-    public void onPause(long nowMs) {
+    public void onReadComplete(long nowMs) {
         if (mCall.ended() || mConnection.isEmpty()) {
             return;
         }
         mCall.caller().flush();
-        if (!mCall.caller().writable() && !mCall.callerGone()) {
-            mConnection.get().reading(false);
+        if (!mCall.caller().isWritable() && !mCall.callerGone()) {
+            mConnection.get().setReading(false);
         }
         if (mAnswer.streaming()) {
             mSilenceTimeout.startForEvent();
@@ -227,7 +227,7 @@
 
     /** Resumes reading the answer once the caller's connection is writable again. */
     void onCallerWritable() {
-        mConnection.ifPresent(c -> c.reading(true));
+        mConnection.ifPresent(c -> c.setReading(true));
     }
 
     @Override
--- a/router/src/main/java/org/hornbeampass/router/relay/RelayCall.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/RelayCall.java
@@ -161,7 +161,7 @@
         if (mAttempts.isPresent()) {
             mAttempts.get().onBody(nowMs);
         } else if (mBody.large()) {
-            mCaller.reading(false);
+            mCaller.setReading(false);
             admit(nowMs);
         }
     }
@@ -274,7 +274,7 @@
         }
         mGrantTimer.run();
         if (admission == Admission.RESERVED || admission == Admission.UNMETERED) {
-            mCaller.reading(true);
+            mCaller.setReading(true);
             mAttempts =
                     Optional.of(
                             new RelayAttempts(
--- a/transport/src/main/java/org/hornbeampass/transport/relay/CallerConnection.java
+++ b/transport/src/main/java/org/hornbeampass/transport/relay/CallerConnection.java
@@ -166,7 +166,7 @@
         mBodyWhole = false;
         mAnswered = false;
         mSmallBody = HttpUtil.getContentLength(head, Long.MAX_VALUE) <= MAX_DROPPED_BYTES;
-        Optional<Failure> fault = HeadRules.fault(head, mServer.limits());
+        Optional<Failure> fault = HeadValidator.validate(head, mServer.limits());
         if (fault.isPresent()) {
             mKeepAlive = false;
             mListener = Optional.of(CallerListener.IGNORING);
@@ -216,7 +216,7 @@
         }
         mListener = Optional.of(CallerListener.IGNORING);
         mBodyWhole = false;
-        fail(HeadRules.undecodable(cause));
+        fail(HeadValidator.undecodable(cause));
     }
 
     /** Writes the head of an answer whose body follows. */
@@ -242,7 +242,7 @@
     }
 
     private boolean keepsAlive() {
-        return mKeepAlive && (mBodyWhole || mSmallBody) && !mServer.draining();
+        return mKeepAlive && (mBodyWhole || mSmallBody) && !mServer.isDraining();
     }
 
     /** Writes a part of the body, which is released. */
@@ -325,36 +325,36 @@
     }
 
     /** Returns whether the caller takes more without it piling up here. */
-    public boolean writable() {
+    public boolean isWritable() {
         return mChannel.isWritable();
     }
 
     /** Stops or resumes reading the request's body. */
-    public void reading(boolean on) {
+    public void setReading(boolean on) {
         mChannel.config().setAutoRead(on);
     }
 
     /** Returns whether a request is in progress, or was read and is to be handed over. */
-    boolean busy() {
+    boolean isBusy() {
         return mListener.isPresent() || mReading;
     }
 
     /** Closes the connection where nothing is in progress. */
     void closeIfIdle() {
-        if (!busy() && mQueued.isEmpty()) {
+        if (!isBusy() && mQueued.isEmpty()) {
             abort();
         }
     }
 
     /** Closes the connection where the caller has been idle, or slow with a head, for too long. */
     void closeIfSlow(long nowMs) {
-        if (busy()) {
+        if (isBusy()) {
             return;
         }
         if (mHeadSinceMs >= 0 && nowMs - mHeadSinceMs > mServer.limits().headTimeoutMs()) {
             mListener = Optional.of(CallerListener.IGNORING);
             mBodyWhole = false;
-            fail(HeadRules.slowHead());
+            fail(HeadValidator.slowHead());
             return;
         }
         if (mHeadSinceMs < 0 && nowMs - mIdleSinceMs > mServer.limits().idleTimeoutMs()) {
--- a/transport/src/main/java/org/hornbeampass/transport/relay/CallerServer.java
+++ b/transport/src/main/java/org/hornbeampass/transport/relay/CallerServer.java
@@ -126,8 +126,8 @@
     }
 
     /** Returns on how many connections a request is in progress. */
-    public int busy() {
-        return (int) mConnections.stream().filter(CallerConnection::busy).count();
+    public int busyConnections() {
+        return (int) mConnections.stream().filter(CallerConnection::isBusy).count();
     }
 
     /** Returns how many connections are open. */
@@ -135,7 +135,7 @@
         return mConnections.size();
     }
 
-    boolean draining() {
+    boolean isDraining() {
         return mDraining;
     }
 
--- a/transport/src/main/java/org/hornbeampass/transport/relay/HeadRules.java
+++ b/transport/src/main/java/org/hornbeampass/transport/relay/HeadValidator.java
@@ -20,11 +20,11 @@
  * <p>Guards against requests hidden inside others: a head whose length two programs could read
  * differently is refused. Stateless; safe for use by any thread.
  */
-final class HeadRules {
-    private HeadRules() {}
+final class HeadValidator {
+    private HeadValidator() {}
 
     /** Returns what is wrong with a head, if anything. */
-    static Optional<Failure> fault(HttpRequest head, CallerLimits limits) {
+    static Optional<Failure> validate(HttpRequest head, CallerLimits limits) {
         if (head.method().equals(HttpMethod.CONNECT) || !head.uri().startsWith("/")) {
             return malformed("ask for a path that begins with a slash");
         }
--- a/transport/src/main/java/org/hornbeampass/transport/relay/UpstreamConnection.java
+++ b/transport/src/main/java/org/hornbeampass/transport/relay/UpstreamConnection.java
@@ -85,12 +85,12 @@
     }
 
     /** Returns whether the upstream takes more without it piling up here. */
-    public boolean writable() {
+    public boolean isWritable() {
         return mChannel.isWritable();
     }
 
     /** Stops or resumes reading the answer. */
-    public void reading(boolean on) {
+    public void setReading(boolean on) {
         if (mChannel.config().isAutoRead() != on) {
             mChannel.config().setAutoRead(on);
         }
@@ -103,19 +103,19 @@
     }
 
     /** Keeps a connection that was just opened for a later request. */
-    void keep() {
+    void returnToPool() {
         mIdleSinceMs = mClock.nowMs();
         mPool.onIdle(this);
     }
 
     /** Returns whether it can take another request. */
-    boolean fresh(long nowMs, long maxIdleMs) {
+    boolean isFresh(long nowMs, long maxIdleMs) {
         long idleMs = nowMs - mIdleSinceMs;
         return mChannel.isActive() && !mClosed && idleMs < Math.min(maxIdleMs, mIdleLimitMs);
     }
 
     /** Returns whether it has been idle for longer than the upstream keeps it. */
-    boolean stale(long nowMs) {
+    boolean isExpired(long nowMs) {
         return nowMs - mIdleSinceMs >= mIdleLimitMs;
     }
 
@@ -204,7 +204,7 @@
     private void ended(UpstreamListener listener) {
         mListener = Optional.empty();
         if (mReusable && mRequestWritten) {
-            keep();
+            returnToPool();
         } else {
             close();
         }
@@ -220,7 +220,7 @@
 
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
-        mListener.ifPresent(l -> l.onPause(mClock.nowMs()));
+        mListener.ifPresent(l -> l.onReadComplete(mClock.nowMs()));
     }
 
     @Override
--- a/transport/src/main/java/org/hornbeampass/transport/relay/UpstreamListener.java
+++ b/transport/src/main/java/org/hornbeampass/transport/relay/UpstreamListener.java
@@ -28,7 +28,7 @@
     void onPart(long nowMs, ByteBuf part);
 
     /** All that had arrived has been given to the listener. */
-    void onPause(long nowMs);
+    void onReadComplete(long nowMs);
 
     /** The answer is whole. */
     void onEnd(long nowMs);
--- a/transport/src/main/java/org/hornbeampass/transport/relay/UpstreamPool.java
+++ b/transport/src/main/java/org/hornbeampass/transport/relay/UpstreamPool.java
@@ -62,7 +62,7 @@
             int connectTimeoutMs,
             Consumer<Optional<UpstreamConnection>> done) {
         ArrayDeque<UpstreamConnection> idle = mIdle.getOrDefault(address, new ArrayDeque<>());
-        if (!idle.isEmpty() && idle.peekLast().fresh(nowMs, maxIdleMs)) {
+        if (!idle.isEmpty() && idle.peekLast().isFresh(nowMs, maxIdleMs)) {
             done.accept(Optional.of(idle.pollLast()));
             return;
         }
@@ -82,7 +82,7 @@
                 address,
                 connectTimeoutMs,
                 connection -> {
-                    connection.ifPresent(UpstreamConnection::keep);
+                    connection.ifPresent(UpstreamConnection::returnToPool);
                     done.accept(connection.isPresent());
                 });
     }
@@ -118,7 +118,7 @@
     /** Closes kept connections that their upstream is about to close. */
     public void tick(long nowMs) {
         for (ArrayDeque<UpstreamConnection> idle : mIdle.values()) {
-            while (!idle.isEmpty() && idle.peekFirst().stale(nowMs)) {
+            while (!idle.isEmpty() && idle.peekFirst().isExpired(nowMs)) {
                 idle.pollFirst().close();
             }
         }
@@ -126,7 +126,7 @@
     }
 
     /** Closes the kept connections to an address: whoever listened there has ended. */
-    public void forget(String address) {
+    public void closeIdle(String address) {
         ArrayDeque<UpstreamConnection> idle = mIdle.remove(address);
         if (idle != null) {
             List.copyOf(idle).forEach(UpstreamConnection::close);
@@ -134,7 +134,7 @@
     }
 
     /** Returns how many connections were opened so far. */
-    public long opened() {
+    public long openedConnections() {
         return mOpened;
     }
 
--- a/transport/src/test/java/org/hornbeampass/transport/relay/CallerConnectionTest.java
+++ b/transport/src/test/java/org/hornbeampass/transport/relay/CallerConnectionTest.java
@@ -57,7 +57,7 @@
         DefaultHttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/");
         head.headers().set(HttpHeaderNames.HOST, "h");
         caller.channelRead(channel.pipeline().lastContext(), head);
-        assertThat(caller.busy()).isTrue();
+        assertThat(caller.isBusy()).isTrue();
         caller.closeIfIdle();
         assertThat(channel.isOpen()).isTrue();
     }
--- a/transport/src/test/java/org/hornbeampass/transport/relay/LeftCallerTest.java
+++ b/transport/src/test/java/org/hornbeampass/transport/relay/DisconnectedCallerTest.java
@@ -24,7 +24,7 @@
  * <p>A VM that has just started, or whose loop stands still for another reason, reads requests
  * late; their callers' deadlines may have passed.
  */
-class LeftCallerTest {
+class DisconnectedCallerTest {
     private static final long STANDSTILL_MS = 1_000;
 
     private final EventLoops mLoops = EventLoops.create(1, "test");
--- a/transport/src/test/java/org/hornbeampass/transport/relay/HeadRulesTest.java
+++ b/transport/src/test/java/org/hornbeampass/transport/relay/HeadValidatorTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Checks that heads which two programs could read differently are refused. */
-class HeadRulesTest {
+class HeadValidatorTest {
     private static HttpRequest head(String uri) {
         HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, uri);
         head.headers().set("Host", "a");
@@ -19,7 +19,7 @@
     }
 
     private static boolean refused(HttpRequest head) {
-        return HeadRules.fault(head, CallerLimits.DEFAULT).isPresent();
+        return HeadValidator.validate(head, CallerLimits.DEFAULT).isPresent();
     }
 
     @Test
