--- a/transport/src/main/java/org/hornbeampass/transport/platform/HttpPlatform.java
+++ b/transport/src/main/java/org/hornbeampass/transport/platform/HttpPlatform.java
@@ -13,11 +13,12 @@
 import java.util.function.BiConsumer;
 
 /**
- * The platform's object API over HTTP, at several addresses.
+ * Calls the platform's object API over HTTP, at one of several addresses.
  *
- * <p>Invariants: a call of which a byte may have left is never sent again; one of which none has
- * left is tried at each address once. Calls go to one address until it fails, then to the next.
- * Thread-safe: the only state is the number of the present address.
+ * <p>Invariants: a call of which a byte may have been sent is never sent again; a call of which no
+ * byte was sent is tried at most as often as there are addresses. All calls use the same address
+ * until a call to it fails, then the next one. Thread-safe: the only state is the index of the
+ * current address.
  */
 public final class HttpPlatform implements Platform {
     private static final int MAX_ANSWER_BYTES = 64 << 20;
@@ -26,9 +27,9 @@
     private final PlatformSettings mSettings;
     private final Clock mClock;
     private final Map<String, String> mHeaders;
-    private final AtomicInteger mAddress = new AtomicInteger();
+    private final AtomicInteger mAddressIndex = new AtomicInteger();
 
-    /** Makes the platform; the client stays the caller's, who closes it. */
+    /** Creates the platform; the caller keeps ownership of the client and closes it. */
     public HttpPlatform(HttpClient client, PlatformSettings settings, Clock clock) {
         mClient = client;
         mSettings = settings;
@@ -47,9 +48,10 @@
     }
 
     private void attempt(PlatformCall call, int triesLeft, BiConsumer<Long, PlatformReply> done) {
-        int number = mAddress.get();
-        URI address = mSettings.addresses().get(number);
-        mClient.send(request(call, address), new Collector(call, number, triesLeft, done));
+        int addressIndex = mAddressIndex.get();
+        URI address = mSettings.addresses().get(addressIndex);
+        mClient.send(
+                request(call, address), new ReplyCollector(call, addressIndex, triesLeft, done));
     }
 
     private HttpClient.Request request(PlatformCall call, URI address) {
@@ -63,27 +65,27 @@
                 waitMs + mSettings.callTimeoutMs());
     }
 
-    private void leave(int number) {
-        mAddress.compareAndSet(number, (number + 1) % mSettings.addresses().size());
+    private void switchAddress(int failedIndex) {
+        mAddressIndex.compareAndSet(failedIndex, (failedIndex + 1) % mSettings.addresses().size());
     }
 
-    /** Collects the answer to one attempt. Used on one event loop. */
-    private final class Collector implements HttpClient.Listener {
+    /** Collects the answer to one attempt. Confined to one event loop. */
+    private final class ReplyCollector implements HttpClient.Listener {
         private final ByteArrayOutputStream mBody = new ByteArrayOutputStream();
         private final PlatformCall mCall;
-        private final int mNumber;
+        private final int mUsedIndex;
         private final int mTriesLeft;
         private final BiConsumer<Long, PlatformReply> mDone;
         private int mStatus;
         private boolean mTooLarge;
 
-        Collector(
+        ReplyCollector(
                 PlatformCall call,
-                int number,
+                int usedIndex,
                 int triesLeft,
                 BiConsumer<Long, PlatformReply> done) {
             mCall = call;
-            mNumber = number;
+            mUsedIndex = usedIndex;
             mTriesLeft = triesLeft;
             mDone = done;
         }
@@ -109,14 +111,14 @@
                                     "the answer is larger than " + MAX_ANSWER_BYTES + " bytes")
                             : PlatformCodec.reply(mCall, mStatus, mBody.toByteArray());
             if (reply instanceof PlatformReply.Unavailable) {
-                leave(mNumber);
+                switchAddress(mUsedIndex);
             }
             mDone.accept(mClock.nowMs(), reply);
         }
 
         @Override
         public void onFailure(boolean sent, String reason) {
-            leave(mNumber);
+            switchAddress(mUsedIndex);
             if (!sent && mTriesLeft > 1) {
                 attempt(mCall, mTriesLeft - 1, mDone);
                 return;
--- a/transport/src/main/java/org/hornbeampass/transport/platform/PlatformCodec.java
+++ b/transport/src/main/java/org/hornbeampass/transport/platform/PlatformCodec.java
@@ -13,10 +13,10 @@
 import java.util.function.Function;
 
 /**
- * Turns calls into HTTP requests and answers into replies.
+ * Encodes calls as HTTP requests and decodes HTTP answers into replies.
  *
- * <p>Invariant: an answer that does not fit its call is {@code Unavailable}, so that nothing is
- * concluded from it. Stateless; safe for use by any thread.
+ * <p>Invariant: an answer that is not valid for its call becomes {@code Unavailable}, so that no
+ * conclusion about the stored object is drawn from it. Stateless; thread-safe.
  */
 final class PlatformCodec {
     private static final byte[] NO_BODY = new byte[0];
@@ -67,7 +67,7 @@
     static PlatformReply reply(PlatformCall call, int status, byte[] body) {
         String text = new String(body, StandardCharsets.UTF_8);
         if (status == PlatformPaths.STATUS_OK) {
-            return carriedOut(call, text);
+            return successReply(call, text);
         }
         if (status == PlatformPaths.STATUS_THROTTLED) {
             return new PlatformReply.Throttled();
@@ -79,55 +79,55 @@
             return new PlatformReply.WatchGap();
         }
         if (status == PlatformPaths.STATUS_CONFLICT && call.kind() == PlatformCall.Kind.WRITE) {
-            return decoded(text, PlatformBodies.ConflictBody.class, PlatformCodec::conflict);
+            return decodeReply(text, PlatformBodies.ConflictBody.class, PlatformCodec::toConflict);
         }
         return new PlatformReply.Unavailable("the platform answered with status " + status);
     }
 
-    private static PlatformReply carriedOut(PlatformCall call, String text) {
+    private static PlatformReply successReply(PlatformCall call, String text) {
         if (call instanceof PlatformCall.Get) {
-            return decoded(
+            return decodeReply(
                     text,
                     PlatformBodies.ObjectBody.class,
                     b -> new PlatformReply.Found(b.toObject()));
         }
         if (call instanceof PlatformCall.ListObjects) {
-            return decoded(text, PlatformBodies.ListBody.class, PlatformCodec::listed);
+            return decodeReply(text, PlatformBodies.ListBody.class, PlatformCodec::toListed);
         }
         if (call instanceof PlatformCall.Watch) {
-            return decoded(text, PlatformBodies.ChangesBody.class, PlatformCodec::changed);
+            return decodeReply(text, PlatformBodies.ChangesBody.class, PlatformCodec::toChanged);
         }
-        return decoded(
+        return decodeReply(
                 text,
                 PlatformBodies.WrittenBody.class,
                 b -> new PlatformReply.Written(b.version()));
     }
 
-    private static PlatformReply conflict(PlatformBodies.ConflictBody body) {
+    private static PlatformReply toConflict(PlatformBodies.ConflictBody body) {
         return new PlatformReply.Conflict(body.current().map(PlatformBodies.ObjectBody::toObject));
     }
 
-    private static PlatformReply listed(PlatformBodies.ListBody body) {
+    private static PlatformReply toListed(PlatformBodies.ListBody body) {
         return new PlatformReply.Listed(
                 body.objects().stream().map(PlatformBodies.ObjectBody::toObject).toList(),
                 body.more(),
                 body.storeVersion());
     }
 
-    private static PlatformReply changed(PlatformBodies.ChangesBody body) {
+    private static PlatformReply toChanged(PlatformBodies.ChangesBody body) {
         return new PlatformReply.Changed(
                 body.changes().stream().map(PlatformBodies.ChangeBody::toChange).toList(),
                 body.upToVersion());
     }
 
-    private static <B> PlatformReply decoded(
+    private static <B> PlatformReply decodeReply(
             String text, Class<B> type, Function<B, PlatformReply> reply) {
         Either<Failure, B> body = Json.decode(text, type);
         if (body.isLeft()) {
             return new PlatformReply.Unavailable(body.getLeft().message());
         }
         if (body.get() == null) {
-            return new PlatformReply.Unavailable("the platform's answer is null");
+            return new PlatformReply.Unavailable("the body of the platform's answer is null");
         }
         return reply.apply(body.get());
     }
--- a/transport/src/main/java/org/hornbeampass/transport/platform/package-info.java
+++ b/transport/src/main/java/org/hornbeampass/transport/platform/package-info.java
@@ -1,2 +1,2 @@
-/** The platform's object API over HTTP. */
+/** A client for the platform's object API over HTTP. */
 package org.hornbeampass.transport.platform;
--- a/transport/src/main/java/org/hornbeampass/transport/relay/CallerConnection.java
+++ b/transport/src/main/java/org/hornbeampass/transport/relay/CallerConnection.java
@@ -31,43 +31,48 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One caller's connection: its requests one after another, each answered before the next is taken.
+ * Handles the connection of one caller: processes its requests one after another and answers each
+ * before it hands over the next.
  *
- * <p>Invariants: at most one request is in the handler's hands; an answer that ends early closes
- * the connection, so that it can't look whole; a connection on which part of a body is still to
- * come is closed after its answer. Confined to the channel's event loop.
+ * <p>Invariants: the handler processes at most one request at a time. An answer that ends early
+ * closes the connection, so that the caller can't mistake it for a complete one. If part of a large
+ * request body is still to be received when the answer ends, the connection is closed after the
+ * answer. Confined to the channel's event loop.
  */
 public final class CallerConnection extends ChannelInboundHandlerAdapter {
-    /** Requests that were sent ahead and wait; more than this stops reading. */
+    /** Reading stops while more decoded messages than this are queued, as with pipelining. */
     private static final int MAX_QUEUED = 64;
 
-    /** A rest of a body that is read and dropped, so that the connection can be kept. */
-    private static final long MAX_DROPPED_BYTES = 128 << 10;
+    /**
+     * The largest request body of which an unread rest is read and discarded after the answer, so
+     * that the connection can be kept.
+     */
+    private static final long MAX_DISCARDED_BYTES = 128 << 10;
 
     /**
      * How long ago the connection may have been read when a request is handed over, in
-     * milliseconds. Where more requests were read at once than are handled in that time, as on a
-     * cold VM, the connection is read again first: its caller may have left, and a request is to
-     * reach no upstream half a second after that.
+     * milliseconds. If more requests were read at once than can be handled in that time, as on a VM
+     * that has just started, the connection is read again first: its caller may have disconnected,
+     * and no request may reach an upstream half a second after its caller disconnected.
      */
-    private static final long FRESH_MS = 100;
+    private static final long MAX_READ_AGE_MS = 100;
 
     private final CallerServer mServer;
     private final Clock mClock;
     private final ArrayDeque<HttpObject> mQueued = new ArrayDeque<>();
     private Channel mChannel;
     private Optional<CallerListener> mListener = Optional.empty();
-    private boolean mBodyWhole = true;
+    private boolean mBodyComplete = true;
     private boolean mAnswered;
-    private boolean mSmallBody;
+    private boolean mBodyDiscardable;
     private boolean mKeepAlive = true;
     private boolean mHttp10;
-    private boolean mGone;
+    private boolean mClosed;
     private boolean mDelivering;
-    private boolean mReading;
-    private long mReadMs;
+    private boolean mDeliveryPending;
+    private long mLastReadMs;
     private long mIdleSinceMs;
-    private long mHeadSinceMs = -1;
+    private long mHeadStartedMs = -1;
 
     CallerConnection(CallerServer server, Clock clock) {
         mServer = server;
@@ -80,63 +85,65 @@
         mChannel = context.channel();
     }
 
-    /** Notes that bytes have arrived, before they are decoded. */
+    /** Records when the first bytes of a head arrived. Called before bytes are decoded. */
     void onBytes() {
-        if (mListener.isEmpty() && mHeadSinceMs < 0) {
-            mHeadSinceMs = mClock.nowMs();
+        if (mListener.isEmpty() && mHeadStartedMs < 0) {
+            mHeadStartedMs = mClock.nowMs();
         }
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
-        if (mGone) {
-            ReferenceCountUtil.release(message); // Decoded after the connection was given up.
+        if (mClosed) {
+            ReferenceCountUtil.release(message); // Decoded after the connection was closed.
             return;
         }
         mQueued.add((HttpObject) message);
-        mReading |= message instanceof HttpRequest;
+        mDeliveryPending |= message instanceof HttpRequest;
         deliver();
     }
 
     /**
-     * Hands over what was read, once the end of the connection has been noticed where it had come:
-     * the channel is closed right after this, and before the tasks of the loop.
+     * Schedules the handover of the requests that were read. If the caller had already closed the
+     * connection, Netty closes the channel right after this method and before it runs the tasks of
+     * the event loop, so that the scheduled task finds the channel inactive.
      */
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
-        if (!mReading) {
+        if (!mDeliveryPending) {
             return;
         }
-        mReadMs = mClock.nowMs();
-        mChannel.eventLoop().execute(this::deliverRead);
+        mLastReadMs = mClock.nowMs();
+        mChannel.eventLoop().execute(this::deliverIfRecent);
     }
 
-    private void deliverRead() {
+    private void deliverIfRecent() {
         if (!mChannel.isActive()) {
             return;
         }
-        boolean old = mClock.nowMs() - mReadMs > FRESH_MS;
-        if (old) {
-            mReadMs = mClock.nowMs();
-            // Due at once, and run after the next look at the sockets.
-            var unused = mChannel.eventLoop().schedule(this::deliverRead, 0, TimeUnit.MILLISECONDS);
+        boolean outdated = mClock.nowMs() - mLastReadMs > MAX_READ_AGE_MS;
+        if (outdated) {
+            mLastReadMs = mClock.nowMs();
+            // Due at once, but runs only after the event loop has polled the sockets again.
+            var unused =
+                    mChannel.eventLoop().schedule(this::deliverIfRecent, 0, TimeUnit.MILLISECONDS);
             return;
         }
-        mReading = false;
+        mDeliveryPending = false;
         deliver();
     }
 
     private void deliver() {
-        if (mDelivering || mReading) {
+        if (mDelivering || mDeliveryPending) {
             return;
         }
         mDelivering = true;
-        while (!mQueued.isEmpty() && !mGone) {
+        while (!mQueued.isEmpty() && !mClosed) {
             boolean isHead = mQueued.peek() instanceof HttpRequest;
             if (isHead && mListener.isPresent()) {
                 break;
             }
-            take(mQueued.poll());
+            handle(mQueued.poll());
         }
         mDelivering = false;
         if (mQueued.size() > MAX_QUEUED) {
@@ -144,28 +151,28 @@
         }
     }
 
-    private void take(HttpObject message) {
+    private void handle(HttpObject message) {
         long nowMs = mClock.nowMs();
         if (message.decoderResult().isFailure()) {
             ReferenceCountUtil.release(message);
-            undecodable(nowMs, message.decoderResult().cause());
+            onUndecodable(nowMs, message.decoderResult().cause());
             return;
         }
         if (message instanceof HttpRequest head) {
-            takeHead(nowMs, head);
+            handleHead(nowMs, head);
         }
         if (message instanceof HttpContent content) {
-            takeContent(nowMs, content);
+            handleContent(nowMs, content);
         }
     }
 
-    private void takeHead(long nowMs, HttpRequest head) {
-        mHeadSinceMs = -1;
+    private void handleHead(long nowMs, HttpRequest head) {
+        mHeadStartedMs = -1;
         mHttp10 = !head.protocolVersion().equals(HttpVersion.HTTP_1_1);
         mKeepAlive = HttpUtil.isKeepAlive(head) && !mHttp10;
-        mBodyWhole = false;
+        mBodyComplete = false;
         mAnswered = false;
-        mSmallBody = HttpUtil.getContentLength(head, Long.MAX_VALUE) <= MAX_DROPPED_BYTES;
+        mBodyDiscardable = HttpUtil.getContentLength(head, Long.MAX_VALUE) <= MAX_DISCARDED_BYTES;
         Optional<Failure> fault = HeadValidator.validate(head, mServer.limits());
         if (fault.isPresent()) {
             mKeepAlive = false;
@@ -181,12 +188,12 @@
         }
         mListener = Optional.of(CallerListener.IGNORING);
         CallerListener listener = mServer.handler().onRequest(nowMs, this, head);
-        if (!mAnswered && !mGone) {
+        if (!mAnswered && !mClosed) {
             mListener = Optional.of(listener);
         }
     }
 
-    private void takeContent(long nowMs, HttpContent content) {
+    private void handleContent(long nowMs, HttpContent content) {
         if (mListener.isEmpty()) {
             content.release();
             return;
@@ -198,7 +205,7 @@
             content.release();
         }
         if (content instanceof LastHttpContent) {
-            mBodyWhole = true;
+            mBodyComplete = true;
             if (mAnswered) {
                 mListener = Optional.empty();
             } else if (mListener.isPresent()) {
@@ -207,21 +214,21 @@
         }
     }
 
-    private void undecodable(long nowMs, Throwable cause) {
+    private void onUndecodable(long nowMs, Throwable cause) {
         mKeepAlive = false;
         if (mListener.isPresent()) {
-            leave(nowMs);
+            onCallerLeft(nowMs);
             Channels.close(mChannel);
             return;
         }
         mListener = Optional.of(CallerListener.IGNORING);
-        mBodyWhole = false;
+        mBodyComplete = false;
         fail(HeadValidator.undecodable(cause));
     }
 
-    /** Writes the head of an answer whose body follows. */
+    /** Writes the head of an answer whose body follows, without flushing it. */
     public void sendHead(HttpResponse head) {
-        if (mGone) {
+        if (mClosed) {
             return;
         }
         boolean hasBody = !HttpUtil.isContentLengthSet(head) && mayHaveBody(head);
@@ -242,32 +249,32 @@
     }
 
     private boolean keepsAlive() {
-        return mKeepAlive && (mBodyWhole || mSmallBody) && !mServer.isDraining();
+        return mKeepAlive && (mBodyComplete || mBodyDiscardable) && !mServer.isDraining();
     }
 
-    /** Writes a part of the body, which is released. */
+    /** Writes a part of the answer's body and releases it, also if the connection is closed. */
     public void sendPart(HttpContent part) {
-        if (mGone) {
+        if (mClosed) {
             part.release();
             return;
         }
         var unused = mChannel.write(part, mChannel.voidPromise());
     }
 
-    /** Sends what was written on its way. */
+    /** Flushes everything that was written to the socket. */
     public void flush() {
         mChannel.flush();
     }
 
-    /** Ends the answer properly; the next request is taken. */
+    /** Completes the answer; then the next request is handed over or the connection closed. */
     public void sendEnd() {
-        if (mGone) {
+        if (mClosed) {
             return;
         }
         finish(LastHttpContent.EMPTY_LAST_CONTENT);
     }
 
-    /** Answers with a failure; only before {@link #sendHead}. */
+    /** Answers with the error that a failure maps to; only before {@link #sendHead}. */
     public void fail(Failure failure) {
         ErrorAnswer answer = ErrorAnswer.of(failure);
         Map<String, String> headers = new HashMap<>(answer.headers());
@@ -281,9 +288,9 @@
         respond(answer.status(), headers, answer.body());
     }
 
-    /** Answers whole; only before {@link #sendHead}. */
+    /** Sends a complete answer; only before {@link #sendHead}. */
     public void respond(int status, Map<String, String> headers, byte[] body) {
-        if (mGone) {
+        if (mClosed) {
             return;
         }
         FullHttpResponse response =
@@ -302,13 +309,13 @@
     private void finish(HttpObject last) {
         boolean close = !keepsAlive();
         mAnswered = true;
-        mListener = mBodyWhole ? Optional.empty() : Optional.of(CallerListener.IGNORING);
+        mListener = mBodyComplete ? Optional.empty() : Optional.of(CallerListener.IGNORING);
         mIdleSinceMs = mClock.nowMs();
         var written = mChannel.writeAndFlush(last);
         if (close) {
-            mGone = true;
+            mClosed = true;
             mListener = Optional.empty();
-            dropQueued();
+            releaseQueued();
             written.addListener(done -> Channels.close(mChannel));
             return;
         }
@@ -316,48 +323,48 @@
         deliver();
     }
 
-    /** Closes the connection within or before an answer, so that the answer can't look whole. */
+    /** Closes the connection without completing the answer, so that it can't look complete. */
     public void abort() {
-        mGone = true;
+        mClosed = true;
         mListener = Optional.empty();
-        dropQueued();
+        releaseQueued();
         Channels.close(mChannel);
     }
 
-    /** Returns whether the caller takes more without it piling up here. */
+    /** Returns whether the write buffer is below its high-water mark. */
     public boolean isWritable() {
         return mChannel.isWritable();
     }
 
-    /** Stops or resumes reading the request's body. */
+    /** Stops or resumes reading the request's body from the socket. */
     public void setReading(boolean on) {
         mChannel.config().setAutoRead(on);
     }
 
-    /** Returns whether a request is in progress, or was read and is to be handed over. */
+    /** Returns whether a request is in progress, or was read but not yet handed over. */
     boolean isBusy() {
-        return mListener.isPresent() || mReading;
+        return mListener.isPresent() || mDeliveryPending;
     }
 
-    /** Closes the connection where nothing is in progress. */
+    /** Closes the connection if no request is in progress or queued. */
     void closeIfIdle() {
         if (!isBusy() && mQueued.isEmpty()) {
             abort();
         }
     }
 
-    /** Closes the connection where the caller has been idle, or slow with a head, for too long. */
+    /** Closes the connection if it was idle, or a head incomplete, for longer than the limits. */
     void closeIfSlow(long nowMs) {
         if (isBusy()) {
             return;
         }
-        if (mHeadSinceMs >= 0 && nowMs - mHeadSinceMs > mServer.limits().headTimeoutMs()) {
+        if (mHeadStartedMs >= 0 && nowMs - mHeadStartedMs > mServer.limits().headTimeoutMs()) {
             mListener = Optional.of(CallerListener.IGNORING);
-            mBodyWhole = false;
+            mBodyComplete = false;
             fail(HeadValidator.slowHead());
             return;
         }
-        if (mHeadSinceMs < 0 && nowMs - mIdleSinceMs > mServer.limits().idleTimeoutMs()) {
+        if (mHeadStartedMs < 0 && nowMs - mIdleSinceMs > mServer.limits().idleTimeoutMs()) {
             abort();
         }
     }
@@ -372,28 +379,28 @@
     @Override
     public void channelInactive(ChannelHandlerContext context) {
         mServer.onClosed(this);
-        leave(mClock.nowMs());
+        onCallerLeft(mClock.nowMs());
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         mServer.onFault(cause);
-        leave(mClock.nowMs());
+        onCallerLeft(mClock.nowMs());
         Channels.close(mChannel);
     }
 
-    private void leave(long nowMs) {
-        if (mGone) {
+    private void onCallerLeft(long nowMs) {
+        if (mClosed) {
             return;
         }
-        mGone = true;
-        dropQueued();
+        mClosed = true;
+        releaseQueued();
         Optional<CallerListener> listener = mListener;
         mListener = Optional.empty();
         listener.ifPresent(l -> l.onCallerGone(nowMs));
     }
 
-    private void dropQueued() {
+    private void releaseQueued() {
         while (!mQueued.isEmpty()) {
             ReferenceCountUtil.release(mQueued.poll());
         }
--- a/transport/src/main/java/org/hornbeampass/transport/relay/CallerListener.java
+++ b/transport/src/main/java/org/hornbeampass/transport/relay/CallerListener.java
@@ -3,12 +3,12 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * Hears of one request's body and of its caller.
+ * Receives the body of one request and events of its caller's connection.
  *
  * <p>Called on the connection's event loop only.
  */
 public interface CallerListener {
-    /** Drops the body of a request that was answered at its head. */
+    /** Discards the body of a request that was answered before its body was received. */
     CallerListener IGNORING =
             new CallerListener() {
                 @Override
@@ -34,12 +34,12 @@
      */
     void onBody(long nowMs, ByteBuf part);
 
-    /** The body is whole. */
+    /** The body has been received completely. */
     void onBodyEnd(long nowMs);
 
-    /** The caller has closed its connection, or sent what is no request. */
+    /** The caller has closed its connection or sent bytes that are not a valid HTTP request. */
     void onCallerGone(long nowMs);
 
-    /** The caller has caught up with what was written. */
+    /** The caller's connection takes data again: its write buffer has drained. */
     void onCallerWritable(long nowMs);
 }
--- a/transport/src/main/java/org/hornbeampass/transport/relay/CallerServer.java
+++ b/transport/src/main/java/org/hornbeampass/transport/relay/CallerServer.java
@@ -27,7 +27,8 @@
 import java.util.function.Supplier;
 
 /**
- * Listens for callers and hands their requests to a handler, head first.
+ * Accepts connections of callers and hands each request to a handler as soon as its head has
+ * arrived.
  *
  * <p>Confined to one event loop, on which it must be started, ticked and stopped.
  */
@@ -35,13 +36,13 @@
     private static final Logger LOG = LogManager.getLogger(CallerServer.class);
     private static final int BACKLOG = 1024;
 
-    /** The largest head that is decoded at all; the configured limit is at most this. */
+    /** The largest head that is decoded; a higher configured limit has no effect. */
     private static final int MAX_HEAD_BYTES = 64 << 10;
 
     private static final int LOW_WATER_BYTES = 16 << 10;
     private static final int HIGH_WATER_BYTES = 64 << 10;
 
-    /** How often one connection is read before the others have their turn; Netty's usual bound. */
+    /** How often one connection is read before the next one is served; Netty's default. */
     private static final int MAX_READS = 16;
 
     private final Clock mClock;
@@ -60,11 +61,11 @@
     /**
      * Starts listening.
      *
-     * @param loops the event loops, of which there must be one thread
-     * @param address where to listen
-     * @param clock the present time
-     * @param handler takes the requests
-     * @param limits gives what callers may send now
+     * @param loops the event loops, which must have exactly one thread
+     * @param address the address to listen on; port 0 picks a free port
+     * @param clock the source of the present time
+     * @param handler receives the requests
+     * @param limits supplies the limits for callers that apply at present
      * @throws IllegalStateException if the address can't be listened on
      */
     public static CallerServer start(
@@ -100,37 +101,37 @@
         mListener = bound.channel();
     }
 
-    /** Returns the address that is listened on, with the real port where 0 was asked for. */
+    /** Returns the address that the server listens on, with the real port if 0 was given. */
     public InetSocketAddress address() {
         return (InetSocketAddress) mListener.localAddress();
     }
 
-    /** Closes connections that have been idle, or slow with a head, for too long. */
+    /** Closes connections that were idle, or whose head was incomplete, for too long. */
     public void tick(long nowMs) {
         List.copyOf(mConnections).forEach(c -> c.closeIfSlow(nowMs));
     }
 
-    /** Closes each connection after its next answer from now on. */
+    /** From now on, closes each connection after its next answer. */
     public void drain() {
         mDraining = true;
     }
 
-    /** Takes no new connections from now on. */
+    /** Stops accepting new connections; those that are open stay open. */
     public void stopAccepting() {
         Channels.close(mListener);
     }
 
-    /** Closes the connections on which nothing is in progress. */
+    /** Closes the connections on which no request is in progress. */
     public void closeIdle() {
         List.copyOf(mConnections).forEach(CallerConnection::closeIfIdle);
     }
 
-    /** Returns on how many connections a request is in progress. */
+    /** Returns the number of connections on which a request is in progress. */
     public int busyConnections() {
         return (int) mConnections.stream().filter(CallerConnection::isBusy).count();
     }
 
-    /** Returns how many connections are open. */
+    /** Returns the number of open connections. */
     public int connections() {
         return mConnections.size();
     }
@@ -153,19 +154,19 @@
 
     void onFault(Throwable cause) {
         if (cause instanceof IOException) {
-            LOG.debug("a caller's connection broke: {}", cause.getMessage());
+            LOG.debug("a connection from a caller failed: {}", cause.getMessage());
         } else {
-            LOG.error("a caller's connection met an internal fault", cause);
+            LOG.error("internal error on a connection from a caller", cause);
         }
     }
 
-    /** Lays out the pipeline of each accepted connection. */
+    /** Sets up the pipeline of each accepted connection. */
     private final class Initializer extends ChannelInitializer<Channel> {
         @Override
         protected void initChannel(Channel channel) {
             CallerConnection connection = new CallerConnection(CallerServer.this, mClock);
             mConnections.add(connection);
-            // Reads on until nothing is left, so that a caller's end is seen with its last request.
+            // Reads until the socket is empty, to detect a caller's close with its last request.
             channel.config()
                     .setRecvByteBufAllocator(
                             new AdaptiveRecvByteBufAllocator()
@@ -183,7 +184,7 @@
         }
     }
 
-    /** Tells a connection of bytes before they are decoded, so that a slow head is noticed. */
+    /** Notifies a connection of bytes before they are decoded, to detect slow heads. */
     private static final class ByteListener extends ChannelInboundHandlerAdapter {
         private final CallerConnection mConnection;
 
--- a/transport/src/main/java/org/hornbeampass/transport/relay/EventScanner.java
+++ b/transport/src/main/java/org/hornbeampass/transport/relay/EventScanner.java
@@ -3,9 +3,11 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * Finds the ends and the ids of events in a stream of {@code text/event-stream}.
+ * Finds the ends and the ids of server-sent events in a {@code text/event-stream} that arrives in
+ * parts.
  *
- * <p>Invariant: an event counts once the empty line after it has been seen. Not thread-safe.
+ * <p>Invariant: an event is reported only once the empty line after it has been scanned. Not
+ * thread-safe.
  */
 public final class EventScanner {
     private static final String ID = "id:";
@@ -15,20 +17,20 @@
     private int mLineLength;
     private int mMatched;
     private boolean mReadingId;
-    private boolean mAnyLine;
+    private boolean mEventHasLines;
 
     /**
-     * Takes the end of one event.
+     * Receives the end of each event.
      *
-     * <p>Implementations run while the buffer is scanned and must not change it.
+     * <p>Called while the buffer is scanned; implementations must not change the buffer.
      */
     @FunctionalInterface
     public interface Sink {
         /**
          * An event has ended.
          *
-         * @param endIndex the index in the buffer after its last byte
-         * @param id its id; -1 where it has none
+         * @param endIndex the index in the buffer after the event's last byte
+         * @param id the event's id; -1 if it has no numeric id
          */
         void onEvent(int endIndex, long id);
     }
@@ -44,13 +46,13 @@
                 onByte((char) (b & 0xFF));
                 continue;
             }
-            boolean endsEvent = mLineLength == 0 && mAnyLine;
-            mAnyLine |= mLineLength > 0;
+            boolean endsEvent = mLineLength == 0 && mEventHasLines;
+            mEventHasLines |= mLineLength > 0;
             startLine();
             if (endsEvent) {
                 long id = mEventId;
                 mEventId = NO_ID;
-                mAnyLine = false;
+                mEventHasLines = false;
                 sink.onEvent(i + 1, id);
             }
         }
--- a/transport/src/main/java/org/hornbeampass/transport/relay/HeadValidator.java
+++ b/transport/src/main/java/org/hornbeampass/transport/relay/HeadValidator.java
@@ -15,18 +15,18 @@
 import java.util.Optional;
 
 /**
- * Decides whether a request's head can be passed on safely.
+ * Checks whether the head of a request can be forwarded safely.
  *
- * <p>Guards against requests hidden inside others: a head whose length two programs could read
- * differently is refused. Stateless; safe for use by any thread.
+ * <p>Guards against request smuggling: rejects a head from which two programs could derive
+ * different body lengths. Stateless; thread-safe.
  */
 final class HeadValidator {
     private HeadValidator() {}
 
-    /** Returns what is wrong with a head, if anything. */
+    /** Returns the reason to reject a head; empty if the head is valid. */
     static Optional<Failure> validate(HttpRequest head, CallerLimits limits) {
         if (head.method().equals(HttpMethod.CONNECT) || !head.uri().startsWith("/")) {
-            return malformed("ask for a path that begins with a slash");
+            return malformed("the request target must be a path that begins with a slash");
         }
         if (head.protocolVersion().equals(HttpVersion.HTTP_1_1)
                 && head.headers().getAll(HttpHeaderNames.HOST).size() != 1) {
@@ -41,7 +41,7 @@
             return malformed("send Content-Length or Transfer-Encoding, not both");
         }
         if (!encodings.isEmpty() && !encodings.get(0).equalsIgnoreCase("chunked")) {
-            return malformed("the only transfer encoding taken is chunked");
+            return malformed("the only supported transfer encoding is chunked");
         }
         if (!lengths.isEmpty() && !lengths.get(0).chars().allMatch(c -> c >= '0' && c <= '9')) {
             return malformed("Content-Length must be a number");
@@ -51,25 +51,25 @@
                 : Optional.empty();
     }
 
-    /** Returns the failure of a body beyond its bound. */
+    /** Returns the failure for a body that is larger than the limit. */
     static Failure bodyTooLarge(CallerLimits limits) {
         return Failure.of(
                 ErrorKind.REQUEST_TOO_LARGE,
                 "send a body of at most " + limits.maxBodyBytes() + " bytes");
     }
 
-    /** Returns the failure of a head that took too long to arrive. */
+    /** Returns the failure for a head that took too long to arrive. */
     static Failure slowHead() {
         return Failure.of(ErrorKind.REQUEST_TOO_SLOW, "the head took too long to arrive");
     }
 
-    /** Returns the failure of bytes that could not be decoded. */
+    /** Returns the failure for bytes that could not be decoded. */
     static Failure undecodable(Throwable cause) {
         if (cause instanceof TooLongFrameException) {
             return Failure.of(
                     ErrorKind.HEAD_TOO_LARGE, "the request line or the headers are too long");
         }
-        return Failure.of(ErrorKind.MALFORMED_REQUEST, "this is not an HTTP/1.1 request");
+        return Failure.of(ErrorKind.MALFORMED_REQUEST, "this is not a valid HTTP/1.1 request");
     }
 
     private static Optional<Failure> malformed(String message) {
--- a/transport/src/main/java/org/hornbeampass/transport/relay/UpstreamConnection.java
+++ b/transport/src/main/java/org/hornbeampass/transport/relay/UpstreamConnection.java
@@ -19,15 +19,16 @@
 import java.util.Optional;
 
 /**
- * One connection to an upstream, with one request at a time.
+ * Sends requests to an upstream over one connection, one request at a time.
  *
- * <p>Invariants: bytes that come while no request is in progress close the connection, since they
- * belong to none; a connection is used again only where the last answer was whole and framed, said
- * nothing else, and the whole request had been written. Confined to the channel's event loop.
+ * <p>Invariants: bytes that arrive while no request is in progress close the connection, since they
+ * belong to no request. A connection is reused only if the last answer was complete, had explicit
+ * framing (a content length, chunked encoding or a status without a body) and did not ask to close
+ * the connection, and if the whole request had been written. Confined to the channel's event loop.
  */
 public final class UpstreamConnection extends ChannelInboundHandlerAdapter {
-    /** For how long an idle connection is trusted where the upstream states no time. */
-    private static final long UNSTATED_IDLE_MS = 400;
+    /** How long an idle connection may be reused if the upstream states no timeout. */
+    private static final long DEFAULT_IDLE_LIMIT_MS = 400;
 
     private static final String KEEP_ALIVE = "keep-alive";
     private static final String TIMEOUT = "timeout=";
@@ -37,13 +38,13 @@
     private final Clock mClock;
     private Channel mChannel;
     private Optional<UpstreamListener> mListener = Optional.empty();
-    private boolean mTaken;
-    private boolean mSkipping;
+    private boolean mHeadAccepted;
+    private boolean mSkippingAnswer;
     private boolean mReusable;
     private boolean mRequestWritten;
-    private boolean mFaulty;
+    private boolean mFailed;
     private boolean mClosed;
-    private long mIdleLimitMs = UNSTATED_IDLE_MS;
+    private long mIdleLimitMs = DEFAULT_IDLE_LIMIT_MS;
     private long mIdleSinceMs;
 
     UpstreamConnection(UpstreamPool pool, String address, Clock clock) {
@@ -57,64 +58,64 @@
         mChannel = context.channel();
     }
 
-    /** Sends the head of a request whose answer goes to a listener. */
+    /** Writes the head of a request, without flushing it; the listener receives the answer. */
     public void start(HttpRequest head, UpstreamListener listener) {
         mListener = Optional.of(listener);
-        mTaken = false;
-        mSkipping = false;
+        mHeadAccepted = false;
+        mSkippingAnswer = false;
         mRequestWritten = false;
         mReusable = false;
         var unused = mChannel.write(head, mChannel.voidPromise());
     }
 
-    /** Sends a part of the request's body, which is released. */
+    /** Writes a part of the request's body and releases it. */
     public void sendPart(ByteBuf part) {
         var unused = mChannel.write(new DefaultHttpContent(part), mChannel.voidPromise());
     }
 
-    /** Ends the request's body. */
+    /** Ends the request's body and flushes it. */
     public void sendEnd() {
         var unused =
                 mChannel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT)
                         .addListener(written -> mRequestWritten = written.isSuccess());
     }
 
-    /** Sends what was written on its way. */
+    /** Flushes everything that was written to the socket. */
     public void flush() {
         mChannel.flush();
     }
 
-    /** Returns whether the upstream takes more without it piling up here. */
+    /** Returns whether the write buffer is below its high-water mark. */
     public boolean isWritable() {
         return mChannel.isWritable();
     }
 
-    /** Stops or resumes reading the answer. */
+    /** Stops or resumes reading the answer from the socket. */
     public void setReading(boolean on) {
         if (mChannel.config().isAutoRead() != on) {
             mChannel.config().setAutoRead(on);
         }
     }
 
-    /** Gives the request up: the upstream sees the connection close, and nothing more is heard. */
+    /** Cancels the request by closing the connection; the listener is not called any more. */
     public void cancel() {
         mListener = Optional.empty();
         close();
     }
 
-    /** Keeps a connection that was just opened for a later request. */
+    /** Returns the connection to the pool, to be used for a later request. */
     void returnToPool() {
         mIdleSinceMs = mClock.nowMs();
         mPool.onIdle(this);
     }
 
-    /** Returns whether it can take another request. */
+    /** Returns whether it is open and was idle for less than a given and its own limit. */
     boolean isFresh(long nowMs, long maxIdleMs) {
         long idleMs = nowMs - mIdleSinceMs;
         return mChannel.isActive() && !mClosed && idleMs < Math.min(maxIdleMs, mIdleLimitMs);
     }
 
-    /** Returns whether it has been idle for longer than the upstream keeps it. */
+    /** Returns whether the connection has been idle for as long as it may be reused. */
     boolean isExpired(long nowMs) {
         return nowMs - mIdleSinceMs >= mIdleLimitMs;
     }
@@ -138,40 +139,43 @@
         }
         if (object.decoderResult().isFailure()) {
             ReferenceCountUtil.release(message);
-            broken("the upstream sent what is no answer");
+            onConnectionBroken("the upstream sent an invalid HTTP response");
             return;
         }
         if (object instanceof HttpResponse head) {
-            takeHead(head);
+            handleHead(head);
         }
         if (object instanceof HttpContent content) {
-            takeContent(content);
+            handleContent(content);
         }
     }
 
-    private void takeHead(HttpResponse head) {
+    private void handleHead(HttpResponse head) {
         int status = head.status().code();
         boolean informational = status >= 100 && status < 200;
-        mSkipping = informational || !mListener.orElseThrow().onHead(mClock.nowMs(), head);
-        if (mSkipping) {
+        mSkippingAnswer = informational || !mListener.orElseThrow().onHead(mClock.nowMs(), head);
+        if (mSkippingAnswer) {
             return;
         }
-        mTaken = true;
+        mHeadAccepted = true;
         boolean framed =
                 HttpUtil.isContentLengthSet(head)
                         || HttpUtil.isTransferEncodingChunked(head)
                         || status == 204
                         || status == 304;
         mReusable = framed && HttpUtil.isKeepAlive(head);
-        mIdleLimitMs = idleLimit(head);
+        mIdleLimitMs = parseIdleLimitMs(head);
     }
 
-    /** Four fifths of what the upstream states, so that a request does not cross its close. */
-    private static long idleLimit(HttpResponse head) {
+    /**
+     * Returns four fifths of the idle timeout that the upstream states, in milliseconds, so that no
+     * request is sent just as the upstream closes the connection.
+     */
+    private static long parseIdleLimitMs(HttpResponse head) {
         String stated = head.headers().get(KEEP_ALIVE);
         int at = stated == null ? -1 : stated.indexOf(TIMEOUT);
         if (at < 0) {
-            return UNSTATED_IDLE_MS;
+            return DEFAULT_IDLE_LIMIT_MS;
         }
         long seconds = 0;
         for (int i = at + TIMEOUT.length(); i < stated.length(); i++) {
@@ -184,9 +188,9 @@
         return seconds * 800;
     }
 
-    private void takeContent(HttpContent content) {
+    private void handleContent(HttpContent content) {
         boolean last = content instanceof LastHttpContent;
-        if (mSkipping || !mTaken || mListener.isEmpty()) {
+        if (mSkippingAnswer || !mHeadAccepted || mListener.isEmpty()) {
             content.release();
             return;
         }
@@ -196,12 +200,12 @@
         } else {
             content.release();
         }
-        if (last && mListener.isPresent() && !mFaulty) {
-            ended(listener);
+        if (last && mListener.isPresent() && !mFailed) {
+            onAnswerEnded(listener);
         }
     }
 
-    private void ended(UpstreamListener listener) {
+    private void onAnswerEnded(UpstreamListener listener) {
         mListener = Optional.empty();
         if (mReusable && mRequestWritten) {
             returnToPool();
@@ -211,7 +215,7 @@
         listener.onEnd(mClock.nowMs());
     }
 
-    private void broken(String reason) {
+    private void onConnectionBroken(String reason) {
         Optional<UpstreamListener> listener = mListener;
         mListener = Optional.empty();
         close();
@@ -233,14 +237,15 @@
     @Override
     public void channelInactive(ChannelHandlerContext context) {
         mPool.onClosed(this);
-        broken("the upstream closed the connection");
+        onConnectionBroken("the upstream closed the connection");
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        // The decoder ends an unframed answer when its connection closes, also after a reset.
-        mFaulty = true;
+        // When a connection closes, even by a reset, the decoder reports the end of an answer
+        // without framing. The flag keeps such an answer from being taken for a complete one.
+        mFailed = true;
         mPool.onFault(cause);
-        broken("the connection to the upstream broke: " + cause.getMessage());
+        onConnectionBroken("the connection to the upstream failed: " + cause.getMessage());
     }
 }
--- a/transport/src/main/java/org/hornbeampass/transport/relay/UpstreamListener.java
+++ b/transport/src/main/java/org/hornbeampass/transport/relay/UpstreamListener.java
@@ -4,8 +4,9 @@
 import io.netty.handler.codec.http.HttpResponse;
 
 /**
- * Hears of the answer to one request at an upstream: heads until one is taken, then parts, then the
- * end; or of a break at any point, after which nothing follows.
+ * Receives the answer of an upstream to one request: heads until one is accepted, then the parts of
+ * the body, then the end. The connection may break at any point, after which no further call
+ * follows.
  *
  * <p>Called on the connection's event loop only.
  */
@@ -15,7 +16,7 @@
      *
      * @param nowMs the present time in milliseconds
      * @param head the head
-     * @return whether it answers this request; if not, that answer is skipped
+     * @return whether the head belongs to the answer to this request; if not, it is skipped
      */
     boolean onHead(long nowMs, HttpResponse head);
 
@@ -27,20 +28,20 @@
      */
     void onPart(long nowMs, ByteBuf part);
 
-    /** All that had arrived has been given to the listener. */
+    /** Everything that was read from the socket so far has been passed to the listener. */
     void onReadComplete(long nowMs);
 
-    /** The answer is whole. */
+    /** The answer has been received completely. */
     void onEnd(long nowMs);
 
     /**
-     * The connection broke, or carried what is no answer.
+     * The connection broke or carried an invalid HTTP response.
      *
      * @param nowMs the present time in milliseconds
      * @param reason what happened, for logs
      */
     void onBroken(long nowMs, String reason);
 
-    /** The upstream has caught up with what was written. */
+    /** The connection to the upstream takes data again: its write buffer has drained. */
     void onUpstreamWritable(long nowMs);
 }
--- a/transport/src/main/java/org/hornbeampass/transport/relay/UpstreamPool.java
+++ b/transport/src/main/java/org/hornbeampass/transport/relay/UpstreamPool.java
@@ -23,9 +23,9 @@
 import java.util.function.Consumer;
 
 /**
- * The connections to upstreams, kept for further requests while they are fresh.
+ * Opens connections to upstreams and keeps idle ones for reuse until their idle limit.
  *
- * <p>Invariant: a connection is in use by one request at most. Confined to one event loop.
+ * <p>Invariant: a connection is used by at most one request at a time. Confined to one event loop.
  */
 public final class UpstreamPool {
     private static final Logger LOG = LogManager.getLogger(UpstreamPool.class);
@@ -40,20 +40,20 @@
     private final Map<String, ArrayDeque<UpstreamConnection>> mIdle = new HashMap<>();
     private long mOpened;
 
-    /** Makes an empty pool on event loops of one thread. */
+    /** Creates an empty pool; the event loops must have exactly one thread. */
     public UpstreamPool(EventLoops loops, Clock clock) {
         mLoops = loops;
         mClock = clock;
     }
 
     /**
-     * Finds or opens a connection.
+     * Reuses an idle connection to an upstream or opens a new one.
      *
      * @param nowMs the present time in milliseconds
-     * @param address the upstream's address, as an IP number and a port
-     * @param maxIdleMs how long a kept connection may have been idle, in milliseconds
-     * @param connectTimeoutMs how long a new connection may take, in milliseconds
-     * @param done takes the connection; empty where none could be opened; run once, on the loop
+     * @param address the upstream's address, as an IP address and a port
+     * @param maxIdleMs how long a reused connection may have been idle, in milliseconds
+     * @param connectTimeoutMs how long opening a connection may take, in milliseconds
+     * @param done receives the connection, or empty if none could be opened; run once, on the loop
      */
     public void connect(
             long nowMs,
@@ -70,12 +70,12 @@
     }
 
     /**
-     * Finds out whether anybody listens at an address; a connection that opens is kept for
+     * Checks whether an address accepts connections; a connection that opens is kept for later
      * requests.
      *
-     * @param address the upstream's address, as an IP number and a port
-     * @param connectTimeoutMs how long the connection may take, in milliseconds
-     * @param done takes whether it opened; run once, on the loop
+     * @param address the upstream's address, as an IP address and a port
+     * @param connectTimeoutMs how long opening the connection may take, in milliseconds
+     * @param done receives whether the connection opened; run once, on the loop
      */
     public void probe(String address, int connectTimeoutMs, Consumer<Boolean> done) {
         open(
@@ -115,7 +115,7 @@
                 address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
     }
 
-    /** Closes kept connections that their upstream is about to close. */
+    /** Closes idle connections that their upstream is about to close. */
     public void tick(long nowMs) {
         for (ArrayDeque<UpstreamConnection> idle : mIdle.values()) {
             while (!idle.isEmpty() && idle.peekFirst().isExpired(nowMs)) {
@@ -125,7 +125,7 @@
         mIdle.values().removeIf(ArrayDeque::isEmpty);
     }
 
-    /** Closes the kept connections to an address: whoever listened there has ended. */
+    /** Closes the idle connections to an address, since the process that listened there ended. */
     public void closeIdle(String address) {
         ArrayDeque<UpstreamConnection> idle = mIdle.remove(address);
         if (idle != null) {
@@ -133,7 +133,7 @@
         }
     }
 
-    /** Returns how many connections were opened so far. */
+    /** Returns the number of attempts to open a connection since the start. */
     public long openedConnections() {
         return mOpened;
     }
@@ -151,13 +151,13 @@
 
     void onFault(Throwable cause) {
         if (cause instanceof IOException) {
-            LOG.debug("a connection to an upstream broke: {}", cause.getMessage());
+            LOG.debug("a connection to an upstream failed: {}", cause.getMessage());
         } else {
-            LOG.error("a connection to an upstream met an internal fault", cause);
+            LOG.error("internal error on a connection to an upstream", cause);
         }
     }
 
-    /** Lays out the pipeline of a new connection. */
+    /** Sets up the pipeline of a new connection. */
     private static final class Initializer extends ChannelInitializer<Channel> {
         private final UpstreamConnection mConnection;
 
--- a/transport/src/main/java/org/hornbeampass/transport/relay/package-info.java
+++ b/transport/src/main/java/org/hornbeampass/transport/relay/package-info.java
@@ -1,2 +1,2 @@
-/** Connections of callers and to upstreams over which answers are passed on as they come. */
+/** Connections from callers and to upstreams, which forward answers while they arrive. */
 package org.hornbeampass.transport.relay;
--- a/transport/src/test/java/org/hornbeampass/transport/platform/HttpPlatformTest.java
+++ b/transport/src/test/java/org/hornbeampass/transport/platform/HttpPlatformTest.java
@@ -27,7 +27,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Tests {@link HttpPlatform} against an endpoint in the shape of the object API. */
+/** Tests {@link HttpPlatform} against an HTTP server that implements the object API. */
 class HttpPlatformTest {
     private static final long WAIT_S = 20;
 
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void calls_giveTheRepliesOfThePlatformBehind() throws Exception {
+    void calls_returnTheRepliesOfTheServedPlatform() throws Exception {
         HttpPlatform platform = platform(serve(new PlatformEndpoint()));
         String key = "budgets/a b%/ü?x=1&y+z#";
 
@@ -83,13 +83,13 @@
     }
 
     @Test
-    void otherBody_isUnavailable() throws Exception {
+    void unexpectedBody_isUnavailable() throws Exception {
         assertThat(replyToStatus(200, "[]")).isInstanceOf(PlatformReply.Unavailable.class);
         assertThat(replyToStatus(200, "null")).isInstanceOf(PlatformReply.Unavailable.class);
     }
 
     @Test
-    void deadAddress_isSkippedAsNothingWasSent() throws Exception {
+    void closedAddress_isSkippedSinceNothingWasSent() throws Exception {
         HttpServer dead = serve(new PlatformEndpoint());
         HttpServer live = serve(new PlatformEndpoint());
         dead.close().get(WAIT_S, TimeUnit.SECONDS);
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void lostAnswer_isUnavailableAndNotSentAgain() throws Exception {
+    void abortedAnswer_isUnavailableAndNotRetried() throws Exception {
         AtomicInteger arrived = new AtomicInteger();
         HttpHandler losing =
                 (now, exchange) -> {
@@ -116,7 +116,7 @@
     }
 
     @Test
-    void key_isSentAsBearer() throws Exception {
+    void key_isSentAsBearerToken() throws Exception {
         CompletableFuture<String> seen = new CompletableFuture<>();
         HttpHandler handler =
                 (now, exchange) -> {
--- a/transport/src/test/java/org/hornbeampass/transport/platform/PlatformEndpoint.java
+++ b/transport/src/test/java/org/hornbeampass/transport/platform/PlatformEndpoint.java
@@ -14,7 +14,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Serves a {@link MemoryPlatform} in the shape of the object API, for tests. */
+/** Serves a {@link MemoryPlatform} over HTTP with the platform's object API, for tests. */
 final class PlatformEndpoint implements HttpHandler {
     private final MemoryPlatform mPlatform = new MemoryPlatform();
 
--- a/transport/src/test/java/org/hornbeampass/transport/relay/CallerConnectionTest.java
+++ b/transport/src/test/java/org/hornbeampass/transport/relay/CallerConnectionTest.java
@@ -21,7 +21,10 @@
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 
-/** Checks what becomes of messages around the end of a caller's connection. */
+/**
+ * Guards against buffers that leak, and connections that are closed with a request pending, before
+ * a request is handed over or after the connection was aborted.
+ */
 class CallerConnectionTest {
     private final EventLoops mLoops = EventLoops.create(1, "test");
     private final CallerServer mServer =
@@ -51,7 +54,7 @@
     }
 
     @Test
-    void requestThatWasReadAndNotHandedOver_keepsTheConnectionBusy() {
+    void requestThatWasReadButNotHandedOver_keepsTheConnectionBusy() {
         CallerConnection caller = new CallerConnection(mServer, Clock.monotonic());
         EmbeddedChannel channel = new EmbeddedChannel(caller);
         DefaultHttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/");
@@ -63,7 +66,7 @@
     }
 
     @Test
-    void partThatComesAfterTheEnd_isReleased() {
+    void partAfterTheConnectionWasAborted_isReleased() {
         CallerConnection caller = new CallerConnection(mServer, Clock.monotonic());
         EmbeddedChannel channel = new EmbeddedChannel(caller);
         HttpContent part = part();
--- a/transport/src/test/java/org/hornbeampass/transport/relay/DisconnectedCallerTest.java
+++ b/transport/src/test/java/org/hornbeampass/transport/relay/DisconnectedCallerTest.java
@@ -19,13 +19,13 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Checks that a request is not handed over where its caller had left before it was read.
+ * Checks that a request is not handed over if its caller disconnected before it was read.
  *
- * <p>A VM that has just started, or whose loop stands still for another reason, reads requests
- * late; their callers' deadlines may have passed.
+ * <p>A VM that has just started, or whose event loop is blocked for another reason, reads requests
+ * late, when their callers' deadlines may have passed.
  */
 class DisconnectedCallerTest {
-    private static final long STANDSTILL_MS = 1_000;
+    private static final long BLOCKED_MS = 1_000;
 
     private final EventLoops mLoops = EventLoops.create(1, "test");
     private final AtomicLong mNowMs = new AtomicLong(1);
@@ -66,21 +66,21 @@
         socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** Keeps the loop standing while an action is done, and the clock goes on. */
-    private void whileLoopStands(ThrowingAction action) throws Exception {
-        CountDownLatch standing = new CountDownLatch(1);
-        CountDownLatch goOn = new CountDownLatch(1);
+    /** Blocks the event loop while an action runs, then advances the clock and unblocks it. */
+    private void whileLoopIsBlocked(ThrowingAction action) throws Exception {
+        CountDownLatch blocked = new CountDownLatch(1);
+        CountDownLatch unblock = new CountDownLatch(1);
         mLoops.group()
                 .next()
                 .execute(
                         () -> {
-                            standing.countDown();
-                            await(goOn);
+                            blocked.countDown();
+                            await(unblock);
                         });
-        standing.await();
+        blocked.await();
         action.run();
-        mNowMs.addAndGet(STANDSTILL_MS);
-        goOn.countDown();
+        mNowMs.addAndGet(BLOCKED_MS);
+        unblock.countDown();
     }
 
     private static void await(CountDownLatch latch) {
@@ -91,15 +91,15 @@
         }
     }
 
-    /** Something that is done beside the loop. */
+    /** An action that runs outside the event loop and may throw. */
     private interface ThrowingAction {
         void run() throws Exception;
     }
 
     @Test
-    void callerThatLeftWhileTheLoopStood_getsNothingStarted() throws Exception {
+    void callerThatLeftWhileTheLoopWasBlocked_isNotHandedOver() throws Exception {
         try (Socket last = connect()) {
-            whileLoopStands(
+            whileLoopIsBlocked(
                     () -> {
                         try (Socket left = connect()) {
                             send(left, "left");
@@ -112,17 +112,17 @@
     }
 
     @Test
-    void callerThatLeftWhileOthersWereHandled_getsNothingStarted() throws Exception {
+    void callerThatLeftWhileOthersWereHandled_isNotHandedOver() throws Exception {
         try (Socket slow = connect();
                 Socket leaves = connect();
                 Socket last = connect()) {
             CountDownLatch left = new CountDownLatch(1);
             mOnSlow =
                     () -> {
-                        closeAndRead(leaves, left);
-                        mNowMs.addAndGet(STANDSTILL_MS);
+                        closeAndCountDown(leaves, left);
+                        mNowMs.addAndGet(BLOCKED_MS);
                     };
-            whileLoopStands(
+            whileLoopIsBlocked(
                     () -> {
                         send(slow, "slow");
                         send(leaves, "leaves");
@@ -134,7 +134,7 @@
         assertThat(mHandedOver).containsExactly("/slow", "/last");
     }
 
-    private static void closeAndRead(Socket socket, CountDownLatch done) {
+    private static void closeAndCountDown(Socket socket, CountDownLatch done) {
         try {
             socket.close();
         } catch (IOException e) {
--- a/transport/src/test/java/org/hornbeampass/transport/relay/EventScannerTest.java
+++ b/transport/src/test/java/org/hornbeampass/transport/relay/EventScannerTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.Random;
 
-/** Checks that events are found however the bytes are cut. */
+/** Checks that all events are found wherever the stream is split into parts. */
 class EventScannerTest {
     private static final String STREAM =
             """
@@ -42,12 +42,12 @@
     }
 
     @Test
-    void events_areFoundWithTheirIds() {
+    void events_areReportedWithTheirIds() {
         assertThat(ids(List.of(STREAM))).containsExactly(1L, 2L, 17L);
     }
 
     @Test
-    void anyCut_givesTheSame() {
+    void anySplitOfTheStream_givesTheSameEvents() {
         Random random = new Random(1);
         for (int i = 0; i < 500; i++) {
             int first = random.nextInt(STREAM.length());
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void eventWithoutId_hasNone() {
+    void eventWithoutId_isReportedWithMinusOne() {
         assertThat(ids(List.of("data: a\n\n"))).containsExactly(-1L);
     }
 }
--- a/transport/src/test/java/org/hornbeampass/transport/relay/HeadValidatorTest.java
+++ b/transport/src/test/java/org/hornbeampass/transport/relay/HeadValidatorTest.java
@@ -10,7 +10,7 @@
 import org.hornbeampass.state.service.CallerLimits;
 import org.junit.jupiter.api.Test;
 
-/** Checks that heads which two programs could read differently are refused. */
+/** Checks that heads which two programs could interpret differently are rejected. */
 class HeadValidatorTest {
     private static HttpRequest head(String uri) {
         HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, uri);
@@ -18,19 +18,19 @@
         return head;
     }
 
-    private static boolean refused(HttpRequest head) {
+    private static boolean isRejected(HttpRequest head) {
         return HeadValidator.validate(head, CallerLimits.DEFAULT).isPresent();
     }
 
     @Test
-    void plainHead_isTaken() {
+    void plainHead_isAccepted() {
         HttpRequest head = head("/a");
         head.headers().set("Content-Length", "12");
-        assertThat(refused(head)).isFalse();
+        assertThat(isRejected(head)).isFalse();
     }
 
     @Test
-    void ambiguousLength_isRefused() {
+    void ambiguousLength_isRejected() {
         HttpRequest both = head("/a");
         both.headers().set("Content-Length", "12").set("Transfer-Encoding", "chunked");
         HttpRequest twice = head("/a");
@@ -39,28 +39,28 @@
         signed.headers().set("Content-Length", "+12");
         HttpRequest coded = head("/a");
         coded.headers().set("Transfer-Encoding", "gzip, chunked");
-        assertThat(refused(both)).isTrue();
-        assertThat(refused(twice)).isTrue();
-        assertThat(refused(signed)).isTrue();
-        assertThat(refused(coded)).isTrue();
+        assertThat(isRejected(both)).isTrue();
+        assertThat(isRejected(twice)).isTrue();
+        assertThat(isRejected(signed)).isTrue();
+        assertThat(isRejected(coded)).isTrue();
     }
 
     @Test
-    void otherTargets_areRefused() {
-        assertThat(refused(head("http://a/b"))).isTrue();
+    void targetsThatAreNoPathAndMissingHost_areRejected() {
+        assertThat(isRejected(head("http://a/b"))).isTrue();
         HttpRequest connect =
                 new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.CONNECT, "/a");
         connect.headers().set("Host", "a");
-        assertThat(refused(connect)).isTrue();
+        assertThat(isRejected(connect)).isTrue();
         HttpRequest noHost = head("/a");
         noHost.headers().remove("Host");
-        assertThat(refused(noHost)).isTrue();
+        assertThat(isRejected(noHost)).isTrue();
     }
 
     @Test
-    void largeBody_isRefusedAtItsHead() {
+    void tooLargeContentLength_isRejectedAtTheHead() {
         HttpRequest head = head("/a");
         head.headers().set("Content-Length", "4194305");
-        assertThat(refused(head)).isTrue();
+        assertThat(isRejected(head)).isTrue();
     }
 }
