--- a/router/src/main/java/org/hornbeampass/router/daemon/RelayShutdown.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/RelayShutdown.java
@@ -87,7 +87,7 @@
             mDone.complete(null);
             return;
         }
-        if (mStoppedAccepting && mCallers.busy() == 0) {
+        if (mStoppedAccepting && mCallers.busyConnections() == 0) {
             returnTokens(nowMs);
         }
     }
--- a/router/src/main/java/org/hornbeampass/router/daemon/StoreChanges.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/StoreChanges.java
@@ -88,7 +88,7 @@
     private void applyEntry(long nowMs, UpstreamEntry entry, long revision) {
         EntryResult verdict = mContext.upstreamRegistry().onEntry(nowMs, entry);
         if (verdict.replacesIncarnation()) {
-            mContext.pool().forget(entry.address());
+            mContext.pool().closeIdle(entry.address());
         }
         mContext.log()
                 .logStateChange(
