--- a/standins/src/main/java/org/hornbeampass/standin/platform/ReplyWriter.java
+++ b/standins/src/main/java/org/hornbeampass/standin/platform/ReplyWriter.java
@@ -18,7 +18,7 @@
         if (reply instanceof PlatformReply.Found found) {
             ok(exchange, PlatformBodies.ObjectBody.of(found.object()));
         } else if (reply instanceof PlatformReply.Missing) {
-            Answers.error(exchange, PlatformPaths.STATUS_MISSING, "no such object");
+            Answers.error(exchange, PlatformPaths.STATUS_NOT_FOUND, "no such object");
         } else if (reply instanceof PlatformReply.Listed listed) {
             ok(exchange, body(listed));
         } else if (reply instanceof PlatformReply.Written written) {
@@ -28,7 +28,7 @@
         } else if (reply instanceof PlatformReply.Changed changed) {
             ok(exchange, body(changed));
         } else if (reply instanceof PlatformReply.WatchGap) {
-            Answers.error(exchange, PlatformPaths.STATUS_GAP, "the changes are no longer held");
+            Answers.error(exchange, PlatformPaths.STATUS_GONE, "the changes are no longer held");
         } else if (reply instanceof PlatformReply.Throttled) {
             Answers.error(exchange, PlatformPaths.STATUS_THROTTLED, "beyond the rate limit");
         } else {
--- a/transport/src/main/java/org/hornbeampass/protocol/platform/PlatformPaths.java
+++ b/transport/src/main/java/org/hornbeampass/protocol/platform/PlatformPaths.java
@@ -40,13 +40,13 @@
     public static final int STATUS_OK = 200;
 
     /** The status of a read of an object that does not exist. */
-    public static final int STATUS_MISSING = 404;
+    public static final int STATUS_NOT_FOUND = 404;
 
     /** The status of a write whose object has another version. */
     public static final int STATUS_CONFLICT = 409;
 
     /** The status of a watch whose changes are no longer held. */
-    public static final int STATUS_GAP = 410;
+    public static final int STATUS_GONE = 410;
 
     /** The status of a call refused for the rate limit. */
     public static final int STATUS_THROTTLED = 429;
--- a/transport/src/main/java/org/hornbeampass/protocol/settings/Faults.java
+++ b/transport/src/main/java/org/hornbeampass/protocol/settings/Faults.java
@@ -15,7 +15,7 @@
 public final class Faults {
     private final String mSource;
     private final List<Fault> mFaults = new ArrayList<>();
-    private final Map<String, String> mClaims = new HashMap<>();
+    private final Map<String, String> mPathsByValue = new HashMap<>();
 
     Faults(String source) {
         mSource = source;
@@ -26,8 +26,8 @@
     }
 
     /** Claims a value that may stand only once, and returns the path that has it already. */
-    Optional<String> claim(String value, String path) {
-        return Optional.ofNullable(mClaims.putIfAbsent(value, path));
+    Optional<String> registerUnique(String value, String path) {
+        return Optional.ofNullable(mPathsByValue.putIfAbsent(value, path));
     }
 
     /** Returns whether there is none. */
--- a/transport/src/main/java/org/hornbeampass/protocol/settings/SettingsField.java
+++ b/transport/src/main/java/org/hornbeampass/protocol/settings/SettingsField.java
@@ -26,7 +26,7 @@
  */
 record SettingsField(Faults faults, String path, SettingsValue value) {
     /** Stands in for an address that is at fault. */
-    static final InetSocketAddress NO_ADDRESS =
+    static final InetSocketAddress PLACEHOLDER_ADDRESS =
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
 
     private static final String ADDRESS_FORM =
@@ -34,7 +34,7 @@
     private static final int MAX_PORT = 65_535;
 
     Optional<String> text() {
-        if (!is(Kind.TEXT, "write a text in double quotes")) {
+        if (!requireKind(Kind.TEXT, "write a text in double quotes")) {
             return Optional.empty();
         }
         if (value.text().isBlank()) {
@@ -43,14 +43,14 @@
         return Optional.of(value.text());
     }
 
-    Optional<Long> whole(long min, long max) {
+    Optional<Long> wholeNumber(long min, long max) {
         String form = "write a whole number from " + min + " to " + max;
-        if (!is(Kind.NUMBER, form)) {
+        if (!requireKind(Kind.NUMBER, form)) {
             return Optional.empty();
         }
         try {
             long number = new BigDecimal(value.text()).longValueExact();
-            return within(number, min, max, Long::toString);
+            return requireRange(number, min, max, Long::toString);
         } catch (ArithmeticException e) {
             return fault("it is not a whole number, or too large", form);
         }
@@ -58,7 +58,7 @@
 
     Optional<Double> fraction(double min, double max) {
         String form = "write a number from " + min + " to " + max;
-        if (!is(Kind.NUMBER, form)) {
+        if (!requireKind(Kind.NUMBER, form)) {
             return Optional.empty();
         }
         double number = Double.parseDouble(value.text());
@@ -67,30 +67,30 @@
                 : fault(number + " is out of range", form);
     }
 
-    Optional<Boolean> truth() {
-        return is(Kind.BOOLEAN, "write true or false, without quotes")
+    Optional<Boolean> booleanValue() {
+        return requireKind(Kind.BOOLEAN, "write true or false, without quotes")
                 ? Optional.of(Boolean.valueOf(value.text()))
                 : Optional.empty();
     }
 
     Optional<Long> durationMs(long minMs, long maxMs) {
-        if (!is(Kind.TEXT, "write " + Units.DURATION_FORM)) {
+        if (!requireKind(Kind.TEXT, "write " + Units.DURATION_FORM)) {
             return Optional.empty();
         }
         OptionalLong ms = Units.durationMs(value.text());
         return ms.isEmpty()
                 ? fault(quoted() + " is no duration", "write " + Units.DURATION_FORM)
-                : within(ms.getAsLong(), minMs, maxMs, Units::durationText);
+                : requireRange(ms.getAsLong(), minMs, maxMs, Units::durationText);
     }
 
     Optional<Long> sizeBytes(long minBytes, long maxBytes) {
-        if (!is(Kind.TEXT, "write " + Units.SIZE_FORM)) {
+        if (!requireKind(Kind.TEXT, "write " + Units.SIZE_FORM)) {
             return Optional.empty();
         }
         OptionalLong bytes = Units.sizeBytes(value.text());
         return bytes.isEmpty()
                 ? fault(quoted() + " is no size", "write " + Units.SIZE_FORM)
-                : within(bytes.getAsLong(), minBytes, maxBytes, Units::sizeText);
+                : requireRange(bytes.getAsLong(), minBytes, maxBytes, Units::sizeText);
     }
 
     <E extends Enum<E>> Optional<E> constant(Class<E> type) {
@@ -106,7 +106,7 @@
     }
 
     Optional<InetSocketAddress> address() {
-        return text().flatMap(this::parseAddress).flatMap(this::claim);
+        return text().flatMap(this::parseAddress).flatMap(this::requireUnique);
     }
 
     Optional<URI> uri() {
@@ -114,7 +114,7 @@
     }
 
     List<SettingsField> items() {
-        if (!is(Kind.LIST, "write a list in square brackets")) {
+        if (!requireKind(Kind.LIST, "write a list in square brackets")) {
             return List.of();
         }
         List<SettingsField> items = new ArrayList<>();
@@ -124,7 +124,7 @@
         return items;
     }
 
-    private boolean is(Kind kind, String remedy) {
+    private boolean requireKind(Kind kind, String remedy) {
         if (value.kind() == kind) {
             return true;
         }
@@ -132,7 +132,8 @@
         return false;
     }
 
-    private Optional<Long> within(long number, long min, long max, LongFunction<String> shown) {
+    private Optional<Long> requireRange(
+            long number, long min, long max, LongFunction<String> shown) {
         return number >= min && number <= max
                 ? Optional.of(number)
                 : fault(
@@ -157,11 +158,11 @@
         }
     }
 
-    private Optional<InetSocketAddress> claim(InetSocketAddress address) {
+    private Optional<InetSocketAddress> requireUnique(InetSocketAddress address) {
         if (address.getPort() == 0) {
             return Optional.of(address);
         }
-        Optional<String> other = faults.claim(address.toString(), path);
+        Optional<String> other = faults.registerUnique(address.toString(), path);
         return other.isEmpty()
                 ? Optional.of(address)
                 : fault("the address is that of " + other.get() + " already", "use another");
--- a/transport/src/main/java/org/hornbeampass/protocol/settings/SettingsNode.java
+++ b/transport/src/main/java/org/hornbeampass/protocol/settings/SettingsNode.java
@@ -19,8 +19,8 @@
  * An object of a settings text, read field by field.
  *
  * <p>Invariants: each reading method records what is wrong and returns a stand-in value, so that
- * reading goes on; {@link #finish} flags each field that was never asked for. Not thread-safe: used
- * while one text is read.
+ * reading goes on; {@link #reportUnknownFields} flags each field that was never asked for. Not
+ * thread-safe: used while one text is read.
  */
 public final class SettingsNode {
     private static final String ADD_IT = "add it";
@@ -62,12 +62,12 @@
 
     /** Returns a whole number that must be there. */
     public long requiredLong(String name, long min, long max) {
-        return required(name, f -> f.whole(min, max), min);
+        return required(name, f -> f.wholeNumber(min, max), min);
     }
 
     /** Returns a whole number that may be left out. */
     public long optionalLong(String name, long otherwise, long min, long max) {
-        return optional(name).flatMap(f -> f.whole(min, max)).orElse(otherwise);
+        return optional(name).flatMap(f -> f.wholeNumber(min, max)).orElse(otherwise);
     }
 
     /** Returns a whole number that may be left out. */
@@ -82,7 +82,7 @@
 
     /** Returns true or false, which may be left out. */
     public boolean optionalBoolean(String name, boolean otherwise) {
-        return optional(name).flatMap(SettingsField::truth).orElse(otherwise);
+        return optional(name).flatMap(SettingsField::booleanValue).orElse(otherwise);
     }
 
     /** Returns a duration in milliseconds that may be left out; the bounds too are in ms. */
@@ -114,7 +114,7 @@
 
     /** Returns an IP number and port that must be there and that no other field may have. */
     public InetSocketAddress requiredAddress(String name) {
-        return required(name, SettingsField::address, SettingsField.NO_ADDRESS);
+        return required(name, SettingsField::address, SettingsField.PLACEHOLDER_ADDRESS);
     }
 
     /** Returns an IP number and port that may be left out and that no other field may have. */
@@ -204,22 +204,22 @@
     }
 
     /** Flags the fields, here and below, that were never asked for. */
-    void finish() {
+    void reportUnknownFields() {
         mValue.fields()
                 .forEach(
                         (name, field) -> {
                             if (!mKnown.contains(name)) {
-                                mFaults.add(unknown(name, field));
+                                mFaults.add(unknownField(name, field));
                             }
                         });
-        mChildren.forEach(SettingsNode::finish);
+        mChildren.forEach(SettingsNode::reportUnknownFields);
     }
 
-    boolean faultless() {
+    boolean hasNoFaults() {
         return mFaults.isEmpty();
     }
 
-    private Fault unknown(String name, Field field) {
+    private Fault unknownField(String name, Field field) {
         return new Fault(
                 field.line(),
                 field.column(),
--- a/transport/src/main/java/org/hornbeampass/protocol/settings/SettingsReader.java
+++ b/transport/src/main/java/org/hornbeampass/protocol/settings/SettingsReader.java
@@ -32,7 +32,7 @@
         }
         SettingsNode root = new SettingsNode(faults, "", value.get());
         Optional<T> built = build(root, builder);
-        root.finish();
+        root.reportUnknownFields();
         return faults.isEmpty() ? Either.right(built.orElseThrow()) : Either.left(faults);
     }
 
@@ -40,7 +40,7 @@
         try {
             return Optional.of(builder.apply(root));
         } catch (RuntimeException e) {
-            if (root.faultless()) {
+            if (root.hasNoFaults()) {
                 root.fault("the settings don't fit: " + e.getMessage(), "change the value named");
             }
             return Optional.empty();
--- a/transport/src/main/java/org/hornbeampass/protocol/settings/Spelling.java
+++ b/transport/src/main/java/org/hornbeampass/protocol/settings/Spelling.java
@@ -17,12 +17,12 @@
     /** Returns the closest known name; empty where none is close. */
     static Optional<String> closest(String name, Collection<String> known) {
         return known.stream()
-                .filter(k -> edits(name, k) <= Math.min(MAX_EDITS, k.length() / 2))
-                .min(Comparator.comparingInt(k -> edits(name, k)));
+                .filter(k -> editDistance(name, k) <= Math.min(MAX_EDITS, k.length() / 2))
+                .min(Comparator.comparingInt(k -> editDistance(name, k)));
     }
 
     /** Returns how many letters must be added, removed or replaced to get from one to the other. */
-    private static int edits(String a, String b) {
+    private static int editDistance(String a, String b) {
         int[] row = new int[b.length() + 1];
         for (int j = 0; j <= b.length(); j++) {
             row[j] = j;
--- a/transport/src/main/java/org/hornbeampass/transport/EventLoops.java
+++ b/transport/src/main/java/org/hornbeampass/transport/EventLoops.java
@@ -14,7 +14,7 @@
  * Thread-safe.
  */
 public final class EventLoops implements AutoCloseable {
-    private static final long QUIET_MS = 0;
+    private static final long QUIET_PERIOD_MS = 0;
     private static final long CLOSE_TIMEOUT_MS = 2_000;
     private static final int MIN_THREADS = 2;
     private static final int MAX_THREADS = 8;
@@ -63,6 +63,7 @@
         if (this == Shared.LOOPS) {
             return;
         }
-        var unused = mGroup.shutdownGracefully(QUIET_MS, CLOSE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        var unused =
+                mGroup.shutdownGracefully(QUIET_PERIOD_MS, CLOSE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 }
--- a/transport/src/main/java/org/hornbeampass/transport/metrics/MetricsText.java
+++ b/transport/src/main/java/org/hornbeampass/transport/metrics/MetricsText.java
@@ -36,29 +36,32 @@
     /** Returns all metrics of a registry that are numbers. */
     public static String render(MetricRegistry registry) {
         Map<String, StringBuilder> families = new TreeMap<>();
-        new TreeMap<>(registry.getMetrics()).forEach((name, metric) -> add(families, name, metric));
+        new TreeMap<>(registry.getMetrics())
+                .forEach((name, metric) -> addMetric(families, name, metric));
         StringBuilder text = new StringBuilder();
         families.entrySet().stream()
-                .sorted(Comparator.comparing(f -> lines(f.getValue()))) // Stable: then by name.
+                .sorted(
+                        Comparator.comparing(
+                                f -> countLines(f.getValue()))) // Stable: then by name.
                 .forEach(f -> text.append(f.getKey()).append(f.getValue()));
         return text.toString();
     }
 
-    private static long lines(CharSequence text) {
+    private static long countLines(CharSequence text) {
         return text.chars().filter(c -> c == '\n').count();
     }
 
-    private static void add(Map<String, StringBuilder> families, String name, Metric metric) {
+    private static void addMetric(Map<String, StringBuilder> families, String name, Metric metric) {
         int cut = name.indexOf('{');
-        String base = PREFIX + clean(cut < 0 ? name : name.substring(0, cut));
+        String base = PREFIX + sanitize(cut < 0 ? name : name.substring(0, cut));
         String labels = cut < 0 ? "" : name.substring(cut + 1, name.length() - 1);
         if (metric instanceof Gauge<?> gauge) {
             if (gauge.getValue() instanceof Number number) {
-                line(family(families, base, "gauge"), base, labels, number);
+                appendSample(family(families, base, "gauge"), base, labels, number);
             }
         } else if (metric instanceof Timer timer) {
             String seconds = base + "_seconds";
-            summary(
+            appendSummary(
                     family(families, seconds, "summary"),
                     seconds,
                     labels,
@@ -66,7 +69,7 @@
                     timer.getCount(),
                     NS_PER_SECOND);
         } else if (metric instanceof Histogram histogram) {
-            summary(
+            appendSummary(
                     family(families, base, "summary"),
                     base,
                     labels,
@@ -75,7 +78,7 @@
                     1);
         } else if (metric instanceof Counting counting) {
             String total = base + "_total";
-            line(family(families, total, "counter"), total, labels, counting.getCount());
+            appendSample(family(families, total, "counter"), total, labels, counting.getCount());
         }
     }
 
@@ -85,7 +88,7 @@
                 "# TYPE " + name + " " + type + "\n", header -> new StringBuilder());
     }
 
-    private static void summary(
+    private static void appendSummary(
             StringBuilder out,
             String name,
             String labels,
@@ -95,20 +98,20 @@
         String start = labels.isEmpty() ? "" : labels + ",";
         for (double quantile : QUANTILES) {
             String withQuantile = start + "quantile=\"" + quantile + "\"";
-            line(out, name, withQuantile, snapshot.getValue(quantile) / scale);
+            appendSample(out, name, withQuantile, snapshot.getValue(quantile) / scale);
         }
-        line(out, name + "_count", labels, count);
+        appendSample(out, name + "_count", labels, count);
     }
 
-    private static void line(StringBuilder out, String name, String labels, Number value) {
+    private static void appendSample(StringBuilder out, String name, String labels, Number value) {
         out.append(name);
         if (!labels.isEmpty()) {
             out.append('{').append(labels).append('}');
         }
-        out.append(' ').append(shown(value)).append('\n');
+        out.append(' ').append(format(value)).append('\n');
     }
 
-    private static String shown(Number number) {
+    private static String format(Number number) {
         if (number instanceof Long || number instanceof Integer) {
             return number.toString();
         }
@@ -117,7 +120,7 @@
         return whole ? Long.toString((long) value) : Double.toString(value);
     }
 
-    private static String clean(String name) {
+    private static String sanitize(String name) {
         return name.replaceAll("[^a-zA-Z0-9_]", "_");
     }
 }
--- a/transport/src/main/java/org/hornbeampass/transport/platform/PlatformCodec.java
+++ b/transport/src/main/java/org/hornbeampass/transport/platform/PlatformCodec.java
@@ -72,10 +72,10 @@
         if (status == PlatformPaths.STATUS_THROTTLED) {
             return new PlatformReply.Throttled();
         }
-        if (status == PlatformPaths.STATUS_MISSING && call instanceof PlatformCall.Get) {
+        if (status == PlatformPaths.STATUS_NOT_FOUND && call instanceof PlatformCall.Get) {
             return new PlatformReply.Missing();
         }
-        if (status == PlatformPaths.STATUS_GAP && call instanceof PlatformCall.Watch) {
+        if (status == PlatformPaths.STATUS_GONE && call instanceof PlatformCall.Watch) {
             return new PlatformReply.WatchGap();
         }
         if (status == PlatformPaths.STATUS_CONFLICT && call.kind() == PlatformCall.Kind.WRITE) {
--- a/transport/src/test/java/org/hornbeampass/protocol/settings/SettingsReaderTest.java
+++ b/transport/src/test/java/org/hornbeampass/protocol/settings/SettingsReaderTest.java
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void allFaults_areReportedAtOnce_withPlaceAndRemedy() {
+    void allFaults_areReportedAtOnce_withPositionAndRemedy() {
         String text =
                 """
                 {
@@ -94,29 +94,29 @@
     }
 
     @Test
-    void brokenSyntax_isPlaced() {
+    void syntaxError_isReportedWithItsPosition() {
         assertThat(faults("{\n  \"name\": }")).singleElement().asString().startsWith("s:2:11: ");
     }
 
     @Test
-    void fieldTwice_isAFault() {
+    void duplicateField_isReported() {
         assertThat(faults("{\"name\": \"a\",\n \"name\": \"b\"}"))
                 .containsExactly(
                         "s:2:2: name: the field stands in line 1 already; keep one of the two");
     }
 
     @Test
-    void otherThanAnObject_isAFault() {
+    void valueOtherThanAnObject_isReported() {
         assertThat(faults("[]")).contains("s:1:1: it is a list; write an object in braces");
     }
 
     @Test
-    void emptyText_isAFault() {
+    void emptyText_isReported() {
         assertThat(faults("")).containsExactly("s:1:1: the text is empty; write a JSON object");
     }
 
     @Test
-    void refusalByTheRecord_isAFault() {
+    void exceptionOfTheBuilder_isReported() {
         Either<Faults, Integer> result =
                 SettingsReader.read(
                         "s",
@@ -129,7 +129,7 @@
     }
 
     @Test
-    void units_readAndShowTheSameAmount() {
+    void units_parseAndFormatTheSameAmount() {
         assertThat(Units.durationMs("13s")).hasValue(13_000);
         assertThat(Units.durationText(13_000)).isEqualTo("13s");
         assertThat(Units.durationMs("1.5s")).isEmpty();
--- a/transport/src/test/java/org/hornbeampass/transport/metrics/MetricsTextTest.java
+++ b/transport/src/test/java/org/hornbeampass/transport/metrics/MetricsTextTest.java
@@ -15,7 +15,7 @@
     private final MetricRegistry mRegistry = new MetricRegistry();
 
     @Test
-    void counters_withLabels_standBelowOneType() {
+    void counters_withLabels_shareOneTypeLine() {
         mRegistry.counter(MetricLabels.name("requests", Map.of("organisation", "b\"c"))).inc(2);
         mRegistry.counter(MetricLabels.name("requests", Map.of("organisation", "a"))).inc();
 
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void metricOfManySeries_comesAfterThoseOfFew() {
+    void metricWithManySeries_isWrittenAfterThoseWithFew() {
         for (int i = 0; i < 24; i++) {
             mRegistry.counter(MetricLabels.name("budget", Map.of("organisation", "o-" + i))).inc();
         }
--- a/transport/src/test/java/org/hornbeampass/transport/peer/PeerTransportTest.java
+++ b/transport/src/test/java/org/hornbeampass/transport/peer/PeerTransportTest.java
@@ -45,8 +45,10 @@
 
     @Test
     void request_isRepliedTo_overTls() throws Exception {
-        PeerTransport a = mFleet.start(PeerFleet.settings("vm-a").withTls(TestCertificate.both()));
-        PeerTransport b = mFleet.start(PeerFleet.settings("vm-b").withTls(TestCertificate.both()));
+        PeerTransport a =
+                mFleet.start(PeerFleet.settings("vm-a").withTls(TestCertificate.mutual()));
+        PeerTransport b =
+                mFleet.start(PeerFleet.settings("vm-b").withTls(TestCertificate.mutual()));
         b.on(Question.class, (now, from, question, reply) -> reply.accept(new Reply("tls")));
         PeerTransport plain = mFleet.start("vm-c");
 
--- a/transport/src/test/java/org/hornbeampass/transport/platform/PlatformEndpoint.java
+++ b/transport/src/test/java/org/hornbeampass/transport/platform/PlatformEndpoint.java
@@ -61,7 +61,7 @@
         if (reply instanceof PlatformReply.Found found) {
             respond(exchange, 200, PlatformBodies.ObjectBody.of(found.object()));
         } else if (reply instanceof PlatformReply.Missing) {
-            respond(exchange, PlatformPaths.STATUS_MISSING, Map.of());
+            respond(exchange, PlatformPaths.STATUS_NOT_FOUND, Map.of());
         } else if (reply instanceof PlatformReply.Listed listed) {
             respond(
                     exchange,
--- a/transport/src/test/java/org/hornbeampass/transport/tls/TestCertificate.java
+++ b/transport/src/test/java/org/hornbeampass/transport/tls/TestCertificate.java
@@ -9,7 +9,7 @@
     private TestCertificate() {}
 
     /** Returns the files of a side that shows the certificate and trusts it. */
-    public static TlsFiles both() {
+    public static TlsFiles mutual() {
         return new TlsFiles(
                 Optional.of(file("certificate.pem")),
                 Optional.of(file("key.pem")),
--- a/transport/src/test/java/org/hornbeampass/transport/tls/TlsTest.java
+++ b/transport/src/test/java/org/hornbeampass/transport/tls/TlsTest.java
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void trustedCertificate_isTaken() throws Exception {
+    void trustedCertificate_isAccepted() throws Exception {
         serve(TestCertificate.listener());
 
         assertThat(get("https", HttpClientSettings.STANDARD.withTls(TestCertificate.client())))
@@ -44,19 +44,19 @@
     }
 
     @Test
-    void otherCertificate_isRefused_withNothingSent() throws Exception {
+    void untrustedCertificate_isRejected_beforeAnythingIsSent() throws Exception {
         serve(TestCertificate.listener());
 
         assertThat(get("https", HttpClientSettings.STANDARD)).startsWith("sent=false");
     }
 
     @Test
-    void clientWithoutCertificate_isRefused_whereOneIsAskedFor() throws Exception {
-        serve(TestCertificate.both());
+    void clientWithoutCertificate_isRejected_whereOneIsRequired() throws Exception {
+        serve(TestCertificate.mutual());
 
         assertThat(get("https", HttpClientSettings.STANDARD.withTls(TestCertificate.client())))
                 .startsWith("sent=");
-        assertThat(get("https", HttpClientSettings.STANDARD.withTls(TestCertificate.both())))
+        assertThat(get("https", HttpClientSettings.STANDARD.withTls(TestCertificate.mutual())))
                 .isEqualTo("hello");
     }
 
