--- a/transport/src/main/java/org/hornbeampass/protocol/package-info.java
+++ b/transport/src/main/java/org/hornbeampass/protocol/package-info.java
@@ -1,2 +1,2 @@
-/** Wire shapes and settings: what is said, apart from how it is carried. */
+/** Message formats and settings, independent of the transport that carries them. */
 package org.hornbeampass.protocol;
--- a/transport/src/main/java/org/hornbeampass/protocol/platform/package-info.java
+++ b/transport/src/main/java/org/hornbeampass/protocol/platform/package-info.java
@@ -1,2 +1,2 @@
-/** The platform's object API on HTTP: paths, statuses and bodies. */
+/** The platform's object API over HTTP: paths, statuses and bodies. */
 package org.hornbeampass.protocol.platform;
--- a/transport/src/main/java/org/hornbeampass/protocol/settings/Faults.java
+++ b/transport/src/main/java/org/hornbeampass/protocol/settings/Faults.java
@@ -8,9 +8,9 @@
 import java.util.Optional;
 
 /**
- * Collects all faults of one settings text.
+ * Collects all faults found in one settings text.
  *
- * <p>Not thread-safe: used while one text is read, and not changed afterwards.
+ * <p>Not thread-safe: filled by the one thread that reads the text, and not changed afterwards.
  */
 public final class Faults {
     private final String mSource;
@@ -25,24 +25,27 @@
         mFaults.add(fault);
     }
 
-    /** Claims a value that may stand only once, and returns the path that has it already. */
+    /**
+     * Registers a value that only one field may have; returns the path of the field that has it
+     * already, or empty if it is new.
+     */
     Optional<String> registerUnique(String value, String path) {
         return Optional.ofNullable(mPathsByValue.putIfAbsent(value, path));
     }
 
-    /** Returns whether there is none. */
+    /** Returns whether no fault was found. */
     public boolean isEmpty() {
         return mFaults.isEmpty();
     }
 
-    /** Returns the faults in the order of the text. */
+    /** Returns the faults, ordered by their position in the text. */
     public List<Fault> all() {
         return mFaults.stream()
                 .sorted(Comparator.comparingInt(Fault::line).thenComparingInt(Fault::column))
                 .toList();
     }
 
-    /** Returns the faults as lines, for a person. */
+    /** Returns the faults as one line each for people, ordered by their position in the text. */
     public List<String> lines() {
         return all().stream().map(f -> f.describe(mSource)).toList();
     }
--- a/transport/src/main/java/org/hornbeampass/protocol/settings/Secret.java
+++ b/transport/src/main/java/org/hornbeampass/protocol/settings/Secret.java
@@ -5,7 +5,7 @@
 import java.util.Objects;
 
 /**
- * A key that is compared in constant time and never shown.
+ * A key that is compared in constant time and never printed.
  *
  * <p>Invariant: {@link #toString()} does not contain the key. Immutable; safe for use by any
  * thread.
@@ -17,18 +17,21 @@
         mBytes = bytes;
     }
 
-    /** Returns the secret of a text, in UTF-8. */
+    /** Returns a secret whose bytes are the text in UTF-8. */
     public static Secret of(String text) {
         Objects.requireNonNull(text, "text");
         return new Secret(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Returns the key's text, to be sent and for nothing else. */
+    /** Returns the key's text. Use it only to send the key; never log or store it. */
     public String reveal() {
         return new String(mBytes, StandardCharsets.UTF_8);
     }
 
-    /** Returns a copy of the key's bytes, to be used in a computation and for nothing else. */
+    /**
+     * Returns a copy of the key's bytes. Use it only for computations such as a MAC; never log or
+     * store it.
+     */
     public byte[] revealBytes() {
         return mBytes.clone();
     }
--- a/transport/src/main/java/org/hornbeampass/protocol/settings/SettingsField.java
+++ b/transport/src/main/java/org/hornbeampass/protocol/settings/SettingsField.java
@@ -19,26 +19,26 @@
 import java.util.stream.Collectors;
 
 /**
- * One value with its path, read as one type or another.
+ * One value of a settings text with its path, and the methods that read it as a given type.
  *
- * <p>Invariant: each method returns a value within its bounds, or records a fault and returns
- * empty. Not thread-safe: used while one text is read.
+ * <p>Invariant: each reading method returns a value within the given bounds, or records a fault and
+ * returns empty. Not thread-safe: used by the one thread that reads the text.
  */
 record SettingsField(Faults faults, String path, SettingsValue value) {
-    /** Stands in for an address that is at fault. */
+    /** Returned in place of an address that is missing or invalid, so that reading continues. */
     static final InetSocketAddress PLACEHOLDER_ADDRESS =
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
 
     private static final String ADDRESS_FORM =
-            "write an IP number and a port, such as \"10.0.0.1:7400\" or \"[fd00::1]:7400\"";
+            "write an IP address and a port, such as \"10.0.0.1:7400\" or \"[fd00::1]:7400\"";
     private static final int MAX_PORT = 65_535;
 
     Optional<String> text() {
-        if (!requireKind(Kind.TEXT, "write a text in double quotes")) {
+        if (!requireKind(Kind.TEXT, "write a string in double quotes")) {
             return Optional.empty();
         }
         if (value.text().isBlank()) {
-            return fault("it is blank", "write a text that is not blank");
+            return fault("it is blank", "write a string that is not blank");
         }
         return Optional.of(value.text());
     }
@@ -79,7 +79,7 @@
         }
         OptionalLong ms = Units.durationMs(value.text());
         return ms.isEmpty()
-                ? fault(quoted() + " is no duration", "write " + Units.DURATION_FORM)
+                ? fault(quoted() + " is not a duration", "write " + Units.DURATION_FORM)
                 : requireRange(ms.getAsLong(), minMs, maxMs, Units::durationText);
     }
 
@@ -89,7 +89,7 @@
         }
         OptionalLong bytes = Units.sizeBytes(value.text());
         return bytes.isEmpty()
-                ? fault(quoted() + " is no size", "write " + Units.SIZE_FORM)
+                ? fault(quoted() + " is not a size", "write " + Units.SIZE_FORM)
                 : requireRange(bytes.getAsLong(), minBytes, maxBytes, Units::sizeText);
     }
 
@@ -101,7 +101,7 @@
                                     return Optional.of(constant);
                                 }
                             }
-                            return fault(quoted() + " is not known", "use one of " + labels(type));
+                            return fault(quoted() + " is unknown", "use one of " + labels(type));
                         });
     }
 
@@ -133,28 +133,28 @@
     }
 
     private Optional<Long> requireRange(
-            long number, long min, long max, LongFunction<String> shown) {
+            long number, long min, long max, LongFunction<String> formatter) {
         return number >= min && number <= max
                 ? Optional.of(number)
                 : fault(
-                        shown.apply(number) + " is out of range",
-                        "use " + shown.apply(min) + " to " + shown.apply(max));
+                        formatter.apply(number) + " is out of range",
+                        "use " + formatter.apply(min) + " to " + formatter.apply(max));
     }
 
     private Optional<InetSocketAddress> parseAddress(String text) {
-        int cut = text.lastIndexOf(':');
-        if (cut < 0 || !text.substring(cut + 1).matches("\\d{1,5}")) {
+        int colon = text.lastIndexOf(':');
+        if (colon < 0 || !text.substring(colon + 1).matches("\\d{1,5}")) {
             return fault(quoted() + " has no port", ADDRESS_FORM);
         }
-        int port = Integer.parseInt(text.substring(cut + 1));
-        byte[] number = NetUtil.createByteArrayFromIpAddressString(text.substring(0, cut));
+        int port = Integer.parseInt(text.substring(colon + 1));
+        byte[] number = NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
         if (number == null || port > MAX_PORT) {
-            return fault(quoted() + " is no address", ADDRESS_FORM);
+            return fault(quoted() + " is invalid", ADDRESS_FORM);
         }
         try {
             return Optional.of(new InetSocketAddress(InetAddress.getByAddress(number), port));
         } catch (UnknownHostException e) {
-            return fault(quoted() + " is no address", ADDRESS_FORM);
+            return fault(quoted() + " is invalid", ADDRESS_FORM);
         }
     }
 
@@ -165,19 +165,19 @@
         Optional<String> other = faults.registerUnique(address.toString(), path);
         return other.isEmpty()
                 ? Optional.of(address)
-                : fault("the address is that of " + other.get() + " already", "use another");
+                : fault("the address is used by " + other.get() + " already", "use another");
     }
 
     private Optional<URI> parseUri(String text) {
-        String form = "write an address such as \"http://10.0.0.1:8080\"";
+        String form = "write a URI such as \"http://10.0.0.1:8080\"";
         try {
             URI uri = URI.create(text);
-            boolean web = "http".equals(uri.getScheme()) || "https".equals(uri.getScheme());
-            return web && uri.getHost() != null
+            boolean supported = "http".equals(uri.getScheme()) || "https".equals(uri.getScheme());
+            return supported && uri.getHost() != null
                     ? Optional.of(uri)
-                    : fault(quoted() + " is no http or https address", form);
+                    : fault(quoted() + " is not an http or https URI", form);
         } catch (IllegalArgumentException e) {
-            return fault(quoted() + " is no address", form);
+            return fault(quoted() + " is not a URI", form);
         }
     }
 
--- a/transport/src/main/java/org/hornbeampass/protocol/settings/SettingsNode.java
+++ b/transport/src/main/java/org/hornbeampass/protocol/settings/SettingsNode.java
@@ -16,11 +16,11 @@
 import java.util.function.Function;
 
 /**
- * An object of a settings text, read field by field.
+ * An object of a settings text, whose fields are read one by one.
  *
- * <p>Invariants: each reading method records what is wrong and returns a stand-in value, so that
- * reading goes on; {@link #reportUnknownFields} flags each field that was never asked for. Not
- * thread-safe: used while one text is read.
+ * <p>Invariants: a reading method that finds a fault records it and returns a placeholder value, so
+ * that one reading finds all faults; {@link #reportUnknownFields} records a fault for each field
+ * that no reading method asked for. Not thread-safe: used by the one thread that reads the text.
  */
 public final class SettingsNode {
     private static final String ADD_IT = "add it";
@@ -28,7 +28,7 @@
     private final Faults mFaults;
     private final String mPath;
     private final SettingsValue mValue;
-    private final Set<String> mKnown = new LinkedHashSet<>();
+    private final Set<String> mRequested = new LinkedHashSet<>();
     private final List<SettingsNode> mChildren = new ArrayList<>();
 
     SettingsNode(Faults faults, String path, SettingsValue value) {
@@ -40,100 +40,104 @@
         }
     }
 
-    /** Returns a text that must be there and not be blank. */
+    /** Returns a required string that is not blank. */
     public String requiredString(String name) {
         return required(name, SettingsField::text, "missing");
     }
 
-    /** Returns a text that may be left out. */
+    /** Returns an optional string that is not blank. */
     public Optional<String> optionalString(String name) {
         return optional(name).flatMap(SettingsField::text);
     }
 
-    /** Returns a text that may be left out. */
-    public String optionalString(String name, String otherwise) {
-        return optionalString(name).orElse(otherwise);
+    /** Returns an optional string that is not blank. */
+    public String optionalString(String name, String defaultValue) {
+        return optionalString(name).orElse(defaultValue);
     }
 
-    /** Returns a key that must be there. */
+    /** Returns a required key. */
     public Secret requiredSecret(String name) {
         return Secret.of(requiredString(name));
     }
 
-    /** Returns a whole number that must be there. */
+    /** Returns a required whole number; both bounds are inclusive. */
     public long requiredLong(String name, long min, long max) {
         return required(name, f -> f.wholeNumber(min, max), min);
     }
 
-    /** Returns a whole number that may be left out. */
-    public long optionalLong(String name, long otherwise, long min, long max) {
-        return optional(name).flatMap(f -> f.wholeNumber(min, max)).orElse(otherwise);
+    /** Returns an optional whole number; both bounds are inclusive. */
+    public long optionalLong(String name, long defaultValue, long min, long max) {
+        return optional(name).flatMap(f -> f.wholeNumber(min, max)).orElse(defaultValue);
     }
 
-    /** Returns a whole number that may be left out. */
-    public int optionalInt(String name, int otherwise, int min, int max) {
-        return Math.toIntExact(optionalLong(name, otherwise, min, max));
+    /** Returns an optional whole number; both bounds are inclusive. */
+    public int optionalInt(String name, int defaultValue, int min, int max) {
+        return Math.toIntExact(optionalLong(name, defaultValue, min, max));
     }
 
-    /** Returns a number that may be left out. */
-    public double optionalDouble(String name, double otherwise, double min, double max) {
-        return optional(name).flatMap(f -> f.fraction(min, max)).orElse(otherwise);
+    /** Returns an optional number; both bounds are inclusive. */
+    public double optionalDouble(String name, double defaultValue, double min, double max) {
+        return optional(name).flatMap(f -> f.fraction(min, max)).orElse(defaultValue);
     }
 
-    /** Returns true or false, which may be left out. */
-    public boolean optionalBoolean(String name, boolean otherwise) {
-        return optional(name).flatMap(SettingsField::booleanValue).orElse(otherwise);
+    /** Returns an optional boolean. */
+    public boolean optionalBoolean(String name, boolean defaultValue) {
+        return optional(name).flatMap(SettingsField::booleanValue).orElse(defaultValue);
     }
 
-    /** Returns a duration in milliseconds that may be left out; the bounds too are in ms. */
-    public long optionalDuration(String name, long otherwiseMs, long minMs, long maxMs) {
-        return optional(name).flatMap(f -> f.durationMs(minMs, maxMs)).orElse(otherwiseMs);
+    /**
+     * Returns an optional duration in milliseconds; the inclusive bounds are in milliseconds too.
+     */
+    public long optionalDuration(String name, long defaultMs, long minMs, long maxMs) {
+        return optional(name).flatMap(f -> f.durationMs(minMs, maxMs)).orElse(defaultMs);
     }
 
-    /** Returns a duration in milliseconds that must be there; the bounds too are in ms. */
+    /**
+     * Returns a required duration in milliseconds; the inclusive bounds are in milliseconds too.
+     */
     public long requiredDuration(String name, long minMs, long maxMs) {
         return required(name, f -> f.durationMs(minMs, maxMs), minMs);
     }
 
-    /** Returns a size in bytes that may be left out; the bounds too are in bytes. */
-    public long optionalSize(String name, long otherwiseBytes, long minBytes, long maxBytes) {
-        return optional(name).flatMap(f -> f.sizeBytes(minBytes, maxBytes)).orElse(otherwiseBytes);
+    /** Returns an optional size in bytes; the inclusive bounds are in bytes too. */
+    public long optionalSize(String name, long defaultBytes, long minBytes, long maxBytes) {
+        return optional(name).flatMap(f -> f.sizeBytes(minBytes, maxBytes)).orElse(defaultBytes);
     }
 
-    /** Returns one of an enum's constants, written in lower case, that must be there. */
+    /** Returns a required enum constant, which the text names in lower case. */
     public <E extends Enum<E>> E requiredEnum(String name, Class<E> type) {
         return required(name, f -> f.constant(type), type.getEnumConstants()[0]);
     }
 
-    /** Returns one of an enum's constants, written in lower case, that may be left out. */
-    public <E extends Enum<E>> E optionalEnum(String name, E otherwise) {
+    /** Returns an optional enum constant, which the text names in lower case. */
+    public <E extends Enum<E>> E optionalEnum(String name, E defaultValue) {
         return optional(name)
-                .flatMap(f -> f.constant(otherwise.getDeclaringClass()))
-                .orElse(otherwise);
+                .flatMap(f -> f.constant(defaultValue.getDeclaringClass()))
+                .orElse(defaultValue);
     }
 
-    /** Returns an IP number and port that must be there and that no other field may have. */
+    /** Returns a required IP address and port; no other field may have the same. */
     public InetSocketAddress requiredAddress(String name) {
         return required(name, SettingsField::address, SettingsField.PLACEHOLDER_ADDRESS);
     }
 
-    /** Returns an IP number and port that may be left out and that no other field may have. */
+    /** Returns an optional IP address and port; no other field may have the same. */
     public Optional<InetSocketAddress> optionalAddress(String name) {
         return optional(name).flatMap(SettingsField::address);
     }
 
-    /** Returns an http or https URI that must be there. */
+    /** Returns a required http or https URI. */
     public URI requiredUri(String name) {
         return required(name, SettingsField::uri, URI.create("http://0.0.0.0"));
     }
 
-    /** Returns at least one http or https URI, none of them twice. */
+    /** Returns a required list of one or more http or https URIs without duplicates. */
     public List<URI> requiredUris(String name) {
         List<URI> uris = items(name, SettingsField::uri);
         Set<URI> seen = new LinkedHashSet<>();
         for (URI uri : uris) {
             if (!seen.add(uri)) {
-                fault(name, uri + " stands twice", "keep one");
+                fault(name, uri + " is listed twice", "keep one");
             }
         }
         if (uris.isEmpty() && optional(name).isEmpty()) {
@@ -142,21 +146,21 @@
         return uris;
     }
 
-    /** Returns a list of texts; empty where it is left out. */
+    /** Returns an optional list of strings; empty if the field is missing. */
     public List<String> optionalStrings(String name) {
         return items(name, SettingsField::text);
     }
 
-    /** Returns a file that can be read, which may be left out. */
+    /** Returns the path of an optional file, which this process must be able to read. */
     public Optional<Path> optionalFile(String name) {
         Optional<Path> path = optionalString(name).map(Path::of);
         if (path.isPresent() && !Files.isReadable(path.get())) {
-            fault(name, path.get() + " can't be read", "give a file that this process may read");
+            fault(name, path.get() + " can't be read", "name a file that this process may read");
         }
         return path;
     }
 
-    /** Returns an object that must be there. */
+    /** Returns a required object. */
     public SettingsNode requiredNode(String name) {
         Optional<SettingsNode> node = optionalNode(name);
         if (node.isPresent()) {
@@ -166,17 +170,23 @@
         return new SettingsNode(new Faults(""), path(name), SettingsValue.object(0, 0, Map.of()));
     }
 
-    /** Returns an object that may be left out. */
+    /** Returns an optional object. */
     public Optional<SettingsNode> optionalNode(String name) {
         return optional(name).map(f -> child(f.path(), f.value()));
     }
 
-    /** Reads each object of a list; empty where it is left out. */
+    /**
+     * Returns what the reader makes of each object of an optional list; empty if the field is
+     * missing.
+     */
     public <T> List<T> list(String name, Function<SettingsNode, T> reader) {
         return items(name, f -> Optional.of(reader.apply(child(f.path(), f.value()))));
     }
 
-    /** Reads each field of an object whose names are free, such as a table by name. */
+    /**
+     * Returns what the reader makes of each field's object, for an object with arbitrary field
+     * names, such as a table keyed by name.
+     */
     public <T> List<T> entries(Function<SettingsNode, T> reader) {
         List<T> result = new ArrayList<>();
         for (String name : mValue.fields().keySet()) {
@@ -185,17 +195,17 @@
         return result;
     }
 
-    /** Returns the last part of this object's path, such as its name within a table. */
+    /** Returns the last part of this object's path, such as its key within a table. */
     public String name() {
         return mPath.substring(mPath.lastIndexOf('.') + 1);
     }
 
-    /** Records what is wrong with the whole object. */
+    /** Records a fault of the whole object. */
     public void fault(String problem, String remedy) {
         mFaults.add(new Fault(mValue.line(), mValue.column(), mPath, problem, remedy));
     }
 
-    /** Records what is wrong with a field, such as one that does not fit another. */
+    /** Records a fault of one field, such as a value that contradicts another field. */
     public void fault(String name, String problem, String remedy) {
         Optional<Field> field = Optional.ofNullable(mValue.fields().get(name));
         int line = field.map(f -> f.value().line()).orElse(mValue.line());
@@ -203,12 +213,12 @@
         mFaults.add(new Fault(line, column, path(name), problem, remedy));
     }
 
-    /** Flags the fields, here and below, that were never asked for. */
+    /** Records a fault for each field of this object and its children that was never asked for. */
     void reportUnknownFields() {
         mValue.fields()
                 .forEach(
                         (name, field) -> {
-                            if (!mKnown.contains(name)) {
+                            if (!mRequested.contains(name)) {
                                 mFaults.add(unknownField(name, field));
                             }
                         });
@@ -225,23 +235,24 @@
                 field.column(),
                 path(name),
                 "there is no such field",
-                Spelling.closest(name, mKnown)
+                Spelling.closest(name, mRequested)
                         .map(known -> "did you mean \"" + known + "\"?")
-                        .orElse("remove it, or use one of " + String.join(", ", mKnown)));
+                        .orElse("remove it, or use one of " + String.join(", ", mRequested)));
     }
 
     private Optional<SettingsField> optional(String name) {
-        mKnown.add(name);
+        mRequested.add(name);
         return Optional.ofNullable(mValue.fields().get(name))
                 .map(f -> new SettingsField(mFaults, path(name), f.value()));
     }
 
-    private <T> T required(String name, Function<SettingsField, Optional<T>> reader, T standIn) {
+    private <T> T required(
+            String name, Function<SettingsField, Optional<T>> reader, T placeholder) {
         Optional<SettingsField> field = optional(name);
         if (field.isEmpty()) {
             fault(name, "it is missing", ADD_IT);
         }
-        return field.flatMap(reader).orElse(standIn);
+        return field.flatMap(reader).orElse(placeholder);
     }
 
     private <T> List<T> items(String name, Function<SettingsField, Optional<T>> reader) {
--- a/transport/src/main/java/org/hornbeampass/protocol/settings/SettingsParser.java
+++ b/transport/src/main/java/org/hornbeampass/protocol/settings/SettingsParser.java
@@ -19,10 +19,10 @@
 import java.util.Optional;
 
 /**
- * Reads JSON with comments and trailing commas into values with places.
+ * Parses JSON with comments and trailing commas into values that keep their positions.
  *
- * <p>Invariant: a field that stands twice is a fault, and its first value counts. Not thread-safe:
- * used for one text.
+ * <p>Invariant: a field that an object has twice is a fault, and its first value is used. Not
+ * thread-safe: an instance parses one text.
  */
 final class SettingsParser {
     private static final int MAX_DEPTH = 64;
@@ -38,7 +38,7 @@
         mFaults = faults;
     }
 
-    /** Returns the text's one value; empty where the text is not JSON, with a fault. */
+    /** Returns the text's only value; records a fault and returns empty if the text is not JSON. */
     Optional<SettingsValue> parse(String text) {
         try (JsonParser parser = FACTORY.createParser(text)) {
             if (parser.nextToken() == null) {
@@ -50,8 +50,8 @@
                 fault(
                         parser.currentTokenLocation(),
                         "",
-                        "something follows the settings' end",
-                        "keep one JSON object");
+                        "text follows the end of the settings",
+                        "keep only one JSON object");
             }
             return Optional.of(value);
         } catch (JsonProcessingException e) {
@@ -60,7 +60,7 @@
                     at == null ? JsonLocation.NA : at,
                     "",
                     "this is not JSON: " + e.getOriginalMessage(),
-                    "mend the syntax; comments and trailing commas are allowed");
+                    "correct the syntax; comments and trailing commas are allowed");
             return Optional.empty();
         } catch (IOException e) {
             throw new IllegalStateException("a text in memory can't be read", e);
@@ -98,7 +98,7 @@
                 fault(
                         nameAt,
                         fieldPath,
-                        "the field stands in line " + first.line() + " already",
+                        "the field is set in line " + first.line() + " already",
                         "keep one of the two");
             }
         }
--- a/transport/src/main/java/org/hornbeampass/protocol/settings/SettingsReader.java
+++ b/transport/src/main/java/org/hornbeampass/protocol/settings/SettingsReader.java
@@ -6,21 +6,21 @@
 import java.util.function.Function;
 
 /**
- * Reads a settings text into a typed record, or reports all that is wrong with it.
+ * Reads a settings text into a typed record, or reports all of its faults.
  *
- * <p>Invariant: a value is only returned where there is no fault. Stateless; safe for use by any
+ * <p>Invariant: a value is returned only if the text has no fault. Stateless; safe for use by any
  * thread.
  */
 public final class SettingsReader {
     private SettingsReader() {}
 
     /**
-     * Reads a text.
+     * Returns the record that the builder makes of a text, or all faults of the text.
      *
-     * @param source the text's name in messages, such as its file
-     * @param text JSON with comments
-     * @param builder reads the fields of the outermost object; where a field is at fault, it is
-     *     given a stand-in value, and what it returns or throws is dropped
+     * @param source the name of the text in messages, such as its file
+     * @param text JSON, in which comments and trailing commas are allowed
+     * @param builder reads the fields of the outermost object; it receives a placeholder value for
+     *     a faulty field, and what it then returns or throws is discarded
      * @return the built value, or all faults
      */
     public static <T> Either<Faults, T> read(
@@ -41,7 +41,9 @@
             return Optional.of(builder.apply(root));
         } catch (RuntimeException e) {
             if (root.hasNoFaults()) {
-                root.fault("the settings don't fit: " + e.getMessage(), "change the value named");
+                root.fault(
+                        "the settings are inconsistent: " + e.getMessage(),
+                        "change the value named");
             }
             return Optional.empty();
         }
--- a/transport/src/main/java/org/hornbeampass/protocol/settings/SettingsValue.java
+++ b/transport/src/main/java/org/hornbeampass/protocol/settings/SettingsValue.java
@@ -4,16 +4,16 @@
 import java.util.Map;
 
 /**
- * One value of a settings text, with its place.
+ * One value of a settings text, with its position.
  *
  * <p>Immutable; safe for use by any thread.
  *
- * @param kind what it is
- * @param line the line, from 1
- * @param column the column, from 1
- * @param text its text, for anything but an object or a list
- * @param fields its fields, for an object
- * @param items its items, for a list
+ * @param kind the kind of the value
+ * @param line the line where it starts, counted from 1
+ * @param column the column where it starts, counted from 1
+ * @param text its text; empty for an object or a list
+ * @param fields its fields by name, in the order of the text; empty unless it is an object
+ * @param items its items in order; empty unless it is a list
  */
 record SettingsValue(
         Kind kind,
@@ -22,11 +22,11 @@
         String text,
         Map<String, Field> fields,
         List<SettingsValue> items) {
-    /** What a value is, as messages call it. */
+    /** The kind of a value, with its name in messages. */
     enum Kind {
         OBJECT("an object"),
         LIST("a list"),
-        TEXT("a text"),
+        TEXT("a string"),
         NUMBER("a number"),
         BOOLEAN("true or false"),
         NULL("null");
@@ -42,7 +42,7 @@
         }
     }
 
-    /** A field of an object, with the place of its name. */
+    /** A field of an object, with the position of its name. */
     record Field(int line, int column, SettingsValue value) {}
 
     static SettingsValue scalar(Kind kind, int line, int column, String text) {
--- a/transport/src/main/java/org/hornbeampass/protocol/settings/Spelling.java
+++ b/transport/src/main/java/org/hornbeampass/protocol/settings/Spelling.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 
 /**
- * Finds the known name that a misspelt one is closest to.
+ * Finds the known name that is closest to a misspelt one.
  *
  * <p>Stateless; safe for use by any thread.
  */
@@ -14,14 +14,17 @@
 
     private Spelling() {}
 
-    /** Returns the closest known name; empty where none is close. */
+    /**
+     * Returns the known name with the fewest edits; empty if none is within {@code MAX_EDITS} edits
+     * and within half of its own length.
+     */
     static Optional<String> closest(String name, Collection<String> known) {
         return known.stream()
                 .filter(k -> editDistance(name, k) <= Math.min(MAX_EDITS, k.length() / 2))
                 .min(Comparator.comparingInt(k -> editDistance(name, k)));
     }
 
-    /** Returns how many letters must be added, removed or replaced to get from one to the other. */
+    /** Returns the Levenshtein distance of two names. */
     private static int editDistance(String a, String b) {
         int[] row = new int[b.length() + 1];
         for (int j = 0; j <= b.length(); j++) {
--- a/transport/src/main/java/org/hornbeampass/protocol/settings/Units.java
+++ b/transport/src/main/java/org/hornbeampass/protocol/settings/Units.java
@@ -6,16 +6,16 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads amounts with units, such as {@code 250ms} and {@code 1MiB}.
+ * Parses and formats amounts with units, such as {@code 250ms} and {@code 1MiB}.
  *
  * <p>Stateless; safe for use by any thread.
  */
 public final class Units {
-    /** What a duration looks like. */
+    /** The form of a duration, as messages describe it. */
     public static final String DURATION_FORM =
             "a whole number and one of ms, s, m, h, d, such as \"250ms\"";
 
-    /** What a size looks like. */
+    /** The form of a size, as messages describe it. */
     public static final String SIZE_FORM =
             "a whole number and one of B, KiB, MiB, GiB, such as \"1MiB\"";
 
@@ -27,22 +27,24 @@
 
     private Units() {}
 
-    /** Returns a duration in milliseconds; empty where the text is none. */
+    /** Returns a duration in milliseconds; empty if the text is not a duration or too large. */
     public static OptionalLong durationMs(String text) {
         return amount(text, DURATIONS_MS);
     }
 
-    /** Returns a size in bytes; empty where the text is none. */
+    /** Returns a size in bytes; empty if the text is not a size or too large. */
     public static OptionalLong sizeBytes(String text) {
         return amount(text, SIZES_BYTES);
     }
 
-    /** Returns a duration as a text with the largest unit that gives a whole number. */
+    /**
+     * Returns a duration of {@code ms} milliseconds, in the largest unit that gives a whole number.
+     */
     public static String durationText(long ms) {
         return text(ms, DURATIONS_MS, "ms");
     }
 
-    /** Returns a size as a text with the largest unit that gives a whole number. */
+    /** Returns a size of {@code bytes} bytes, in the largest unit that gives a whole number. */
     public static String sizeText(long bytes) {
         return text(bytes, SIZES_BYTES, "B");
     }
--- a/transport/src/main/java/org/hornbeampass/protocol/settings/package-info.java
+++ b/transport/src/main/java/org/hornbeampass/protocol/settings/package-info.java
@@ -1,2 +1,2 @@
-/** Reads settings in JSON with comments and reports all faults at once. */
+/** Reads settings written as JSON with comments, and reports all of their faults at once. */
 package org.hornbeampass.protocol.settings;
--- a/transport/src/main/java/org/hornbeampass/transport/Channels.java
+++ b/transport/src/main/java/org/hornbeampass/transport/Channels.java
@@ -4,19 +4,19 @@
 import io.netty.channel.socket.DuplexChannel;
 
 /**
- * Operations on channels whose outcome shows in the channel's own events.
+ * Channel operations whose futures are ignored, as the channel's events report the outcome.
  *
  * <p>Stateless; safe for use by any thread.
  */
 public final class Channels {
     private Channels() {}
 
-    /** Closes a channel; its handlers hear of it by {@code channelInactive}. */
+    /** Closes a channel; its handlers are notified by {@code channelInactive}. */
     public static void close(Channel channel) {
         var unused = channel.close();
     }
 
-    /** Writes a message and flushes; a failure closes the channel. */
+    /** Writes and flushes a message; closes the channel if that fails. */
     public static void send(Channel channel, Object message) {
         var unused =
                 channel.writeAndFlush(message)
@@ -28,7 +28,7 @@
                                 });
     }
 
-    /** Closes this side of a channel once what was written has gone out. */
+    /** Shuts down the output of a channel after all earlier writes. */
     public static void shutdownOutput(DuplexChannel channel) {
         var unused = channel.shutdownOutput();
     }
--- a/transport/src/main/java/org/hornbeampass/transport/Clock.java
+++ b/transport/src/main/java/org/hornbeampass/transport/Clock.java
@@ -3,19 +3,19 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The source of the present time that the programs hand to every function that decides.
+ * The source of the current time, which callers pass to all code that depends on the time.
  *
- * <p>Invariant: {@link #nowMs()} never gives less than it gave before. Implementations are
+ * <p>Invariant: {@link #nowMs()} never returns less than it returned before. Implementations are
  * thread-safe.
  */
 @FunctionalInterface
 public interface Clock {
-    /** Returns the present time in milliseconds since 1970. */
+    /** Returns the current time in milliseconds since the epoch of 1970. */
     long nowMs();
 
     /**
-     * Returns a clock that starts at the system's wall clock and goes on by its monotonic one, so
-     * that a step of the wall clock neither turns it back nor makes it jump.
+     * Returns a clock that starts at the system's wall clock and advances by the monotonic clock,
+     * so that an adjustment of the wall clock neither sets it back nor makes it jump ahead.
      */
     static Clock monotonic() {
         long startMs = System.currentTimeMillis();
--- a/transport/src/main/java/org/hornbeampass/transport/EventLoops.java
+++ b/transport/src/main/java/org/hornbeampass/transport/EventLoops.java
@@ -21,7 +21,7 @@
 
     private final EventLoopGroup mGroup;
 
-    /** Holds the process-wide loops, which are made at their first use. */
+    /** Holds the process-wide loops, which are created when first used. */
     private static final class Shared {
         static final EventLoops LOOPS =
                 create(
@@ -36,7 +36,7 @@
     }
 
     /**
-     * Starts loops of their own.
+     * Creates event loops that are not shared with other callers.
      *
      * @param threads the number of threads
      * @param name the prefix of the threads' names
@@ -52,12 +52,15 @@
         return Shared.LOOPS;
     }
 
-    /** Returns Netty's group. */
+    /** Returns the Netty event loop group. */
     public EventLoopGroup group() {
         return mGroup;
     }
 
-    /** Starts closing the loops; returns without waiting, so that a loop may call it. */
+    /**
+     * Starts closing the loops. Returns without waiting, so that a thread of a loop may call it;
+     * has no effect on the shared loops.
+     */
     @Override
     public void close() {
         if (this == Shared.LOOPS) {
--- a/transport/src/main/java/org/hornbeampass/transport/metrics/MetricLabels.java
+++ b/transport/src/main/java/org/hornbeampass/transport/metrics/MetricLabels.java
@@ -5,16 +5,17 @@
 import java.util.stream.Collectors;
 
 /**
- * Puts labels into the names of Dropwizard's metrics, which have none of their own.
+ * Encodes labels into the names of Dropwizard metrics, which don't support labels.
  *
- * <p>Invariant: equal labels give equal names. Stateless; safe for use by any thread.
+ * <p>Invariant: equal labels give equal names, in whatever order they are given. Stateless; safe
+ * for use by any thread.
  */
 public final class MetricLabels {
     private MetricLabels() {}
 
     /**
      * Returns a metric's name with labels, such as {@code requests{organisation="a"}}, which {@link
-     * MetricsText} understands. Use labels of few values only.
+     * MetricsText} parses. Use only labels with few distinct values, as each creates a series.
      */
     public static String name(String base, Map<String, String> labels) {
         if (labels.isEmpty()) {
--- a/transport/src/main/java/org/hornbeampass/transport/metrics/MetricsText.java
+++ b/transport/src/main/java/org/hornbeampass/transport/metrics/MetricsText.java
@@ -14,16 +14,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Writes a Dropwizard registry in Prometheus' text format.
+ * Writes a Dropwizard registry in the Prometheus text format.
  *
  * <p>Invariants: names start with {@code hornbeampass_}, counts of events end in {@code _total},
- * and timers are in seconds and end in {@code _seconds}; the lines of one metric stand together
- * below its type, and metrics with few lines come first: a collector that keeps only the beginning
- * of a page then lacks a family of many series, such as one for each organisation, and not the
- * rest. Stateless; safe for use by any thread.
+ * and timers are in seconds and end in {@code _seconds}; the samples of one metric follow its
+ * {@code TYPE} line, and metrics with few samples come first: a collector that keeps only the
+ * beginning of a page then loses metrics with many series, such as one series for each
+ * organisation, and not the others. Stateless; safe for use by any thread.
  */
 public final class MetricsText {
-    /** The text's content type. */
+    /** The content type of the rendered text. */
     public static final String CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8";
 
     private static final String PREFIX = "hornbeampass_";
@@ -33,7 +33,7 @@
 
     private MetricsText() {}
 
-    /** Returns all metrics of a registry that are numbers. */
+    /** Returns the text for all metrics of a registry; gauges that aren't numbers are left out. */
     public static String render(MetricRegistry registry) {
         Map<String, StringBuilder> families = new TreeMap<>();
         new TreeMap<>(registry.getMetrics())
@@ -42,7 +42,7 @@
         families.entrySet().stream()
                 .sorted(
                         Comparator.comparing(
-                                f -> countLines(f.getValue()))) // Stable: then by name.
+                                f -> countLines(f.getValue()))) // Stable; ties by name.
                 .forEach(f -> text.append(f.getKey()).append(f.getValue()));
         return text.toString();
     }
@@ -52,9 +52,9 @@
     }
 
     private static void addMetric(Map<String, StringBuilder> families, String name, Metric metric) {
-        int cut = name.indexOf('{');
-        String base = PREFIX + sanitize(cut < 0 ? name : name.substring(0, cut));
-        String labels = cut < 0 ? "" : name.substring(cut + 1, name.length() - 1);
+        int brace = name.indexOf('{');
+        String base = PREFIX + sanitize(brace < 0 ? name : name.substring(0, brace));
+        String labels = brace < 0 ? "" : name.substring(brace + 1, name.length() - 1);
         if (metric instanceof Gauge<?> gauge) {
             if (gauge.getValue() instanceof Number number) {
                 appendSample(family(families, base, "gauge"), base, labels, number);
--- a/transport/src/main/java/org/hornbeampass/transport/metrics/package-info.java
+++ b/transport/src/main/java/org/hornbeampass/transport/metrics/package-info.java
@@ -1,2 +1,2 @@
-/** Metrics as text for scrapers. */
+/** Rendering of metrics in the Prometheus text format. */
 package org.hornbeampass.transport.metrics;
--- a/transport/src/main/java/org/hornbeampass/transport/package-info.java
+++ b/transport/src/main/java/org/hornbeampass/transport/package-info.java
@@ -1,2 +1,2 @@
-/** Sockets, threads and the clock: what carries the protocol layer. */
+/** Sockets, event loop threads and the clock, on which the protocol layer runs. */
 package org.hornbeampass.transport;
--- a/transport/src/main/java/org/hornbeampass/transport/tls/TlsContexts.java
+++ b/transport/src/main/java/org/hornbeampass/transport/tls/TlsContexts.java
@@ -9,7 +9,7 @@
 import javax.net.ssl.SSLException;
 
 /**
- * Makes TLS contexts from PEM files.
+ * Creates TLS contexts from PEM files.
  *
  * <p>Stateless; safe for use by any thread.
  */
@@ -17,9 +17,10 @@
     private TlsContexts() {}
 
     /**
-     * Returns the context of a listener.
+     * Returns the context of a listener; it requires client certificates if the files name trusted
+     * certificates.
      *
-     * @throws IllegalArgumentException if a file is missing or does not fit
+     * @throws IllegalArgumentException if a file is missing or invalid
      */
     public static SslContext forListener(TlsFiles files) {
         try {
@@ -33,15 +34,16 @@
             }
             return builder.build();
         } catch (SSLException e) {
-            throw new IllegalArgumentException("TLS files do not fit: " + e.getMessage(), e);
+            throw new IllegalArgumentException("TLS files are invalid: " + e.getMessage(), e);
         }
     }
 
     /**
-     * Returns the context of a client; the other side's name is checked.
+     * Returns the context of a client, which checks the server's name.
      *
-     * @param files this client's files; empty for the Java runtime's own trust
-     * @throws IllegalArgumentException if a file is missing or does not fit
+     * @param files this client's files; if empty, the client trusts the Java runtime's default
+     *     certificates
+     * @throws IllegalArgumentException if a file is missing or invalid
      */
     public static SslContext forClient(Optional<TlsFiles> files) {
         try {
@@ -56,11 +58,11 @@
             }
             return builder.build();
         } catch (SSLException e) {
-            throw new IllegalArgumentException("TLS files do not fit: " + e.getMessage(), e);
+            throw new IllegalArgumentException("TLS files are invalid: " + e.getMessage(), e);
         }
     }
 
-    private static IllegalArgumentException missing(String what) {
-        return new IllegalArgumentException("TLS needs a PEM file for the " + what);
+    private static IllegalArgumentException missing(String file) {
+        return new IllegalArgumentException("TLS needs a PEM file for the " + file);
     }
 }
--- a/transport/src/main/java/org/hornbeampass/transport/tls/package-info.java
+++ b/transport/src/main/java/org/hornbeampass/transport/tls/package-info.java
@@ -1,2 +1,2 @@
-/** TLS contexts made from PEM files. */
+/** TLS contexts that are created from PEM files. */
 package org.hornbeampass.transport.tls;
--- a/transport/src/test/java/org/hornbeampass/protocol/settings/SettingsReaderTest.java
+++ b/transport/src/test/java/org/hornbeampass/protocol/settings/SettingsReaderTest.java
@@ -11,9 +11,11 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Tests {@link SettingsReader}: input to expected value, or to expected faults. */
+/**
+ * Tests that {@link SettingsReader} returns the expected value or the expected faults of a text.
+ */
 class SettingsReaderTest {
-    /** Settings with a field of each sort. */
+    /** Settings with fields of several types. */
     private record Sample(
             String name,
             long timeoutMs,
@@ -80,16 +82,16 @@
         assertThat(faults(text))
                 .containsExactly(
                         "s:1:1: name: it is missing; add it",
-                        "s:2:14: timeout: \"5 sec\" is no duration; write a whole number and one of"
-                                + " ms, s, m, h, d, such as \"250ms\"",
+                        "s:2:14: timeout: \"5 sec\" is not a duration; write a whole number and one"
+                                + " of ms, s, m, h, d, such as \"250ms\"",
                         "s:3:11: size: 2MiB is out of range; use 1B to 1MiB",
-                        "s:4:12: count: it is a text; write a whole number from 1 to 10",
+                        "s:4:12: count: it is a string; write a whole number from 1 to 10",
                         "s:5:3: sate: there is no such field; did you mean \"state\"?",
-                        "s:6:12: state: \"walked\" is not known; use one of not_run, ran, unknown",
-                        "s:8:36: parts[0].address: the address is that of listen already; use"
+                        "s:6:12: state: \"walked\" is unknown; use one of not_run, ran, unknown",
+                        "s:8:36: parts[0].address: the address is used by listen already; use"
                                 + " another",
-                        "s:8:58: parts[1].id: it is blank; write a text that is not blank",
-                        "s:8:74: parts[1].address: \"host:1\" is no address; write an IP number and"
+                        "s:8:58: parts[1].id: it is blank; write a string that is not blank",
+                        "s:8:74: parts[1].address: \"host:1\" is invalid; write an IP address and"
                                 + " a port, such as \"10.0.0.1:7400\" or \"[fd00::1]:7400\"");
     }
 
@@ -102,7 +104,7 @@
     void duplicateField_isReported() {
         assertThat(faults("{\"name\": \"a\",\n \"name\": \"b\"}"))
                 .containsExactly(
-                        "s:2:2: name: the field stands in line 1 already; keep one of the two");
+                        "s:2:2: name: the field is set in line 1 already; keep one of the two");
     }
 
     @Test
--- a/transport/src/test/java/org/hornbeampass/transport/log/LogFormatTest.java
+++ b/transport/src/test/java/org/hornbeampass/transport/log/LogFormatTest.java
@@ -15,7 +15,9 @@
 import org.apache.logging.log4j.util.SortedArrayStringMap;
 import org.junit.jupiter.api.Test;
 
-/** Tests that a log event's JSON has the request, the organisation and the message's fields. */
+/**
+ * Tests that a log event is one line of JSON with the request, the organisation and the message.
+ */
 class LogFormatTest {
     private static final JsonTemplateLayout LAYOUT =
             JsonTemplateLayout.newBuilder()
--- a/transport/src/test/java/org/hornbeampass/transport/metrics/MetricsTextTest.java
+++ b/transport/src/test/java/org/hornbeampass/transport/metrics/MetricsTextTest.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** Tests {@link MetricsText}: registry to expected text. */
+/** Tests that {@link MetricsText} renders a registry as the expected text. */
 class MetricsTextTest {
     private final MetricRegistry mRegistry = new MetricRegistry();
 
--- a/transport/src/test/java/org/hornbeampass/transport/tls/TestCertificate.java
+++ b/transport/src/test/java/org/hornbeampass/transport/tls/TestCertificate.java
@@ -4,11 +4,11 @@
 import java.nio.file.Path;
 import java.util.Optional;
 
-/** The self-signed certificate of the tests, for 127.0.0.1. */
+/** The self-signed certificate for 127.0.0.1 that tests use. */
 public final class TestCertificate {
     private TestCertificate() {}
 
-    /** Returns the files of a side that shows the certificate and trusts it. */
+    /** Returns the files of a listener or client that presents the certificate and trusts it. */
     public static TlsFiles mutual() {
         return new TlsFiles(
                 Optional.of(file("certificate.pem")),
@@ -16,7 +16,7 @@
                 Optional.of(file("certificate.pem")));
     }
 
-    /** Returns the files of a listener that asks for no certificate. */
+    /** Returns the files of a listener that requests no client certificate. */
     public static TlsFiles listener() {
         return TlsFiles.listener(file("certificate.pem"), file("key.pem"));
     }
--- a/transport/src/test/java/org/hornbeampass/transport/tls/TlsTest.java
+++ b/transport/src/test/java/org/hornbeampass/transport/tls/TlsTest.java
@@ -21,7 +21,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 
-/** Tests HTTP over TLS from PEM files. */
+/** Tests HTTP over TLS with certificates from PEM files. */
 class TlsTest {
     private static final long WAIT_S = 20;
 
@@ -96,7 +96,7 @@
         }
     }
 
-    /** Completes with the first chunk of an answer, or with its failure. */
+    /** Completes the future with the first chunk of a response, or with the failure as text. */
     private record FirstChunk(CompletableFuture<String> answer) implements HttpClient.Listener {
         @Override
         public void onHead(int status, Map<String, String> headers) {}
