--- a/transport/src/main/java/org/hornbeampass/protocol/settings/SettingsField.java
+++ b/transport/src/main/java/org/hornbeampass/protocol/settings/SettingsField.java
@@ -19,38 +19,38 @@
 import java.util.stream.Collectors;
 
 /**
- * One value with its path, read as one type or another.
+ * One value of a settings text with its path, and the methods that read it as a given type.
  *
- * <p>Invariant: each method returns a value within its bounds, or records a fault and returns
- * empty. Not thread-safe: used while one text is read.
+ * <p>Invariant: each reading method returns a value within the given bounds, or records a fault and
+ * returns empty. Not thread-safe: used by the one thread that reads the text.
  */
 record SettingsField(Faults faults, String path, SettingsValue value) {
-    /** Stands in for an address that is at fault. */
-    static final InetSocketAddress NO_ADDRESS =
+    /** Returned in place of an address that is missing or invalid, so that reading continues. */
+    static final InetSocketAddress PLACEHOLDER_ADDRESS =
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
 
     private static final String ADDRESS_FORM =
-            "write an IP number and a port, such as \"10.0.0.1:7400\" or \"[fd00::1]:7400\"";
+            "write an IP address and a port, such as \"10.0.0.1:7400\" or \"[fd00::1]:7400\"";
     private static final int MAX_PORT = 65_535;
 
     Optional<String> text() {
-        if (!is(Kind.TEXT, "write a text in double quotes")) {
+        if (!requireKind(Kind.TEXT, "write a string in double quotes")) {
             return Optional.empty();
         }
         if (value.text().isBlank()) {
-            return fault("it is blank", "write a text that is not blank");
+            return fault("it is blank", "write a string that is not blank");
         }
         return Optional.of(value.text());
     }
 
-    Optional<Long> whole(long min, long max) {
+    Optional<Long> wholeNumber(long min, long max) {
         String form = "write a whole number from " + min + " to " + max;
-        if (!is(Kind.NUMBER, form)) {
+        if (!requireKind(Kind.NUMBER, form)) {
             return Optional.empty();
         }
         try {
             long number = new BigDecimal(value.text()).longValueExact();
-            return within(number, min, max, Long::toString);
+            return requireRange(number, min, max, Long::toString);
         } catch (ArithmeticException e) {
             return fault("it is not a whole number, or too large", form);
         }
@@ -58,7 +58,7 @@
 
     Optional<Double> fraction(double min, double max) {
         String form = "write a number from " + min + " to " + max;
-        if (!is(Kind.NUMBER, form)) {
+        if (!requireKind(Kind.NUMBER, form)) {
             return Optional.empty();
         }
         double number = Double.parseDouble(value.text());
@@ -67,30 +67,30 @@
                 : fault(number + " is out of range", form);
     }
 
-    Optional<Boolean> truth() {
-        return is(Kind.BOOLEAN, "write true or false, without quotes")
+    Optional<Boolean> booleanValue() {
+        return requireKind(Kind.BOOLEAN, "write true or false, without quotes")
                 ? Optional.of(Boolean.valueOf(value.text()))
                 : Optional.empty();
     }
 
     Optional<Long> durationMs(long minMs, long maxMs) {
-        if (!is(Kind.TEXT, "write " + Units.DURATION_FORM)) {
+        if (!requireKind(Kind.TEXT, "write " + Units.DURATION_FORM)) {
             return Optional.empty();
         }
         OptionalLong ms = Units.durationMs(value.text());
         return ms.isEmpty()
-                ? fault(quoted() + " is no duration", "write " + Units.DURATION_FORM)
-                : within(ms.getAsLong(), minMs, maxMs, Units::durationText);
+                ? fault(quoted() + " is not a duration", "write " + Units.DURATION_FORM)
+                : requireRange(ms.getAsLong(), minMs, maxMs, Units::durationText);
     }
 
     Optional<Long> sizeBytes(long minBytes, long maxBytes) {
-        if (!is(Kind.TEXT, "write " + Units.SIZE_FORM)) {
+        if (!requireKind(Kind.TEXT, "write " + Units.SIZE_FORM)) {
             return Optional.empty();
         }
         OptionalLong bytes = Units.sizeBytes(value.text());
         return bytes.isEmpty()
-                ? fault(quoted() + " is no size", "write " + Units.SIZE_FORM)
-                : within(bytes.getAsLong(), minBytes, maxBytes, Units::sizeText);
+                ? fault(quoted() + " is not a size", "write " + Units.SIZE_FORM)
+                : requireRange(bytes.getAsLong(), minBytes, maxBytes, Units::sizeText);
     }
 
     <E extends Enum<E>> Optional<E> constant(Class<E> type) {
@@ -101,12 +101,12 @@
                                     return Optional.of(constant);
                                 }
                             }
-                            return fault(quoted() + " is not known", "use one of " + labels(type));
+                            return fault(quoted() + " is unknown", "use one of " + labels(type));
                         });
     }
 
     Optional<InetSocketAddress> address() {
-        return text().flatMap(this::parseAddress).flatMap(this::claim);
+        return text().flatMap(this::parseAddress).flatMap(this::requireUnique);
     }
 
     Optional<URI> uri() {
@@ -114,7 +114,7 @@
     }
 
     List<SettingsField> items() {
-        if (!is(Kind.LIST, "write a list in square brackets")) {
+        if (!requireKind(Kind.LIST, "write a list in square brackets")) {
             return List.of();
         }
         List<SettingsField> items = new ArrayList<>();
@@ -124,7 +124,7 @@
         return items;
     }
 
-    private boolean is(Kind kind, String remedy) {
+    private boolean requireKind(Kind kind, String remedy) {
         if (value.kind() == kind) {
             return true;
         }
@@ -132,51 +132,52 @@
         return false;
     }
 
-    private Optional<Long> within(long number, long min, long max, LongFunction<String> shown) {
+    private Optional<Long> requireRange(
+            long number, long min, long max, LongFunction<String> formatter) {
         return number >= min && number <= max
                 ? Optional.of(number)
                 : fault(
-                        shown.apply(number) + " is out of range",
-                        "use " + shown.apply(min) + " to " + shown.apply(max));
+                        formatter.apply(number) + " is out of range",
+                        "use " + formatter.apply(min) + " to " + formatter.apply(max));
     }
 
     private Optional<InetSocketAddress> parseAddress(String text) {
-        int cut = text.lastIndexOf(':');
-        if (cut < 0 || !text.substring(cut + 1).matches("\\d{1,5}")) {
+        int colon = text.lastIndexOf(':');
+        if (colon < 0 || !text.substring(colon + 1).matches("\\d{1,5}")) {
             return fault(quoted() + " has no port", ADDRESS_FORM);
         }
-        int port = Integer.parseInt(text.substring(cut + 1));
-        byte[] number = NetUtil.createByteArrayFromIpAddressString(text.substring(0, cut));
+        int port = Integer.parseInt(text.substring(colon + 1));
+        byte[] number = NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
         if (number == null || port > MAX_PORT) {
-            return fault(quoted() + " is no address", ADDRESS_FORM);
+            return fault(quoted() + " is invalid", ADDRESS_FORM);
         }
         try {
             return Optional.of(new InetSocketAddress(InetAddress.getByAddress(number), port));
         } catch (UnknownHostException e) {
-            return fault(quoted() + " is no address", ADDRESS_FORM);
+            return fault(quoted() + " is invalid", ADDRESS_FORM);
         }
     }
 
-    private Optional<InetSocketAddress> claim(InetSocketAddress address) {
+    private Optional<InetSocketAddress> requireUnique(InetSocketAddress address) {
         if (address.getPort() == 0) {
             return Optional.of(address);
         }
-        Optional<String> other = faults.claim(address.toString(), path);
+        Optional<String> other = faults.registerUnique(address.toString(), path);
         return other.isEmpty()
                 ? Optional.of(address)
-                : fault("the address is that of " + other.get() + " already", "use another");
+                : fault("the address is used by " + other.get() + " already", "use another");
     }
 
     private Optional<URI> parseUri(String text) {
-        String form = "write an address such as \"http://10.0.0.1:8080\"";
+        String form = "write a URI such as \"http://10.0.0.1:8080\"";
         try {
             URI uri = URI.create(text);
-            boolean web = "http".equals(uri.getScheme()) || "https".equals(uri.getScheme());
-            return web && uri.getHost() != null
+            boolean supported = "http".equals(uri.getScheme()) || "https".equals(uri.getScheme());
+            return supported && uri.getHost() != null
                     ? Optional.of(uri)
-                    : fault(quoted() + " is no http or https address", form);
+                    : fault(quoted() + " is not an http or https URI", form);
         } catch (IllegalArgumentException e) {
-            return fault(quoted() + " is no address", form);
+            return fault(quoted() + " is not a URI", form);
         }
     }
 
--- a/transport/src/main/java/org/hornbeampass/transport/EventLoops.java
+++ b/transport/src/main/java/org/hornbeampass/transport/EventLoops.java
@@ -14,14 +14,14 @@
  * Thread-safe.
  */
 public final class EventLoops implements AutoCloseable {
-    private static final long QUIET_MS = 0;
+    private static final long QUIET_PERIOD_MS = 0;
     private static final long CLOSE_TIMEOUT_MS = 2_000;
     private static final int MIN_THREADS = 2;
     private static final int MAX_THREADS = 8;
 
     private final EventLoopGroup mGroup;
 
-    /** Holds the process-wide loops, which are made at their first use. */
+    /** Holds the process-wide loops, which are created when first used. */
     private static final class Shared {
         static final EventLoops LOOPS =
                 create(
@@ -36,7 +36,7 @@
     }
 
     /**
-     * Starts loops of their own.
+     * Creates event loops that are not shared with other callers.
      *
      * @param threads the number of threads
      * @param name the prefix of the threads' names
@@ -52,17 +52,21 @@
         return Shared.LOOPS;
     }
 
-    /** Returns Netty's group. */
+    /** Returns the Netty event loop group. */
     public EventLoopGroup group() {
         return mGroup;
     }
 
-    /** Starts closing the loops; returns without waiting, so that a loop may call it. */
+    /**
+     * Starts closing the loops. Returns without waiting, so that a thread of a loop may call it;
+     * has no effect on the shared loops.
+     */
     @Override
     public void close() {
         if (this == Shared.LOOPS) {
             return;
         }
-        var unused = mGroup.shutdownGracefully(QUIET_MS, CLOSE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        var unused =
+                mGroup.shutdownGracefully(QUIET_PERIOD_MS, CLOSE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 }
--- a/transport/src/main/java/org/hornbeampass/transport/metrics/MetricsText.java
+++ b/transport/src/main/java/org/hornbeampass/transport/metrics/MetricsText.java
@@ -14,16 +14,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Writes a Dropwizard registry in Prometheus' text format.
+ * Writes a Dropwizard registry in the Prometheus text format.
  *
  * <p>Invariants: names start with {@code hornbeampass_}, counts of events end in {@code _total},
- * and timers are in seconds and end in {@code _seconds}; the lines of one metric stand together
- * below its type, and metrics with few lines come first: a collector that keeps only the beginning
- * of a page then lacks a family of many series, such as one for each organisation, and not the
- * rest. Stateless; safe for use by any thread.
+ * and timers are in seconds and end in {@code _seconds}; the samples of one metric follow its
+ * {@code TYPE} line, and metrics with few samples come first: a collector that keeps only the
+ * beginning of a page then loses metrics with many series, such as one series for each
+ * organisation, and not the others. Stateless; safe for use by any thread.
  */
 public final class MetricsText {
-    /** The text's content type. */
+    /** The content type of the rendered text. */
     public static final String CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8";
 
     private static final String PREFIX = "hornbeampass_";
@@ -33,32 +33,35 @@
 
     private MetricsText() {}
 
-    /** Returns all metrics of a registry that are numbers. */
+    /** Returns the text for all metrics of a registry; gauges that aren't numbers are left out. */
     public static String render(MetricRegistry registry) {
         Map<String, StringBuilder> families = new TreeMap<>();
-        new TreeMap<>(registry.getMetrics()).forEach((name, metric) -> add(families, name, metric));
+        new TreeMap<>(registry.getMetrics())
+                .forEach((name, metric) -> addMetric(families, name, metric));
         StringBuilder text = new StringBuilder();
         families.entrySet().stream()
-                .sorted(Comparator.comparing(f -> lines(f.getValue()))) // Stable: then by name.
+                .sorted(
+                        Comparator.comparing(
+                                f -> countLines(f.getValue()))) // Stable; ties by name.
                 .forEach(f -> text.append(f.getKey()).append(f.getValue()));
         return text.toString();
     }
 
-    private static long lines(CharSequence text) {
+    private static long countLines(CharSequence text) {
         return text.chars().filter(c -> c == '\n').count();
     }
 
-    private static void add(Map<String, StringBuilder> families, String name, Metric metric) {
-        int cut = name.indexOf('{');
-        String base = PREFIX + clean(cut < 0 ? name : name.substring(0, cut));
-        String labels = cut < 0 ? "" : name.substring(cut + 1, name.length() - 1);
+    private static void addMetric(Map<String, StringBuilder> families, String name, Metric metric) {
+        int brace = name.indexOf('{');
+        String base = PREFIX + sanitize(brace < 0 ? name : name.substring(0, brace));
+        String labels = brace < 0 ? "" : name.substring(brace + 1, name.length() - 1);
         if (metric instanceof Gauge<?> gauge) {
             if (gauge.getValue() instanceof Number number) {
-                line(family(families, base, "gauge"), base, labels, number);
+                appendSample(family(families, base, "gauge"), base, labels, number);
             }
         } else if (metric instanceof Timer timer) {
             String seconds = base + "_seconds";
-            summary(
+            appendSummary(
                     family(families, seconds, "summary"),
                     seconds,
                     labels,
@@ -66,7 +69,7 @@
                     timer.getCount(),
                     NS_PER_SECOND);
         } else if (metric instanceof Histogram histogram) {
-            summary(
+            appendSummary(
                     family(families, base, "summary"),
                     base,
                     labels,
@@ -75,7 +78,7 @@
                     1);
         } else if (metric instanceof Counting counting) {
             String total = base + "_total";
-            line(family(families, total, "counter"), total, labels, counting.getCount());
+            appendSample(family(families, total, "counter"), total, labels, counting.getCount());
         }
     }
 
@@ -85,7 +88,7 @@
                 "# TYPE " + name + " " + type + "\n", header -> new StringBuilder());
     }
 
-    private static void summary(
+    private static void appendSummary(
             StringBuilder out,
             String name,
             String labels,
@@ -95,20 +98,20 @@
         String start = labels.isEmpty() ? "" : labels + ",";
         for (double quantile : QUANTILES) {
             String withQuantile = start + "quantile=\"" + quantile + "\"";
-            line(out, name, withQuantile, snapshot.getValue(quantile) / scale);
+            appendSample(out, name, withQuantile, snapshot.getValue(quantile) / scale);
         }
-        line(out, name + "_count", labels, count);
+        appendSample(out, name + "_count", labels, count);
     }
 
-    private static void line(StringBuilder out, String name, String labels, Number value) {
+    private static void appendSample(StringBuilder out, String name, String labels, Number value) {
         out.append(name);
         if (!labels.isEmpty()) {
             out.append('{').append(labels).append('}');
         }
-        out.append(' ').append(shown(value)).append('\n');
+        out.append(' ').append(format(value)).append('\n');
     }
 
-    private static String shown(Number number) {
+    private static String format(Number number) {
         if (number instanceof Long || number instanceof Integer) {
             return number.toString();
         }
@@ -117,7 +120,7 @@
         return whole ? Long.toString((long) value) : Double.toString(value);
     }
 
-    private static String clean(String name) {
+    private static String sanitize(String name) {
         return name.replaceAll("[^a-zA-Z0-9_]", "_");
     }
 }
--- a/transport/src/test/java/org/hornbeampass/transport/tls/TlsTest.java
+++ b/transport/src/test/java/org/hornbeampass/transport/tls/TlsTest.java
@@ -21,7 +21,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 
-/** Tests HTTP over TLS from PEM files. */
+/** Tests HTTP over TLS with certificates from PEM files. */
 class TlsTest {
     private static final long WAIT_S = 20;
 
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void trustedCertificate_isTaken() throws Exception {
+    void trustedCertificate_isAccepted() throws Exception {
         serve(TestCertificate.listener());
 
         assertThat(get("https", HttpClientSettings.STANDARD.withTls(TestCertificate.client())))
@@ -44,19 +44,19 @@
     }
 
     @Test
-    void otherCertificate_isRefused_withNothingSent() throws Exception {
+    void untrustedCertificate_isRejected_beforeAnythingIsSent() throws Exception {
         serve(TestCertificate.listener());
 
         assertThat(get("https", HttpClientSettings.STANDARD)).startsWith("sent=false");
     }
 
     @Test
-    void clientWithoutCertificate_isRefused_whereOneIsAskedFor() throws Exception {
-        serve(TestCertificate.both());
+    void clientWithoutCertificate_isRejected_whereOneIsRequired() throws Exception {
+        serve(TestCertificate.mutual());
 
         assertThat(get("https", HttpClientSettings.STANDARD.withTls(TestCertificate.client())))
                 .startsWith("sent=");
-        assertThat(get("https", HttpClientSettings.STANDARD.withTls(TestCertificate.both())))
+        assertThat(get("https", HttpClientSettings.STANDARD.withTls(TestCertificate.mutual())))
                 .isEqualTo("hello");
     }
 
@@ -96,7 +96,7 @@
         }
     }
 
-    /** Completes with the first chunk of an answer, or with its failure. */
+    /** Completes the future with the first chunk of a response, or with the failure as text. */
     private record FirstChunk(CompletableFuture<String> answer) implements HttpClient.Listener {
         @Override
         public void onHead(int status, Map<String, String> headers) {}
