--- a/transport/src/main/java/org/hornbeampass/protocol/peer/HandshakeProof.java
+++ b/transport/src/main/java/org/hornbeampass/protocol/peer/HandshakeProof.java
@@ -32,7 +32,7 @@
     }
 
     /** Returns a side's proof. */
-    public byte[] prove(Secret key, Side side) {
+    public byte[] computeProof(Secret key, Side side) {
         try {
             Mac mac = Mac.getInstance(ALGORITHM);
             mac.init(new SecretKeySpec(key.revealBytes(), ALGORITHM));
@@ -47,8 +47,8 @@
     }
 
     /** Returns whether a proof is a side's. */
-    public boolean proves(byte[] proof, Secret key, Side side) {
-        return MessageDigest.isEqual(prove(key, side), proof);
+    public boolean verifyProof(byte[] proof, Secret key, Side side) {
+        return MessageDigest.isEqual(computeProof(key, side), proof);
     }
 
     private static void add(Mac mac, byte[] part) {
--- a/transport/src/main/java/org/hornbeampass/transport/peer/ConnectingHandshake.java
+++ b/transport/src/main/java/org/hornbeampass/transport/peer/ConnectingHandshake.java
@@ -24,7 +24,7 @@
 
     private final PeerContext mContext;
     private final Handshake.Hello mHello;
-    private final Runnable mReady;
+    private final Runnable mOnCompleted;
     private Optional<HandshakeTimeout> mTimeout = Optional.empty();
 
     ConnectingHandshake(PeerContext context, String peer, Runnable ready) {
@@ -32,7 +32,7 @@
         mHello =
                 new Handshake.Hello(
                         FrameHeader.VERSION, context.settings().self(), peer, Nonces.next());
-        mReady = ready;
+        mOnCompleted = ready;
     }
 
     @Override
@@ -52,7 +52,7 @@
                         : Optional.empty();
         Optional<HandshakeProof> proof = challenge.flatMap(this::verify);
         if (proof.isEmpty()) {
-            mContext.counters().refusedHandshake();
+            mContext.counters().recordFailedHandshake();
             LOG.warn(
                     "the VM at {} did not prove that it is {}",
                     context.channel().remoteAddress(),
@@ -61,21 +61,21 @@
             return;
         }
         byte[] ownProof =
-                proof.get().prove(mContext.settings().key(), HandshakeProof.Side.CONNECTING);
+                proof.get().computeProof(mContext.settings().key(), HandshakeProof.Side.CONNECTING);
         Channels.send(context.channel(), Frame.handshake(FrameKind.PROOF, ownProof));
         mTimeout.ifPresent(HandshakeTimeout::cancel);
         context.pipeline()
                 .get(FrameCodec.class)
-                .trust(mContext.settings().limits().maxFrameBytes());
+                .setMaxFrameBytes(mContext.settings().limits().maxFrameBytes());
         context.pipeline().remove(this);
-        mContext.counters().connected();
-        mReady.run();
+        mContext.counters().recordConnected();
+        mOnCompleted.run();
     }
 
     private Optional<HandshakeProof> verify(Handshake.Challenge challenge) {
         HandshakeProof proof = new HandshakeProof(mHello, challenge.from(), challenge.nonce());
         boolean proved =
-                proof.proves(
+                proof.verifyProof(
                         challenge.proof(),
                         mContext.settings().key(),
                         HandshakeProof.Side.LISTENING);
--- a/transport/src/main/java/org/hornbeampass/transport/peer/FrameCodec.java
+++ b/transport/src/main/java/org/hornbeampass/transport/peer/FrameCodec.java
@@ -13,20 +13,21 @@
 /**
  * Cuts a connection's bytes into frames, and counts them.
  *
- * <p>Invariants: no more is kept than the largest frame, which is small until {@link #trust}; after
- * a frame out of bounds nothing more is decoded. Not thread-safe: used on one event loop.
+ * <p>Invariants: no more is kept than the largest frame, which is small until {@link
+ * #setMaxFrameBytes}; after a frame out of bounds nothing more is decoded. Not thread-safe: used on
+ * one event loop.
  */
 final class FrameCodec extends ByteToMessageCodec<Frame> {
     private final PeerCounters mCounters;
     private int mMaxBytes = Handshake.MAX_FRAME_BYTES;
-    private boolean mBroken;
+    private boolean mCorrupted;
 
     FrameCodec(PeerCounters counters) {
         mCounters = counters;
     }
 
     /** Allows larger frames, once the other side has proved that it holds the key. */
-    void trust(int maxFrameBytes) {
+    void setMaxFrameBytes(int maxFrameBytes) {
         mMaxBytes = maxFrameBytes;
     }
 
@@ -40,12 +41,12 @@
         out.writeShort(header.typeNumber());
         out.writeLong(header.correlation());
         out.writeBytes(frame.body());
-        mCounters.sent(frame.wireBytes());
+        mCounters.recordSent(frame.wireBytes());
     }
 
     @Override
     protected void decode(ChannelHandlerContext context, ByteBuf in, List<Object> out) {
-        if (mBroken) {
+        if (mCorrupted) {
             in.skipBytes(in.readableBytes());
             return;
         }
@@ -54,8 +55,8 @@
         }
         int length = in.getInt(in.readerIndex());
         if (length < FrameHeader.BYTES || length > mMaxBytes) {
-            mBroken = true;
-            mCounters.malformed();
+            mCorrupted = true;
+            mCounters.recordMalformed();
             throw new CorruptedFrameException(
                     "frame of " + length + " bytes, where at most " + mMaxBytes + " are taken");
         }
@@ -72,7 +73,7 @@
         byte[] body = new byte[length - FrameHeader.BYTES];
         in.readBytes(body);
         Frame frame = new Frame(header, body);
-        mCounters.received(frame.wireBytes());
+        mCounters.recordReceived(frame.wireBytes());
         out.add(frame);
     }
 }
--- a/transport/src/main/java/org/hornbeampass/transport/peer/InboundConnection.java
+++ b/transport/src/main/java/org/hornbeampass/transport/peer/InboundConnection.java
@@ -45,14 +45,14 @@
     protected void channelRead0(ChannelHandlerContext context, Frame frame) {
         Optional<FrameKind> kind = frame.header().kind();
         if (kind.isEmpty()) {
-            mContext.counters().unknown();
-            answer(frame, FrameKind.UNSUPPORTED);
+            mContext.counters().recordUnknown();
+            sendControl(frame, FrameKind.UNSUPPORTED);
             return;
         }
         switch (kind.get()) {
-            case ONE_WAY, REQUEST -> message(context, frame, kind.get());
-            case PING -> answer(frame, FrameKind.PONG);
-            default -> mContext.counters().unknown();
+            case ONE_WAY, REQUEST -> onMessage(context, frame, kind.get());
+            case PING -> sendControl(frame, FrameKind.PONG);
+            default -> mContext.counters().recordUnknown();
         }
     }
 
@@ -62,7 +62,7 @@
         Channels.close(context.channel());
     }
 
-    private void message(ChannelHandlerContext context, Frame frame, FrameKind kind) {
+    private void onMessage(ChannelHandlerContext context, Frame frame, FrameKind kind) {
         boolean request = kind == FrameKind.REQUEST;
         PeerType.Form form = request ? PeerType.Form.REQUEST : PeerType.Form.ONE_WAY;
         Optional<PeerType> type =
@@ -71,16 +71,16 @@
                         .byNumber(frame.header().typeNumber())
                         .filter(t -> t.form() == form && mHandlers.handles(t));
         if (type.isEmpty()) {
-            mContext.counters().unknown();
+            mContext.counters().recordUnknown();
             if (request) {
-                answer(frame, FrameKind.UNSUPPORTED);
+                sendControl(frame, FrameKind.UNSUPPORTED);
             }
             return;
         }
         Either<Failure, PeerMessage> message =
                 PeerCodec.decode(frame.body(), type.get().messageClass());
         if (message.isLeft()) {
-            mContext.counters().malformed();
+            mContext.counters().recordMalformed();
             LOG.warn("closing the connection from {}: {}", mFrom, message.getLeft().message());
             Channels.close(context.channel());
             return;
@@ -97,19 +97,19 @@
                         message,
                         reply -> {
                             if (answered.compareAndSet(false, true)) {
-                                reply(frame, reply);
+                                sendReply(frame, reply);
                             }
                         });
         if (!handled && answered.compareAndSet(false, true)) {
-            answer(frame, FrameKind.FAILED);
+            sendControl(frame, FrameKind.FAILED);
         }
     }
 
-    private void reply(Frame request, PeerMessage reply) {
+    private void sendReply(Frame request, PeerMessage reply) {
         Optional<PeerType> type = mContext.settings().types().byClass(reply.getClass());
         if (type.isEmpty()) {
             LOG.error("{} is not listed in PeerMessageType", reply.getClass());
-            answer(request, FrameKind.FAILED);
+            sendControl(request, FrameKind.FAILED);
             return;
         }
         FrameHeader header =
@@ -118,13 +118,13 @@
         write(new Frame(header, PeerCodec.encode(reply)));
     }
 
-    private void answer(Frame request, FrameKind kind) {
+    private void sendControl(Frame request, FrameKind kind) {
         write(Frame.control(kind, request.header().correlation()));
     }
 
     private void write(Frame frame) {
         if (!mWriter.write(frame)) {
-            mContext.counters().dropped();
+            mContext.counters().recordDropped();
         }
     }
 }
--- a/transport/src/main/java/org/hornbeampass/transport/peer/ListeningHandshake.java
+++ b/transport/src/main/java/org/hornbeampass/transport/peer/ListeningHandshake.java
@@ -43,9 +43,9 @@
     @Override
     protected void channelRead0(ChannelHandlerContext context, Frame frame) {
         if (mProof.isEmpty()) {
-            challenge(context, frame);
+            sendChallenge(context, frame);
         } else {
-            finish(context, frame, mProof.get());
+            completeHandshake(context, frame, mProof.get());
         }
     }
 
@@ -55,12 +55,12 @@
         Channels.close(context.channel());
     }
 
-    private void challenge(ChannelHandlerContext context, Frame frame) {
+    private void sendChallenge(ChannelHandlerContext context, Frame frame) {
         Optional<Handshake.Hello> hello =
                 frame.is(FrameKind.HELLO) ? Handshake.Hello.decode(frame.body()) : Optional.empty();
         PeerSettings settings = mContext.settings();
         if (hello.isEmpty() || !hello.get().to().equals(settings.self().name())) {
-            refuse(context, "it did not ask for " + settings.self().name());
+            reject(context, "it did not ask for " + settings.self().name());
             return;
         }
         HandshakeProof proof = new HandshakeProof(hello.get(), settings.self(), Nonces.next());
@@ -70,30 +70,34 @@
                         FrameHeader.VERSION,
                         settings.self(),
                         proof.listenerNonce(),
-                        proof.prove(settings.key(), HandshakeProof.Side.LISTENING));
+                        proof.computeProof(settings.key(), HandshakeProof.Side.LISTENING));
         Channels.send(context.channel(), Frame.handshake(FrameKind.CHALLENGE, challenge.encode()));
     }
 
-    private void finish(ChannelHandlerContext context, Frame frame, HandshakeProof proof) {
+    private void completeHandshake(
+            ChannelHandlerContext context, Frame frame, HandshakeProof proof) {
         PeerSettings settings = mContext.settings();
         if (!frame.is(FrameKind.PROOF)
-                || !proof.proves(frame.body(), settings.key(), HandshakeProof.Side.CONNECTING)) {
-            refuse(context, "it did not prove that it holds the key");
+                || !proof.verifyProof(
+                        frame.body(), settings.key(), HandshakeProof.Side.CONNECTING)) {
+            reject(context, "it did not prove that it holds the key");
             return;
         }
         mTimeout.ifPresent(HandshakeTimeout::cancel);
-        context.pipeline().get(FrameCodec.class).trust(settings.limits().maxFrameBytes());
+        context.pipeline()
+                .get(FrameCodec.class)
+                .setMaxFrameBytes(settings.limits().maxFrameBytes());
         context.pipeline()
                 .replace(
                         this,
                         null,
                         new InboundConnection(
                                 mContext, mHandlers, proof.hello().from(), context.channel()));
-        mContext.counters().connected();
+        mContext.counters().recordConnected();
     }
 
-    private void refuse(ChannelHandlerContext context, String reason) {
-        mContext.counters().refusedHandshake();
+    private void reject(ChannelHandlerContext context, String reason) {
+        mContext.counters().recordFailedHandshake();
         LOG.warn("refused {}: {}", context.channel().remoteAddress(), reason);
         Channels.close(context.channel());
     }
--- a/transport/src/main/java/org/hornbeampass/transport/peer/OutboundConnection.java
+++ b/transport/src/main/java/org/hornbeampass/transport/peer/OutboundConnection.java
@@ -35,9 +35,9 @@
     private final Channel mChannel;
     private final PendingRequests mPending;
     private final FrameWriter mWriter;
-    private volatile boolean mSentSinceWord;
-    private volatile long mLastUseMs;
-    private boolean mPinged;
+    private volatile boolean mSentSinceLastReceived;
+    private volatile long mLastSentMs;
+    private boolean mPingOutstanding;
 
     OutboundConnection(PeerContext context, String peer, Channel channel, PendingRequests pending) {
         mContext = context;
@@ -45,22 +45,23 @@
         mChannel = channel;
         mPending = pending;
         mWriter = new FrameWriter(channel);
-        mLastUseMs = context.clock().nowMs();
+        mLastSentMs = context.clock().nowMs();
     }
 
     /** Sends a frame and returns whether it was taken; on any thread. */
     boolean write(Frame frame) {
-        mSentSinceWord = true;
-        mLastUseMs = mContext.clock().nowMs();
+        mSentSinceLastReceived = true;
+        mLastSentMs = mContext.clock().nowMs();
         return mWriter.write(frame);
     }
 
     /** Starts the checks, once the handshake is done. */
-    void startChecks() {
+    void startLivenessChecks() {
         long pingMs = mContext.settings().timing().pingMs();
         Future<?> checks =
                 mChannel.eventLoop()
-                        .scheduleWithFixedDelay(this::check, pingMs, pingMs, TimeUnit.MILLISECONDS);
+                        .scheduleWithFixedDelay(
+                                this::checkLiveness, pingMs, pingMs, TimeUnit.MILLISECONDS);
         mChannel.closeFuture().addListener(closed -> checks.cancel(false));
     }
 
@@ -70,21 +71,21 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, Frame frame) {
-        mSentSinceWord = false;
-        mPinged = false;
+        mSentSinceLastReceived = false;
+        mPingOutstanding = false;
         long correlation = frame.header().correlation();
         Optional<FrameKind> kind = frame.header().kind();
         if (kind.isEmpty()) {
-            mContext.counters().unknown();
+            mContext.counters().recordUnknown();
             return;
         }
         switch (kind.get()) {
-            case REPLY -> reply(frame);
+            case REPLY -> onReply(frame);
             case UNSUPPORTED ->
                     fail(correlation, ErrorKind.NOT_FOUND, " does not support this request");
             case FAILED -> fail(correlation, ErrorKind.INTERNAL, " failed on this request");
             case PONG -> LOG.trace("{} is there", mPeer);
-            default -> mContext.counters().unknown();
+            default -> mContext.counters().recordUnknown();
         }
     }
 
@@ -94,41 +95,41 @@
         Channels.close(mChannel);
     }
 
-    private void reply(Frame frame) {
+    private void onReply(Frame frame) {
         long correlation = frame.header().correlation();
         Optional<PeerType> type = mContext.settings().types().byNumber(frame.header().typeNumber());
         if (type.isEmpty()) {
-            mContext.counters().unknown();
+            mContext.counters().recordUnknown();
             fail(correlation, ErrorKind.NOT_FOUND, " replied in a way that is not known here");
             return;
         }
         Either<Failure, PeerMessage> reply =
                 PeerCodec.decode(frame.body(), type.get().messageClass());
-        mPending.end(correlation, reply);
+        mPending.complete(correlation, reply);
         if (reply.isLeft()) {
-            mContext.counters().malformed();
+            mContext.counters().recordMalformed();
             LOG.warn("closing the connection to {}: {}", mPeer, reply.getLeft().message());
             Channels.close(mChannel);
         }
     }
 
     private void fail(long correlation, ErrorKind kind, String reason) {
-        mPending.end(correlation, Either.left(Failure.of(kind, mPeer + reason)));
+        mPending.complete(correlation, Either.left(Failure.of(kind, mPeer + reason)));
     }
 
-    private void check() {
+    private void checkLiveness() {
         PeerSettings.Timing timing = mContext.settings().timing();
-        if (mPinged) {
+        if (mPingOutstanding) {
             LOG.info("closing the connection to {}: it has gone silent", mPeer);
             Channels.close(mChannel);
             return;
         }
-        if (mSentSinceWord) {
-            mPinged = true;
+        if (mSentSinceLastReceived) {
+            mPingOutstanding = true;
             mWriter.write(Frame.control(FrameKind.PING, 0));
             return;
         }
-        if (mContext.clock().nowMs() - mLastUseMs >= timing.idleMs() && mPending.isEmpty()) {
+        if (mContext.clock().nowMs() - mLastSentMs >= timing.idleMs() && mPending.isEmpty()) {
             Channels.close(mChannel);
         }
     }
--- a/transport/src/main/java/org/hornbeampass/transport/peer/PeerCounters.java
+++ b/transport/src/main/java/org/hornbeampass/transport/peer/PeerCounters.java
@@ -16,41 +16,41 @@
     private final LongAdder mDropped = new LongAdder();
     private final LongAdder mMalformed = new LongAdder();
     private final LongAdder mUnknown = new LongAdder();
-    private final LongAdder mRefusedHandshakes = new LongAdder();
+    private final LongAdder mFailedHandshakes = new LongAdder();
     private final LongAdder mTimedOut = new LongAdder();
     private final LongAdder mConnections = new LongAdder();
 
-    void sent(int bytes) {
+    void recordSent(int bytes) {
         mBytesSent.add(bytes);
         mFramesSent.increment();
     }
 
-    void received(int bytes) {
+    void recordReceived(int bytes) {
         mBytesReceived.add(bytes);
         mFramesReceived.increment();
     }
 
-    void dropped() {
+    void recordDropped() {
         mDropped.increment();
     }
 
-    void malformed() {
+    void recordMalformed() {
         mMalformed.increment();
     }
 
-    void unknown() {
+    void recordUnknown() {
         mUnknown.increment();
     }
 
-    void refusedHandshake() {
-        mRefusedHandshakes.increment();
+    void recordFailedHandshake() {
+        mFailedHandshakes.increment();
     }
 
-    void timedOut() {
+    void recordTimedOut() {
         mTimedOut.increment();
     }
 
-    void connected() {
+    void recordConnected() {
         mConnections.increment();
     }
 
@@ -90,8 +90,8 @@
     }
 
     /** Returns the number of handshakes that failed. */
-    public long refusedHandshakes() {
-        return mRefusedHandshakes.sum();
+    public long failedHandshakes() {
+        return mFailedHandshakes.sum();
     }
 
     /** Returns the number of requests that were not replied to in time. */
--- a/transport/src/main/java/org/hornbeampass/transport/peer/PeerHandlers.java
+++ b/transport/src/main/java/org/hornbeampass/transport/peer/PeerHandlers.java
@@ -35,7 +35,7 @@
         mTypes = types;
     }
 
-    <M extends PeerMessage> void on(Class<M> messageClass, PeerHandler<M> handler) {
+    <M extends PeerMessage> void register(Class<M> messageClass, PeerHandler<M> handler) {
         Optional<PeerType> type = mTypes.byClass(messageClass);
         if (type.isEmpty() || type.get().form() == PeerType.Form.REPLY) {
             throw new IllegalArgumentException(
--- a/transport/src/main/java/org/hornbeampass/transport/peer/PeerLink.java
+++ b/transport/src/main/java/org/hornbeampass/transport/peer/PeerLink.java
@@ -41,7 +41,7 @@
     private final PendingRequests mPending;
     private final Backoff mBackoff;
     private final ArrayDeque<Frame> mQueue = new ArrayDeque<>();
-    private Optional<OutboundConnection> mReady = Optional.empty();
+    private Optional<OutboundConnection> mConnection = Optional.empty();
     private Optional<Channel> mChannel = Optional.empty();
     private int mQueuedBytes;
     private int mFailures;
@@ -59,8 +59,8 @@
     /** Sends a message without a reply. */
     void send(long nowMs, int typeNumber, byte[] body) {
         Frame frame = new Frame(FrameHeader.message(FrameKind.ONE_WAY, typeNumber, 0), body);
-        if (put(nowMs, frame).isPresent()) {
-            mContext.counters().dropped();
+        if (writeOrQueue(nowMs, frame).isPresent()) {
+            mContext.counters().recordDropped();
         }
     }
 
@@ -73,7 +73,7 @@
             BiConsumer<Long, Either<Failure, PeerMessage>> done) {
         OptionalLong correlation = mPending.add(mPeer, timeoutMs, done);
         if (correlation.isEmpty()) {
-            mContext.counters().dropped();
+            mContext.counters().recordDropped();
             done.accept(
                     nowMs,
                     Either.left(
@@ -83,10 +83,10 @@
         }
         FrameHeader header =
                 FrameHeader.message(FrameKind.REQUEST, typeNumber, correlation.getAsLong());
-        Optional<Failure> refused = put(nowMs, new Frame(header, body));
+        Optional<Failure> refused = writeOrQueue(nowMs, new Frame(header, body));
         if (refused.isPresent()) {
-            mContext.counters().dropped();
-            mPending.end(correlation.getAsLong(), Either.left(refused.get()));
+            mContext.counters().recordDropped();
+            mPending.complete(correlation.getAsLong(), Either.left(refused.get()));
         }
     }
 
@@ -102,23 +102,23 @@
         mPending.failAll(ErrorKind.SHUTTING_DOWN, "the link to " + mPeer + " is closed");
     }
 
-    private Optional<Failure> put(long nowMs, Frame frame) {
+    private Optional<Failure> writeOrQueue(long nowMs, Frame frame) {
         boolean connect;
         synchronized (mLock) {
             if (mClosed) {
-                return refusal(ErrorKind.SHUTTING_DOWN, "the link to " + mPeer + " is closed");
+                return rejection(ErrorKind.SHUTTING_DOWN, "the link to " + mPeer + " is closed");
             }
-            if (mReady.isPresent()) {
-                return mReady.get().write(frame)
+            if (mConnection.isPresent()) {
+                return mConnection.get().write(frame)
                         ? Optional.empty()
-                        : refusal(ErrorKind.OVERLOADED, mPeer + " does not keep up");
+                        : rejection(ErrorKind.OVERLOADED, mPeer + " does not keep up");
             }
             connect = mChannel.isEmpty() && mQueue.isEmpty();
             if (connect && nowMs < mRetryAtMs) {
-                return refusal(ErrorKind.NOT_READY, mPeer + " could not be reached just now");
+                return rejection(ErrorKind.NOT_READY, mPeer + " could not be reached just now");
             }
             if (mQueuedBytes + frame.wireBytes() > maxQueuedBytes()) {
-                return refusal(ErrorKind.OVERLOADED, "too much waits for " + mPeer);
+                return rejection(ErrorKind.OVERLOADED, "too much waits for " + mPeer);
             }
             mQueue.add(frame);
             mQueuedBytes += frame.wireBytes();
@@ -133,14 +133,14 @@
         return mContext.settings().limits().maxQueuedBytes();
     }
 
-    private static Optional<Failure> refusal(ErrorKind kind, String message) {
+    private static Optional<Failure> rejection(ErrorKind kind, String message) {
         return Optional.of(Failure.of(kind, message));
     }
 
     private void connect() {
         Optional<InetSocketAddress> address = mContext.addresses().apply(mPeer);
         if (address.isEmpty()) {
-            down("no address is known");
+            onDisconnected("no address is known");
             return;
         }
         int timeoutMs = (int) mContext.settings().timing().handshakeMs();
@@ -161,7 +161,7 @@
             mChannel = Optional.of(channel);
             closed = mClosed;
         }
-        channel.closeFuture().addListener(done -> down("its connection was closed"));
+        channel.closeFuture().addListener(done -> onDisconnected("its connection was closed"));
         connected.addListener(
                 done -> {
                     if (closed || !done.isSuccess()) {
@@ -170,29 +170,29 @@
                 });
     }
 
-    private void ready(OutboundConnection connection) {
+    private void onConnected(OutboundConnection connection) {
         synchronized (mLock) {
             if (mClosed) {
                 connection.close();
                 return;
             }
-            mReady = Optional.of(connection);
+            mConnection = Optional.of(connection);
             mFailures = 0;
             mQueue.forEach(connection::write);
             clearQueue();
         }
-        connection.startChecks();
+        connection.startLivenessChecks();
     }
 
-    private void down(String reason) {
+    private void onDisconnected(String reason) {
         ErrorKind kind;
         synchronized (mLock) {
-            kind = mReady.isPresent() ? ErrorKind.OUTCOME_UNKNOWN : ErrorKind.NOT_READY;
+            kind = mConnection.isPresent() ? ErrorKind.OUTCOME_UNKNOWN : ErrorKind.NOT_READY;
             mFailures++;
             double random = ThreadLocalRandom.current().nextDouble();
             mRetryAtMs = mContext.clock().nowMs() + mBackoff.delayMs(mFailures, random);
             mChannel = Optional.empty();
-            mReady = Optional.empty();
+            mConnection = Optional.empty();
             clearQueue();
         }
         LOG.debug("{} can't be reached: {}", mPeer, reason);
@@ -228,7 +228,7 @@
             channel.pipeline()
                     .addLast(
                             new FrameCodec(mContext.counters()),
-                            new ConnectingHandshake(mContext, mPeer, () -> ready(connection)),
+                            new ConnectingHandshake(mContext, mPeer, () -> onConnected(connection)),
                             connection);
         }
     }
--- a/transport/src/main/java/org/hornbeampass/transport/peer/PeerTransport.java
+++ b/transport/src/main/java/org/hornbeampass/transport/peer/PeerTransport.java
@@ -80,7 +80,7 @@
      *     a reply, or has a handler already
      */
     public <M extends PeerMessage> void on(Class<M> messageClass, PeerHandler<M> handler) {
-        mHandlers.on(messageClass, handler);
+        mHandlers.register(messageClass, handler);
     }
 
     @Override
--- a/transport/src/main/java/org/hornbeampass/transport/peer/PendingRequests.java
+++ b/transport/src/main/java/org/hornbeampass/transport/peer/PendingRequests.java
@@ -62,7 +62,7 @@
     }
 
     /** Ends a request, if it still waits. */
-    void end(long correlation, Either<Failure, PeerMessage> reply) {
+    void complete(long correlation, Either<Failure, PeerMessage> reply) {
         Optional.ofNullable(mPending.remove(correlation))
                 .ifPresent(
                         pending -> {
@@ -74,7 +74,7 @@
     /** Fails all requests that wait. */
     void failAll(ErrorKind kind, String reason) {
         for (Long correlation : List.copyOf(mPending.keySet())) {
-            end(correlation, Either.left(Failure.of(kind, reason)));
+            complete(correlation, Either.left(Failure.of(kind, reason)));
         }
     }
 
@@ -84,8 +84,8 @@
 
     private void timeOut(long correlation, String peer, long timeoutMs) {
         if (mPending.containsKey(correlation)) {
-            mContext.counters().timedOut();
-            end(
+            mContext.counters().recordTimedOut();
+            complete(
                     correlation,
                     Either.left(
                             Failure.of(
--- a/transport/src/test/java/org/hornbeampass/protocol/peer/HandshakeProofTest.java
+++ b/transport/src/test/java/org/hornbeampass/protocol/peer/HandshakeProofTest.java
@@ -18,38 +18,40 @@
     private final HandshakeProof mProof = proof(A, B, 1, 2);
 
     @Test
-    void ownProof_holds() {
-        byte[] given = mProof.prove(KEY, Side.CONNECTING);
+    void ownProof_isValid() {
+        byte[] given = mProof.computeProof(KEY, Side.CONNECTING);
 
         assertThat(given).hasSize(Handshake.PROOF_BYTES);
-        assertThat(proof(A, B, 1, 2).proves(given, KEY, Side.CONNECTING)).isTrue();
+        assertThat(proof(A, B, 1, 2).verifyProof(given, KEY, Side.CONNECTING)).isTrue();
     }
 
     @Test
-    void reflectedProof_fails() {
-        assertThat(mProof.proves(mProof.prove(KEY, Side.LISTENING), KEY, Side.CONNECTING))
+    void reflectedProof_isInvalid() {
+        assertThat(
+                        mProof.verifyProof(
+                                mProof.computeProof(KEY, Side.LISTENING), KEY, Side.CONNECTING))
                 .isFalse();
     }
 
     @Test
-    void replayedProof_fails() {
-        byte[] given = mProof.prove(KEY, Side.CONNECTING);
+    void replayedProof_isInvalid() {
+        byte[] given = mProof.computeProof(KEY, Side.CONNECTING);
 
-        assertThat(proof(A, B, 1, 3).proves(given, KEY, Side.CONNECTING)).isFalse();
-        assertThat(proof(A, B, 9, 2).proves(given, KEY, Side.CONNECTING)).isFalse();
-        assertThat(proof(new VmId("vm-a", 2), B, 1, 2).proves(given, KEY, Side.CONNECTING))
+        assertThat(proof(A, B, 1, 3).verifyProof(given, KEY, Side.CONNECTING)).isFalse();
+        assertThat(proof(A, B, 9, 2).verifyProof(given, KEY, Side.CONNECTING)).isFalse();
+        assertThat(proof(new VmId("vm-a", 2), B, 1, 2).verifyProof(given, KEY, Side.CONNECTING))
                 .isFalse();
-        assertThat(proof(A, new VmId("vm-b", 2), 1, 2).proves(given, KEY, Side.CONNECTING))
+        assertThat(proof(A, new VmId("vm-b", 2), 1, 2).verifyProof(given, KEY, Side.CONNECTING))
                 .isFalse();
     }
 
     @Test
-    void otherKeyAndShortProof_fail() {
-        byte[] given = mProof.prove(KEY, Side.CONNECTING);
+    void otherKeyAndShortProof_areInvalid() {
+        byte[] given = mProof.computeProof(KEY, Side.CONNECTING);
 
-        assertThat(mProof.proves(given, Secret.of("other"), Side.CONNECTING)).isFalse();
-        assertThat(mProof.proves(Arrays.copyOf(given, 31), KEY, Side.CONNECTING)).isFalse();
-        assertThat(mProof.proves(new byte[0], KEY, Side.CONNECTING)).isFalse();
+        assertThat(mProof.verifyProof(given, Secret.of("other"), Side.CONNECTING)).isFalse();
+        assertThat(mProof.verifyProof(Arrays.copyOf(given, 31), KEY, Side.CONNECTING)).isFalse();
+        assertThat(mProof.verifyProof(new byte[0], KEY, Side.CONNECTING)).isFalse();
     }
 
     @Test
--- a/transport/src/test/java/org/hornbeampass/protocol/peer/PeerMessageTypeTest.java
+++ b/transport/src/test/java/org/hornbeampass/protocol/peer/PeerMessageTypeTest.java
@@ -30,7 +30,7 @@
     private static final int LAST_NUMBER = 99;
 
     @Test
-    void eachMessageOfTheLibrary_isListed() {
+    void eachMessageOfCoordination_isListed() {
         Set<String> listed =
                 Arrays.stream(PeerMessageType.values())
                         .map(t -> t.type().messageClass().getName())
@@ -70,13 +70,13 @@
 
     @ParameterizedTest
     @MethodSource("samples")
-    void decode_ofEncoded_isEqual(PeerMessage message) {
+    void decode_restoresTheEncodedMessage(PeerMessage message) {
         assertThat(PeerCodec.decode(PeerCodec.encode(message), message.getClass()).get())
                 .isEqualTo(message);
     }
 
     @Test
-    void types_ofOneNumberForTwo_areRefused() {
+    void types_rejectDuplicateNumbers() {
         PeerType ask = PeerMessageType.ASK_GRANT.type();
         PeerType other = new PeerType(ask.number(), MoveAck.class, PeerType.Form.ONE_WAY);
 
--- a/transport/src/test/java/org/hornbeampass/transport/peer/PeerFleet.java
+++ b/transport/src/test/java/org/hornbeampass/transport/peer/PeerFleet.java
@@ -58,16 +58,16 @@
     }
 
     /** Gives a name another address. */
-    void place(String name, InetSocketAddress address) {
+    void setAddress(String name, InetSocketAddress address) {
         mAddresses.put(name, address);
     }
 
-    Either<Failure, PeerMessage> ask(PeerTransport from, String to, PeerMessage question)
+    Either<Failure, PeerMessage> request(PeerTransport from, String to, PeerMessage question)
             throws Exception {
-        return ask(from, to, question, TimeUnit.SECONDS.toMillis(WAIT_S));
+        return request(from, to, question, TimeUnit.SECONDS.toMillis(WAIT_S));
     }
 
-    Either<Failure, PeerMessage> ask(
+    Either<Failure, PeerMessage> request(
             PeerTransport from, String to, PeerMessage question, long timeoutMs) throws Exception {
         CompletableFuture<Either<Failure, PeerMessage>> reply = new CompletableFuture<>();
         from.request(mClock.nowMs(), to, question, timeoutMs, (atMs, r) -> reply.complete(r));
--- a/transport/src/test/java/org/hornbeampass/transport/peer/PeerInputProperties.java
+++ b/transport/src/test/java/org/hornbeampass/transport/peer/PeerInputProperties.java
@@ -44,10 +44,11 @@
     }
 
     @Property(seed = "7404", tries = 2000)
-    void bytesAfterTheHandshake_areTakenOrClose(@ForAll("reads") List<byte[]> reads) {
+    void bytesAfterTheHandshake_areDecodedOrCloseTheConnection(
+            @ForAll("reads") List<byte[]> reads) {
         PeerContext context = context();
         FrameCodec codec = new FrameCodec(context.counters());
-        codec.trust(MAX_FRAME_BYTES);
+        codec.setMaxFrameBytes(MAX_FRAME_BYTES);
         EmbeddedChannel channel = new EmbeddedChannel(codec);
         channel.pipeline()
                 .addLast(
@@ -66,13 +67,13 @@
     }
 
     @Property(seed = "7405", tries = 5000)
-    void body_isDecodedOrRefused(
+    void body_isDecodedOrRejected(
             @ForAll("bodies") byte[] body, @ForAll PeerMessageType messageType) {
         assertThat(PeerCodec.decode(body, messageType.type().messageClass())).isNotNull();
     }
 
     @Property(seed = "7406", tries = 2000)
-    void handshakeBody_isDecodedOrRefused(@ForAll byte[] body) {
+    void handshakeBody_isDecodedOrRejected(@ForAll byte[] body) {
         assertThat(Handshake.Hello.decode(body)).isNotNull();
         assertThat(Handshake.Challenge.decode(body)).isNotNull();
     }
@@ -145,7 +146,7 @@
 
     private static PeerHandlers handlers(AtomicInteger handled) {
         PeerHandlers handlers = new PeerHandlers(PeerFleet.TYPES);
-        handlers.on(
+        handlers.register(
                 Question.class,
                 (now, from, question, reply) -> {
                     handled.incrementAndGet();
--- a/transport/src/test/java/org/hornbeampass/transport/peer/PeerTransportTest.java
+++ b/transport/src/test/java/org/hornbeampass/transport/peer/PeerTransportTest.java
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void request_isRepliedTo_underTheProvedIdentity() throws Exception {
+    void request_isHandledUnderTheAuthenticatedIdentity() throws Exception {
         PeerTransport a = mFleet.start("vm-a");
         PeerTransport b = mFleet.start("vm-b");
         b.on(
@@ -38,7 +38,7 @@
 
         Question question = Question.of("how much?");
 
-        assertThat(mFleet.ask(a, "vm-b", question))
+        assertThat(mFleet.request(a, "vm-b", question))
                 .isEqualTo(Either.right(new Reply("vm-a~1 " + question)));
         assertThat(b.counters().bytesReceived()).isEqualTo(a.counters().bytesSent()).isPositive();
     }
@@ -50,13 +50,13 @@
         b.on(Question.class, (now, from, question, reply) -> reply.accept(new Reply("tls")));
         PeerTransport plain = mFleet.start("vm-c");
 
-        assertThat(mFleet.ask(a, "vm-b", Question.of("?")))
+        assertThat(mFleet.request(a, "vm-b", Question.of("?")))
                 .isEqualTo(Either.right(new Reply("tls")));
-        assertFails(mFleet.ask(plain, "vm-b", Question.of("?")), ErrorKind.NOT_READY);
+        assertFails(mFleet.request(plain, "vm-b", Question.of("?")), ErrorKind.NOT_READY);
     }
 
     @Test
-    void oneWay_arrives() throws Exception {
+    void oneWayMessage_isDelivered() throws Exception {
         PeerTransport a = mFleet.start("vm-a");
         PeerTransport b = mFleet.start("vm-b");
         CompletableFuture<String> seen = new CompletableFuture<>();
@@ -74,8 +74,8 @@
                 PeerTypes.of(List.of(new PeerType(99, Note.class, PeerType.Form.REQUEST)));
         PeerTransport c = mFleet.start(PeerFleet.settings("vm-c").withTypes(newer));
 
-        assertFails(mFleet.ask(c, "vm-a", new Note("new")), ErrorKind.NOT_FOUND);
-        assertFails(mFleet.ask(c, "vm-a", new Note("new")), ErrorKind.NOT_FOUND);
+        assertFails(mFleet.request(c, "vm-a", new Note("new")), ErrorKind.NOT_FOUND);
+        assertFails(mFleet.request(c, "vm-a", new Note("new")), ErrorKind.NOT_FOUND);
         assertThat(a.counters().unknownFrames()).isEqualTo(2);
         assertThat(a.counters().connections()).isEqualTo(1);
     }
@@ -89,13 +89,13 @@
         PeerTransport c = mFleet.start(PeerFleet.settings("vm-c").withTypes(other));
 
         assertFails(
-                mFleet.ask(c, "vm-a", new OtherQuestion(List.of("a", "b"))),
+                mFleet.request(c, "vm-a", new OtherQuestion(List.of("a", "b"))),
                 ErrorKind.OUTCOME_UNKNOWN);
         assertThat(a.counters().malformedFrames()).isEqualTo(1);
     }
 
     @Test
-    void failingHandler_isAnsweredFailed() throws Exception {
+    void failingHandler_failsTheRequest() throws Exception {
         PeerTransport a = mFleet.start("vm-a");
         PeerTransport b = mFleet.start("vm-b");
         b.on(
@@ -104,21 +104,21 @@
                     throw new IllegalStateException("on purpose");
                 });
 
-        assertFails(mFleet.ask(a, "vm-b", Question.of("?")), ErrorKind.INTERNAL);
+        assertFails(mFleet.request(a, "vm-b", Question.of("?")), ErrorKind.INTERNAL);
     }
 
     @Test
-    void silentHandler_timesOut() throws Exception {
+    void requestWithoutReply_timesOut() throws Exception {
         PeerTransport a = mFleet.start("vm-a");
         PeerTransport b = mFleet.start("vm-b");
         b.on(Question.class, (now, from, question, reply) -> {});
 
-        assertFails(mFleet.ask(a, "vm-b", Question.of("?"), 1), ErrorKind.DEADLINE_EXCEEDED);
+        assertFails(mFleet.request(a, "vm-b", Question.of("?"), 1), ErrorKind.DEADLINE_EXCEEDED);
         assertThat(a.counters().timedOutRequests()).isEqualTo(1);
     }
 
     @Test
-    void otherKey_isRefused() throws Exception {
+    void otherKey_failsTheHandshake() throws Exception {
         PeerTransport a = mFleet.start("vm-a");
         mFleet.start("vm-b");
         PeerSettings plain = PeerFleet.settings("vm-c");
@@ -133,27 +133,27 @@
                                 plain.timing(),
                                 plain.tls()));
 
-        assertFails(mFleet.ask(c, "vm-b", Question.of("?")), ErrorKind.NOT_READY);
-        assertFails(mFleet.ask(a, "vm-c", Question.of("?")), ErrorKind.NOT_READY);
-        assertThat(c.counters().refusedHandshakes()).isEqualTo(1);
+        assertFails(mFleet.request(c, "vm-b", Question.of("?")), ErrorKind.NOT_READY);
+        assertFails(mFleet.request(a, "vm-c", Question.of("?")), ErrorKind.NOT_READY);
+        assertThat(c.counters().failedHandshakes()).isEqualTo(1);
     }
 
     @Test
-    void addressOfAnotherVm_isRefused() throws Exception {
+    void addressOfAnotherVm_failsTheHandshake() throws Exception {
         PeerTransport a = mFleet.start("vm-a");
         PeerTransport b = mFleet.start("vm-b");
-        mFleet.place("vm-old", b.address());
+        mFleet.setAddress("vm-old", b.address());
 
-        assertFails(mFleet.ask(a, "vm-old", Question.of("?")), ErrorKind.NOT_READY);
-        assertThat(b.counters().refusedHandshakes()).isEqualTo(1);
+        assertFails(mFleet.request(a, "vm-old", Question.of("?")), ErrorKind.NOT_READY);
+        assertThat(b.counters().failedHandshakes()).isEqualTo(1);
     }
 
     @Test
-    void unknownAddress_failsAtOnce_thenWaitsBeforeTheNextAttempt() throws Exception {
+    void unknownAddress_failsImmediately_alsoDuringBackoff() throws Exception {
         PeerTransport a = mFleet.start("vm-a");
 
-        assertFails(mFleet.ask(a, "vm-none", Question.of("?")), ErrorKind.NOT_READY);
-        assertFails(mFleet.ask(a, "vm-none", Question.of("?")), ErrorKind.NOT_READY);
+        assertFails(mFleet.request(a, "vm-none", Question.of("?")), ErrorKind.NOT_READY);
+        assertFails(mFleet.request(a, "vm-none", Question.of("?")), ErrorKind.NOT_READY);
     }
 
     @Test
@@ -164,12 +164,13 @@
         b.on(Question.class, (now, from, question, reply) -> reply.accept(new Reply("")));
 
         assertFails(
-                mFleet.ask(a, "vm-b", Question.of("x".repeat(1000))), ErrorKind.OUTCOME_UNKNOWN);
+                mFleet.request(a, "vm-b", Question.of("x".repeat(1000))),
+                ErrorKind.OUTCOME_UNKNOWN);
         assertThat(b.counters().malformedFrames()).isEqualTo(1);
     }
 
     @Test
-    void on_ofUnlistedMessage_isRefused() {
+    void on_rejectsReplyMessages() {
         PeerTransport a = mFleet.start("vm-a");
 
         assertThatThrownBy(() -> a.on(Reply.class, (now, from, m, reply) -> {}))
@@ -177,19 +178,19 @@
     }
 
     @Test
-    void restartedPeer_isReachedAgain() throws Exception {
+    void restartedPeer_isReconnected() throws Exception {
         PeerSettings.Timing eager = new PeerSettings.Timing(5_000, 2_000, 60_000, 0, 0);
         PeerTransport a = mFleet.start(PeerFleet.settings("vm-a").withTiming(eager));
         PeerTransport b = mFleet.start("vm-b");
         b.on(Question.class, (now, from, question, reply) -> reply.accept(new Reply("old")));
-        assertThat(mFleet.ask(a, "vm-b", Question.of("?")).get()).isEqualTo(new Reply("old"));
+        assertThat(mFleet.request(a, "vm-b", Question.of("?")).get()).isEqualTo(new Reply("old"));
         b.stop().get(PeerFleet.WAIT_S, TimeUnit.SECONDS);
         PeerTransport again = mFleet.start("vm-b");
         again.on(Question.class, (now, from, question, reply) -> reply.accept(new Reply("new")));
 
-        Either<Failure, PeerMessage> reply = mFleet.ask(a, "vm-b", Question.of("?"));
+        Either<Failure, PeerMessage> reply = mFleet.request(a, "vm-b", Question.of("?"));
         for (int i = 0; i < 1000 && reply.isLeft(); i++) {
-            reply = mFleet.ask(a, "vm-b", Question.of("?"));
+            reply = mFleet.request(a, "vm-b", Question.of("?"));
         }
 
         assertThat(reply).isEqualTo(Either.right(new Reply("new")));
