--- a/transport/src/main/java/org/hornbeampass/protocol/peer/FrameHeader.java
+++ b/transport/src/main/java/org/hornbeampass/protocol/peer/FrameHeader.java
@@ -3,19 +3,19 @@
 import java.util.Optional;
 
 /**
- * The header of each frame, which follows the frame's length.
+ * The header of a frame, which follows the frame's length prefix.
  *
- * <p>On the wire: the length of header and body in 4 bytes, then the protocol version in 1, the
- * kind in 1, the message type in 2, the correlation id in 8, all big-endian, then the body.
- * Immutable; safe for use by any thread.
+ * <p>Wire format, all numbers big-endian: the length of header and body (4 bytes), the protocol
+ * version (1 byte), the kind (1 byte), the message type (2 bytes), the correlation id (8 bytes),
+ * and then the body. Immutable; safe for use by any thread.
  *
  * @param version the protocol version, from 1 to 255
- * @param kindNumber the number of a {@link FrameKind}, which this router may not know
+ * @param kindNumber the number of a {@link FrameKind}; may be unknown to this router
  * @param typeNumber the number of a message type; 0 where the frame carries no message
- * @param correlation ties a reply to its request; 0 where there is none
+ * @param correlation the correlation id that matches a reply to its request; 0 if there is none
  */
 public record FrameHeader(int version, int kindNumber, int typeNumber, long correlation) {
-    /** The version that this router speaks. */
+    /** The highest protocol version that this router supports. */
     public static final int VERSION = 1;
 
     /** The header's size in bytes. */
@@ -31,7 +31,7 @@
         return message(kind, 0, correlation);
     }
 
-    /** Returns the kind, if this router knows it. */
+    /** Returns the kind, or empty if this router does not know the kind or the version. */
     public Optional<FrameKind> kind() {
         return version <= VERSION ? FrameKind.of(kindNumber) : Optional.empty();
     }
--- a/transport/src/main/java/org/hornbeampass/protocol/peer/FrameKind.java
+++ b/transport/src/main/java/org/hornbeampass/protocol/peer/FrameKind.java
@@ -3,31 +3,33 @@
 import java.util.Optional;
 
 /**
- * What a frame is for.
+ * The purpose of a frame.
  *
- * <p>Invariant: a constant's place in the list is its number on the wire, so new ones go to the
- * end. Immutable; safe for use by any thread.
+ * <p>Invariant: the ordinal of a constant is its number on the wire, so new constants are appended
+ * at the end. Immutable; safe for use by any thread.
  */
 public enum FrameKind {
-    /** The connecting side's first frame. */
+    /** The first frame of a connection, sent by the connecting side. */
     HELLO(0),
-    /** The listening side's answer to it, with its proof. */
+    /** The listening side's reply to {@link #HELLO}, with its proof. */
     CHALLENGE(1),
     /** The connecting side's proof. */
     PROOF(2),
     /** A message without a reply. */
     ONE_WAY(3),
-    /** A message that is replied to under its correlation id. */
+    /** A message that expects a reply with the same correlation id. */
     REQUEST(4),
     /** The reply to a request. */
     REPLY(5),
-    /** The answer to a request of a type that the receiver does not know or does not handle. */
+    /**
+     * The response to a request of a type that the receiver does not know or has no handler for.
+     */
     UNSUPPORTED(6),
-    /** The answer to a request whose handler failed. */
+    /** The response to a request whose handler failed. */
     FAILED(7),
-    /** Asks whether the connection still carries anything. */
+    /** Checks whether the connection is still alive. */
     PING(8),
-    /** Answers a ping. */
+    /** The response to {@link #PING}. */
     PONG(9);
 
     private static final FrameKind[] KINDS = values();
@@ -43,7 +45,7 @@
         return mNumber;
     }
 
-    /** Returns the kind with a number, if this router knows it. */
+    /** Returns the kind with the given number, or empty if this router does not know it. */
     public static Optional<FrameKind> of(int number) {
         return number < KINDS.length ? Optional.of(KINDS[number]) : Optional.empty();
     }
--- a/transport/src/main/java/org/hornbeampass/protocol/peer/Handshake.java
+++ b/transport/src/main/java/org/hornbeampass/protocol/peer/Handshake.java
@@ -10,11 +10,11 @@
 import java.util.function.Function;
 
 /**
- * The bodies of the three handshake frames.
+ * Encodes and decodes the bodies of the handshake frames.
  *
- * <p>They have fixed layouts and no lengths beyond a byte, since they are read before the other
- * side has proved anything. Immutable, but for the bytes, which nobody changes; safe for use by any
- * thread.
+ * <p>The layouts are fixed and length fields are limited to one byte, because these frames are read
+ * before the other side is authenticated. The messages are immutable, provided that callers don't
+ * modify their byte arrays; safe for use by any thread.
  */
 public final class Handshake {
     /** The size of a nonce in bytes. */
@@ -23,7 +23,7 @@
     /** The size of a proof in bytes. */
     public static final int PROOF_BYTES = 32;
 
-    /** The largest frame of a handshake in bytes, with its header. */
+    /** The maximum size of a handshake frame in bytes, including its header. */
     public static final int MAX_FRAME_BYTES = 1024;
 
     private static final int MAX_NAME_BYTES = 255;
@@ -31,12 +31,13 @@
     private Handshake() {}
 
     /**
-     * The connecting side says who it is and whom it wants.
+     * The first message of the handshake: identifies the connecting side and the VM that it wants
+     * to reach.
      *
-     * @param version the highest protocol version that it speaks
-     * @param from who it is
-     * @param to the name of the VM that it wants
-     * @param nonce its random bytes
+     * @param version the highest protocol version that the connecting side supports
+     * @param from the connecting VM
+     * @param to the name of the VM that it wants to reach
+     * @param nonce the connecting side's random bytes
      */
     public record Hello(int version, VmId from, String to, byte[] nonce) {
         /** Returns the frame's body. */
@@ -45,7 +46,7 @@
                     out -> putName(putVm(out.put((byte) version), from), to).put(nonce));
         }
 
-        /** Returns the message of a body, if it is one. */
+        /** Decodes a frame's body; returns empty if it is malformed. */
         public static Optional<Hello> decode(byte[] body) {
             return Handshake.decode(
                     body, in -> new Hello(in.get() & 0xFF, vm(in), name(in), bytes(in)));
@@ -53,12 +54,12 @@
     }
 
     /**
-     * The listening side says who it is and proves that it holds the key.
+     * The listening side's reply: identifies it and proves that it holds the cluster key.
      *
-     * @param version the highest protocol version that it speaks
-     * @param from who it is
-     * @param nonce its random bytes
-     * @param proof its proof
+     * @param version the highest protocol version that the listening side supports
+     * @param from the listening VM
+     * @param nonce the listening side's random bytes
+     * @param proof the listening side's proof, see {@link HandshakeProof}
      */
     public record Challenge(int version, VmId from, byte[] nonce, byte[] proof) {
         /** Returns the frame's body. */
@@ -67,7 +68,7 @@
                     out -> putVm(out.put((byte) version), from).put(nonce).put(proof));
         }
 
-        /** Returns the message of a body, if it is one. */
+        /** Decodes a frame's body; returns empty if it is malformed. */
         public static Optional<Challenge> decode(byte[] body) {
             return Handshake.decode(
                     body, in -> new Challenge(in.get() & 0xFF, vm(in), bytes(in), bytes(in)));
@@ -81,7 +82,7 @@
             out.get(body);
             return body;
         } catch (BufferOverflowException e) {
-            throw new IllegalArgumentException("handshake too large", e);
+            throw new IllegalArgumentException("handshake message too large", e);
         }
     }
 
--- a/transport/src/main/java/org/hornbeampass/protocol/peer/HandshakeProof.java
+++ b/transport/src/main/java/org/hornbeampass/protocol/peer/HandshakeProof.java
@@ -12,14 +12,14 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Proves that a side holds the cluster key, without sending it.
+ * Computes and verifies the proofs that a side holds the cluster key, without sending the key.
  *
- * <p>Invariants: a proof covers the side that gives it, both names and both nonces, so that none
- * can be replayed or reflected; proofs are compared in constant time. Immutable; safe for use by
- * any thread.
+ * <p>Invariants: a proof is an HMAC over the side that sends it, both VM ids and both nonces, so
+ * that a proof can't be replayed or reflected; proofs are compared in constant time. Immutable;
+ * safe for use by any thread.
  *
- * @param hello what the connecting side said
- * @param listener who the listening side is
+ * @param hello the hello message of the connecting side
+ * @param listener the listening VM
  * @param listenerNonce the listening side's random bytes
  */
 public record HandshakeProof(Handshake.Hello hello, VmId listener, byte[] listenerNonce) {
@@ -31,7 +31,7 @@
         LISTENING
     }
 
-    /** Returns a side's proof. */
+    /** Returns the proof of the given side. */
     public byte[] computeProof(Secret key, Side side) {
         try {
             Mac mac = Mac.getInstance(ALGORITHM);
@@ -42,11 +42,11 @@
             add(mac, listenerNonce);
             return mac.doFinal();
         } catch (GeneralSecurityException e) {
-            throw new IllegalStateException("this Java runtime lacks " + ALGORITHM, e);
+            throw new IllegalStateException("this Java runtime does not support " + ALGORITHM, e);
         }
     }
 
-    /** Returns whether a proof is a side's. */
+    /** Returns whether the given proof is the valid one for the given side. */
     public boolean verifyProof(byte[] proof, Secret key, Side side) {
         return MessageDigest.isEqual(computeProof(key, side), proof);
     }
--- a/transport/src/main/java/org/hornbeampass/protocol/peer/PeerCodec.java
+++ b/transport/src/main/java/org/hornbeampass/protocol/peer/PeerCodec.java
@@ -18,10 +18,10 @@
 import java.io.IOException;
 
 /**
- * Encodes messages in MessagePack.
+ * Encodes and decodes messages between routers as MessagePack.
  *
- * <p>Invariants: a body is decoded only after a pass without allocations has shown that every
- * length in it is covered by its bytes; fields that a newer router added at the end are ignored.
+ * <p>Invariants: before a body is decoded, a pass that allocates nothing checks that every length
+ * declared in it fits the bytes received; trailing fields added by a newer router are ignored.
  * Stateless; safe for use by any thread.
  */
 public final class PeerCodec {
@@ -33,9 +33,9 @@
     private PeerCodec() {}
 
     /**
-     * Returns a message's body.
+     * Returns the encoded body of a message.
      *
-     * @throws IllegalArgumentException if the record can't be encoded
+     * @throws IllegalArgumentException if the message can't be encoded
      */
     public static byte[] encode(PeerMessage message) {
         try {
@@ -45,15 +45,17 @@
         }
     }
 
-    /** Returns the message of a body, or {@code MALFORMED_REQUEST} with what does not fit. */
+    /** Decodes a body; returns {@code MALFORMED_REQUEST} with the reason if it is malformed. */
     public static Either<Failure, PeerMessage> decode(
             byte[] body, Class<? extends PeerMessage> messageClass) {
         try {
             if (!lengthsFit(body)) {
-                return malformed(messageClass, "its lengths don't fit its bytes");
+                return malformed(messageClass, "declared lengths don't match the bytes received");
             }
             PeerMessage message = MAPPER.readValue(body, messageClass);
-            return message == null ? malformed(messageClass, "it is nil") : Either.right(message);
+            return message == null
+                    ? malformed(messageClass, "the value is nil")
+                    : Either.right(message);
         } catch (IOException | RuntimeException e) {
             return malformed(messageClass, String.valueOf(e.getMessage()));
         }
--- a/transport/src/main/java/org/hornbeampass/protocol/peer/PeerMessageType.java
+++ b/transport/src/main/java/org/hornbeampass/protocol/peer/PeerMessageType.java
@@ -37,12 +37,12 @@
 import org.hornbeampass.protocol.peer.PeerType.Form;
 
 /**
- * The closed list of messages between routers.
+ * Lists all types of messages between routers.
  *
- * <p>Numbers are never given to another message: membership takes 1 to 19, configuration 20 to 39,
- * budgets 40 to 59, requests 60 to 79, routing 80 to 94, operators 95 to 99; 82 is no longer used.
- * A router that does not know a number counts it and, for a request, answers that it is
- * unsupported. Immutable; safe for use by any thread.
+ * <p>Numbers are never reused for another message. The ranges are: membership 1 to 19,
+ * configuration 20 to 39, budgets 40 to 59, requests 60 to 79, routing 80 to 94, operators 95 to
+ * 99. Number 82 is no longer used. A router that receives an unknown number counts the frame and,
+ * for a request, responds that the request is unsupported. Immutable; safe for use by any thread.
  */
 public enum PeerMessageType {
     PING(1, Ping.class, Form.REQUEST),
@@ -89,7 +89,7 @@
         mForm = form;
     }
 
-    /** Returns the message's number, record and form. */
+    /** Returns the number, record class and form of the message. */
     public PeerType type() {
         return new PeerType(mNumber, mMessageClass, mForm);
     }
--- a/transport/src/main/java/org/hornbeampass/protocol/peer/PeerType.java
+++ b/transport/src/main/java/org/hornbeampass/protocol/peer/PeerType.java
@@ -3,28 +3,28 @@
 import org.hornbeampass.coordination.peer.PeerMessage;
 
 /**
- * One type of message: its number on the wire, its record, and how it is used.
+ * A message type: its number on the wire, its record class, and how it is used.
  *
  * <p>Immutable; safe for use by any thread.
  *
- * @param number the number, from 1 to 65535, which never changes its meaning
- * @param messageClass the record
- * @param form how it is used
+ * @param number the number on the wire, from 1 to 65535; its meaning never changes
+ * @param messageClass the record class
+ * @param form how the message is used
  */
 public record PeerType(int number, Class<? extends PeerMessage> messageClass, Form form) {
     private static final int MAX_NUMBER = 0xFFFF;
 
-    /** How a type of message is used. */
+    /** How messages of a type are used. */
     public enum Form {
-        /** Sent without a reply; may be a reply as well. */
+        /** Sent without expecting a reply; may also be sent as a reply. */
         ONE_WAY,
-        /** Sent to be replied to; may be a reply as well. */
+        /** Sent to get a reply; may also be sent as a reply itself. */
         REQUEST,
-        /** Sent only as the reply to a request. */
+        /** Sent only in reply to a request. */
         REPLY
     }
 
-    /** Checks the number's range. */
+    /** Validates the range of the number. */
     public PeerType {
         if (number < 1 || number > MAX_NUMBER) {
             throw new IllegalArgumentException(
--- a/transport/src/main/java/org/hornbeampass/protocol/peer/PeerTypes.java
+++ b/transport/src/main/java/org/hornbeampass/protocol/peer/PeerTypes.java
@@ -10,10 +10,10 @@
 import java.util.Optional;
 
 /**
- * Finds message types by number and by record.
+ * Looks up message types by number and by record class.
  *
- * <p>Invariant: no number and no record stands twice. Immutable after construction; safe for use by
- * any thread.
+ * <p>Invariant: numbers and record classes are unique. Immutable after construction; safe for use
+ * by any thread.
  */
 public final class PeerTypes {
     private final Int2ObjectHashMap<PeerType> mByNumber = new Int2ObjectHashMap<>();
@@ -25,31 +25,33 @@
             PeerType sameClass = mByClass.put(type.messageClass(), type);
             if (sameNumber != null || sameClass != null) {
                 throw new IllegalArgumentException(
-                        "message type " + type + " has a number or a record that is already taken");
+                        "message type "
+                                + type
+                                + " has a number or record class that is already taken");
             }
         }
     }
 
-    /** Returns the types of {@link PeerMessageType}. */
+    /** Returns a lookup of all types in {@link PeerMessageType}. */
     public static PeerTypes standard() {
         return of(Arrays.stream(PeerMessageType.values()).map(PeerMessageType::type).toList());
     }
 
     /**
-     * Returns given types.
+     * Returns a lookup of the given types.
      *
-     * @throws IllegalArgumentException if a number or a record stands twice
+     * @throws IllegalArgumentException if a number or a record class occurs more than once
      */
     public static PeerTypes of(List<PeerType> types) {
         return new PeerTypes(types);
     }
 
-    /** Returns the type with a number, if this router knows it. */
+    /** Returns the type with the given number, or empty if this router does not know it. */
     public Optional<PeerType> byNumber(int number) {
         return Optional.ofNullable(mByNumber.get(number));
     }
 
-    /** Returns the type of a record, if it is listed. */
+    /** Returns the type of the given record class, or empty if it is not listed. */
     public Optional<PeerType> byClass(Class<? extends PeerMessage> messageClass) {
         return Optional.ofNullable(mByClass.get(messageClass));
     }
--- a/transport/src/main/java/org/hornbeampass/protocol/peer/package-info.java
+++ b/transport/src/main/java/org/hornbeampass/protocol/peer/package-info.java
@@ -1,2 +1,2 @@
-/** What routers say to each other: frames, message types, their codec and the handshake. */
+/** The protocol between routers: frames, message types, their codec and the handshake. */
 package org.hornbeampass.protocol.peer;
--- a/transport/src/main/java/org/hornbeampass/transport/peer/ConnectingHandshake.java
+++ b/transport/src/main/java/org/hornbeampass/transport/peer/ConnectingHandshake.java
@@ -14,10 +14,10 @@
 import java.util.Optional;
 
 /**
- * The connecting side of the handshake.
+ * Runs the connecting side of the handshake.
  *
- * <p>Invariant: nothing but the hello goes out before the other side has proved that it holds the
- * key and bears the name that was wanted. Not thread-safe: used on one event loop.
+ * <p>Invariant: only the hello is sent before the other side has proved that it holds the cluster
+ * key and has the requested VM name. Not thread-safe: used on one event loop.
  */
 final class ConnectingHandshake extends SimpleChannelInboundHandler<Frame> {
     private static final Logger LOG = LogManager.getLogger(ConnectingHandshake.class);
@@ -27,12 +27,12 @@
     private final Runnable mOnCompleted;
     private Optional<HandshakeTimeout> mTimeout = Optional.empty();
 
-    ConnectingHandshake(PeerContext context, String peer, Runnable ready) {
+    ConnectingHandshake(PeerContext context, String peer, Runnable onCompleted) {
         mContext = context;
         mHello =
                 new Handshake.Hello(
                         FrameHeader.VERSION, context.settings().self(), peer, Nonces.next());
-        mOnCompleted = ready;
+        mOnCompleted = onCompleted;
     }
 
     @Override
@@ -52,9 +52,9 @@
                         : Optional.empty();
         Optional<HandshakeProof> proof = challenge.flatMap(this::verify);
         if (proof.isEmpty()) {
-            mContext.counters().recordFailedHandshake();
+            mContext.counters().recordRejectedHandshake();
             LOG.warn(
-                    "the VM at {} did not prove that it is {}",
+                    "handshake failed: the VM at {} did not prove that it is {}",
                     context.channel().remoteAddress(),
                     mHello.to());
             Channels.close(context.channel());
--- a/transport/src/main/java/org/hornbeampass/transport/peer/Frame.java
+++ b/transport/src/main/java/org/hornbeampass/transport/peer/Frame.java
@@ -3,7 +3,11 @@
 import org.hornbeampass.protocol.peer.FrameHeader;
 import org.hornbeampass.protocol.peer.FrameKind;
 
-/** One frame. Immutable, but for the body, which nobody changes; safe for use by any thread. */
+/**
+ * A frame with its header and body.
+ *
+ * <p>Immutable, provided that callers don't modify the body; safe for use by any thread.
+ */
 record Frame(FrameHeader header, byte[] body) {
     private static final byte[] NO_BODY = new byte[0];
 
@@ -12,12 +16,12 @@
         return new Frame(FrameHeader.control(kind, correlation), NO_BODY);
     }
 
-    /** Returns a handshake's frame. */
+    /** Returns a handshake frame. */
     static Frame handshake(FrameKind kind, byte[] body) {
         return new Frame(FrameHeader.control(kind, 0), body);
     }
 
-    /** Returns the frame's size on the wire in bytes. */
+    /** Returns the size of the frame on the wire in bytes, including the length prefix. */
     int wireBytes() {
         return Integer.BYTES + FrameHeader.BYTES + body.length;
     }
--- a/transport/src/main/java/org/hornbeampass/transport/peer/FrameCodec.java
+++ b/transport/src/main/java/org/hornbeampass/transport/peer/FrameCodec.java
@@ -11,11 +11,11 @@
 import java.util.List;
 
 /**
- * Cuts a connection's bytes into frames, and counts them.
+ * Encodes and decodes the frames of a connection, and counts them.
  *
- * <p>Invariants: no more is kept than the largest frame, which is small until {@link
- * #setMaxFrameBytes}; after a frame out of bounds nothing more is decoded. Not thread-safe: used on
- * one event loop.
+ * <p>Invariants: a frame larger than the current maximum is never buffered; the maximum is that of
+ * a handshake frame until {@link #setMaxFrameBytes} is called; after a frame with an invalid length
+ * nothing more is decoded. Not thread-safe: used on one event loop.
  */
 final class FrameCodec extends ByteToMessageCodec<Frame> {
     private final PeerCounters mCounters;
@@ -26,7 +26,7 @@
         mCounters = counters;
     }
 
-    /** Allows larger frames, once the other side has proved that it holds the key. */
+    /** Raises the maximum frame size once the other side has proved that it holds the key. */
     void setMaxFrameBytes(int maxFrameBytes) {
         mMaxBytes = maxFrameBytes;
     }
@@ -58,7 +58,7 @@
             mCorrupted = true;
             mCounters.recordMalformed();
             throw new CorruptedFrameException(
-                    "frame of " + length + " bytes, where at most " + mMaxBytes + " are taken");
+                    "frame of " + length + " bytes, where at most " + mMaxBytes + " are allowed");
         }
         if (in.readableBytes() < Integer.BYTES + length) {
             return;
--- a/transport/src/main/java/org/hornbeampass/transport/peer/FrameWriter.java
+++ b/transport/src/main/java/org/hornbeampass/transport/peer/FrameWriter.java
@@ -6,10 +6,10 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 /**
- * Writes frames to one channel, with one flush for all that were written in one turn of its loop.
+ * Writes frames to a channel, with one flush for all frames written in one event loop iteration.
  *
- * <p>Invariant: once more bytes wait than the channel's high water mark, frames are refused until
- * it has caught up. Thread-safe.
+ * <p>Invariant: once the unsent bytes exceed the channel's high water mark, frames are rejected
+ * until they have fallen below its low water mark. Thread-safe.
  */
 final class FrameWriter {
     private final Channel mChannel;
@@ -19,7 +19,7 @@
         mChannel = channel;
     }
 
-    /** Writes a frame and returns whether it was taken. */
+    /** Writes a frame; returns false if it was rejected because the channel is not writable. */
     boolean write(Frame frame) {
         if (!mChannel.isWritable()) {
             return false;
--- a/transport/src/main/java/org/hornbeampass/transport/peer/HandshakeTimeout.java
+++ b/transport/src/main/java/org/hornbeampass/transport/peer/HandshakeTimeout.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Closes a channel whose handshake takes too long.
+ * Closes a channel whose handshake does not complete within the timeout.
  *
  * <p>Not thread-safe: used on one event loop.
  */
--- a/transport/src/main/java/org/hornbeampass/transport/peer/InboundConnection.java
+++ b/transport/src/main/java/org/hornbeampass/transport/peer/InboundConnection.java
@@ -20,11 +20,11 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 /**
- * A connection from another router, which has proved who it is.
+ * Handles the frames of an authenticated connection from another router.
  *
- * <p>Invariants: a request gets at most one answer; a message that this router does not know leaves
- * the connection open, one that can't be decoded closes it. Used on one event loop, but for
- * replies, which any thread may give.
+ * <p>Invariants: at most one response is sent to a request; a message of an unknown type leaves the
+ * connection open, and one that can't be decoded closes it. Used on one event loop, except for
+ * replies, which any thread may send.
  */
 final class InboundConnection extends SimpleChannelInboundHandler<Frame> {
     private static final Logger LOG = LogManager.getLogger(InboundConnection.class);
--- a/transport/src/main/java/org/hornbeampass/transport/peer/ListeningHandshake.java
+++ b/transport/src/main/java/org/hornbeampass/transport/peer/ListeningHandshake.java
@@ -14,10 +14,10 @@
 import java.util.Optional;
 
 /**
- * The listening side of the handshake.
+ * Runs the listening side of the handshake.
  *
- * <p>Invariant: no message is handled before the other side has proved that it holds the key. Not
- * thread-safe: used on one event loop.
+ * <p>Invariant: no message is handled before the other side has proved that it holds the cluster
+ * key. Not thread-safe: used on one event loop.
  */
 final class ListeningHandshake extends SimpleChannelInboundHandler<Frame> {
     private static final Logger LOG = LogManager.getLogger(ListeningHandshake.class);
@@ -60,7 +60,7 @@
                 frame.is(FrameKind.HELLO) ? Handshake.Hello.decode(frame.body()) : Optional.empty();
         PeerSettings settings = mContext.settings();
         if (hello.isEmpty() || !hello.get().to().equals(settings.self().name())) {
-            reject(context, "it did not ask for " + settings.self().name());
+            reject(context, "it did not request a connection to " + settings.self().name());
             return;
         }
         HandshakeProof proof = new HandshakeProof(hello.get(), settings.self(), Nonces.next());
@@ -80,7 +80,7 @@
         if (!frame.is(FrameKind.PROOF)
                 || !proof.verifyProof(
                         frame.body(), settings.key(), HandshakeProof.Side.CONNECTING)) {
-            reject(context, "it did not prove that it holds the key");
+            reject(context, "it did not prove that it holds the cluster key");
             return;
         }
         mTimeout.ifPresent(HandshakeTimeout::cancel);
@@ -97,8 +97,8 @@
     }
 
     private void reject(ChannelHandlerContext context, String reason) {
-        mContext.counters().recordFailedHandshake();
-        LOG.warn("refused {}: {}", context.channel().remoteAddress(), reason);
+        mContext.counters().recordRejectedHandshake();
+        LOG.warn("rejected the handshake of {}: {}", context.channel().remoteAddress(), reason);
         Channels.close(context.channel());
     }
 }
--- a/transport/src/main/java/org/hornbeampass/transport/peer/Nonces.java
+++ b/transport/src/main/java/org/hornbeampass/transport/peer/Nonces.java
@@ -4,7 +4,7 @@
 
 import java.security.SecureRandom;
 
-/** Gives the random bytes of handshakes. Thread-safe. */
+/** Generates the random nonces of handshakes. Thread-safe. */
 final class Nonces {
     private static final SecureRandom RANDOM = new SecureRandom();
 
--- a/transport/src/main/java/org/hornbeampass/transport/peer/OutboundConnection.java
+++ b/transport/src/main/java/org/hornbeampass/transport/peer/OutboundConnection.java
@@ -20,12 +20,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A connection to another router: sends messages, takes replies, and notices silence.
+ * A connection to another router: sends messages, receives replies, and detects a dead peer.
  *
- * <p>Invariants: a connection on which something was sent since the last word from the other side
- * is checked by a ping, and closed when the ping is not answered by the next check, so that a
- * healed network is not waited for by TCP's own long timers. State belongs to the event loop, but
- * for the marks of use, which any thread sets.
+ * <p>Invariants: if something was sent since the last frame was received, the next check sends a
+ * ping; if nothing is received by the check after that, the connection is closed, so that
+ * reconnecting after a network failure does not wait for TCP's own long timers. State is confined
+ * to the event loop, except for the volatile fields that record sends, which any thread sets.
  */
 final class OutboundConnection extends SimpleChannelInboundHandler<Frame> {
     private static final Logger LOG = LogManager.getLogger(OutboundConnection.class);
@@ -48,14 +48,14 @@
         mLastSentMs = context.clock().nowMs();
     }
 
-    /** Sends a frame and returns whether it was taken; on any thread. */
+    /** Sends a frame; returns false if the channel is not writable. Callable from any thread. */
     boolean write(Frame frame) {
         mSentSinceLastReceived = true;
         mLastSentMs = mContext.clock().nowMs();
         return mWriter.write(frame);
     }
 
-    /** Starts the checks, once the handshake is done. */
+    /** Starts the periodic liveness checks; called once the handshake is complete. */
     void startLivenessChecks() {
         long pingMs = mContext.settings().timing().pingMs();
         Future<?> checks =
@@ -82,9 +82,12 @@
         switch (kind.get()) {
             case REPLY -> onReply(frame);
             case UNSUPPORTED ->
-                    fail(correlation, ErrorKind.NOT_FOUND, " does not support this request");
-            case FAILED -> fail(correlation, ErrorKind.INTERNAL, " failed on this request");
-            case PONG -> LOG.trace("{} is there", mPeer);
+                    fail(
+                            correlation,
+                            ErrorKind.NOT_FOUND,
+                            " does not support this type of request");
+            case FAILED -> fail(correlation, ErrorKind.INTERNAL, " failed to handle this request");
+            case PONG -> LOG.trace("received a pong from {}", mPeer);
             default -> mContext.counters().recordUnknown();
         }
     }
@@ -100,7 +103,7 @@
         Optional<PeerType> type = mContext.settings().types().byNumber(frame.header().typeNumber());
         if (type.isEmpty()) {
             mContext.counters().recordUnknown();
-            fail(correlation, ErrorKind.NOT_FOUND, " replied in a way that is not known here");
+            fail(correlation, ErrorKind.NOT_FOUND, " sent a reply of an unknown type");
             return;
         }
         Either<Failure, PeerMessage> reply =
@@ -120,7 +123,7 @@
     private void checkLiveness() {
         PeerSettings.Timing timing = mContext.settings().timing();
         if (mPingOutstanding) {
-            LOG.info("closing the connection to {}: it has gone silent", mPeer);
+            LOG.info("closing the connection to {}: no reply to a ping", mPeer);
             Channels.close(mChannel);
             return;
         }
--- a/transport/src/main/java/org/hornbeampass/transport/peer/PeerContext.java
+++ b/transport/src/main/java/org/hornbeampass/transport/peer/PeerContext.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import java.util.function.Function;
 
-/** What all parts of one peer transport share. Immutable; safe for use by any thread. */
+/** The dependencies shared by all parts of a peer transport. Immutable; safe for any thread. */
 record PeerContext(
         EventLoops loops,
         PeerSettings settings,
--- a/transport/src/main/java/org/hornbeampass/transport/peer/PeerCounters.java
+++ b/transport/src/main/java/org/hornbeampass/transport/peer/PeerCounters.java
@@ -3,10 +3,10 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * Counts what goes between this router and the others.
+ * Counts the traffic and the failures between this router and other routers.
  *
- * <p>Invariant: no count ever falls. Bytes are those of frames, without TCP, IP and TLS.
- * Thread-safe.
+ * <p>Invariant: counts never decrease. Bytes are those of frames, without the overhead of TCP, IP
+ * and TLS. Thread-safe.
  */
 public final class PeerCounters {
     private final LongAdder mBytesSent = new LongAdder();
@@ -16,7 +16,7 @@
     private final LongAdder mDropped = new LongAdder();
     private final LongAdder mMalformed = new LongAdder();
     private final LongAdder mUnknown = new LongAdder();
-    private final LongAdder mFailedHandshakes = new LongAdder();
+    private final LongAdder mRejectedHandshakes = new LongAdder();
     private final LongAdder mTimedOut = new LongAdder();
     private final LongAdder mConnections = new LongAdder();
 
@@ -42,8 +42,8 @@
         mUnknown.increment();
     }
 
-    void recordFailedHandshake() {
-        mFailedHandshakes.increment();
+    void recordRejectedHandshake() {
+        mRejectedHandshakes.increment();
     }
 
     void recordTimedOut() {
@@ -54,12 +54,12 @@
         mConnections.increment();
     }
 
-    /** Returns the bytes of all frames sent. */
+    /** Returns the total bytes of all frames sent. */
     public long bytesSent() {
         return mBytesSent.sum();
     }
 
-    /** Returns the bytes of all frames received. */
+    /** Returns the total bytes of all frames received. */
     public long bytesReceived() {
         return mBytesReceived.sum();
     }
@@ -74,12 +74,12 @@
         return mFramesReceived.sum();
     }
 
-    /** Returns the number of messages that were dropped or refused before they were sent. */
+    /** Returns the number of messages that were dropped or rejected before they were sent. */
     public long droppedMessages() {
         return mDropped.sum();
     }
 
-    /** Returns the number of frames that were out of bounds or could not be decoded. */
+    /** Returns the number of frames that had an invalid length or could not be decoded. */
     public long malformedFrames() {
         return mMalformed.sum();
     }
@@ -89,17 +89,17 @@
         return mUnknown.sum();
     }
 
-    /** Returns the number of handshakes that failed. */
-    public long failedHandshakes() {
-        return mFailedHandshakes.sum();
+    /** Returns the number of rejected handshakes; those that timed out are not counted. */
+    public long rejectedHandshakes() {
+        return mRejectedHandshakes.sum();
     }
 
-    /** Returns the number of requests that were not replied to in time. */
+    /** Returns the number of requests that received no reply within their timeout. */
     public long timedOutRequests() {
         return mTimedOut.sum();
     }
 
-    /** Returns the number of connections that came as far as a proof of the key. */
+    /** Returns the number of connections whose handshake succeeded. */
     public long connections() {
         return mConnections.sum();
     }
--- a/transport/src/main/java/org/hornbeampass/transport/peer/PeerHandlers.java
+++ b/transport/src/main/java/org/hornbeampass/transport/peer/PeerHandlers.java
@@ -13,9 +13,9 @@
 import java.util.function.Consumer;
 
 /**
- * The handlers of this router, by message.
+ * Registers the message handlers of this router and passes messages to them.
  *
- * <p>Invariant: a handler is only given messages of the record that it was registered for.
+ * <p>Invariant: a handler only receives messages of the record class that it was registered for.
  * Thread-safe.
  */
 final class PeerHandlers {
@@ -24,7 +24,7 @@
     private final ConcurrentHashMap<Class<?>, Entry<?>> mEntries = new ConcurrentHashMap<>();
     private final PeerTypes mTypes;
 
-    /** A handler with the record that it takes. */
+    /** A handler with the record class that it accepts. */
     private record Entry<M extends PeerMessage>(Class<M> type, PeerHandler<M> handler) {
         void handle(long nowMs, VmId from, PeerMessage message, Consumer<PeerMessage> reply) {
             handler.handle(nowMs, from, type.cast(message), reply);
@@ -42,16 +42,16 @@
                     messageClass + " must be listed in PeerMessageType as one-way or request");
         }
         if (mEntries.putIfAbsent(messageClass, new Entry<>(messageClass, handler)) != null) {
-            throw new IllegalArgumentException(messageClass + " has a handler already");
+            throw new IllegalArgumentException(messageClass + " already has a handler");
         }
     }
 
-    /** Returns whether messages of a type are handled. */
+    /** Returns whether a handler is registered for messages of the given type. */
     boolean handles(PeerType type) {
         return mEntries.containsKey(type.messageClass());
     }
 
-    /** Hands a message to its handler and returns whether that went well. */
+    /** Passes a message to its handler; returns false if the handler threw an exception. */
     boolean handle(long nowMs, VmId from, PeerMessage message, Consumer<PeerMessage> reply) {
         try {
             mEntries.get(message.getClass()).handle(nowMs, from, message, reply);
--- a/transport/src/main/java/org/hornbeampass/transport/peer/PeerLink.java
+++ b/transport/src/main/java/org/hornbeampass/transport/peer/PeerLink.java
@@ -26,11 +26,12 @@
 import java.util.function.BiConsumer;
 
 /**
- * The way to one other router: connects when something is to be sent, and waits after failures.
+ * Sends messages to one other router: connects on demand, and backs off after failures.
  *
- * <p>Invariants: there is at most one connection, with those being made; what waits for it is
- * bounded; while the link waits after a failure, nothing is queued. Thread-safe: one lock guards
- * the state; it is taken before a channel's own locks, and never while a reply is run.
+ * <p>Invariants: there is at most one connection, including one that is being established; the
+ * queue of frames that wait for it is bounded; during the backoff after a failure, nothing is
+ * queued. Thread-safe: one lock guards the state; it is acquired before a channel's own locks, and
+ * is never held while a reply callback runs.
  */
 final class PeerLink {
     private static final Logger LOG = LogManager.getLogger(PeerLink.class);
@@ -56,7 +57,7 @@
         mBackoff = new Backoff(timing.minBackoffMs(), timing.maxBackoffMs());
     }
 
-    /** Sends a message without a reply. */
+    /** Sends a message that expects no reply; it is dropped and counted if it can't be sent. */
     void send(long nowMs, int typeNumber, byte[] body) {
         Frame frame = new Frame(FrameHeader.message(FrameKind.ONE_WAY, typeNumber, 0), body);
         if (writeOrQueue(nowMs, frame).isPresent()) {
@@ -64,7 +65,12 @@
         }
     }
 
-    /** Sends a request. */
+    /**
+     * Sends a request.
+     *
+     * @param timeoutMs how long to wait for the reply, in milliseconds
+     * @param done receives the time in milliseconds and the reply or failure, exactly once
+     */
     void request(
             long nowMs,
             int typeNumber,
@@ -78,19 +84,20 @@
                     nowMs,
                     Either.left(
                             Failure.of(
-                                    ErrorKind.OVERLOADED, "too many requests wait for " + mPeer)));
+                                    ErrorKind.OVERLOADED,
+                                    "too many pending requests to " + mPeer)));
             return;
         }
         FrameHeader header =
                 FrameHeader.message(FrameKind.REQUEST, typeNumber, correlation.getAsLong());
-        Optional<Failure> refused = writeOrQueue(nowMs, new Frame(header, body));
-        if (refused.isPresent()) {
+        Optional<Failure> failure = writeOrQueue(nowMs, new Frame(header, body));
+        if (failure.isPresent()) {
             mContext.counters().recordDropped();
-            mPending.complete(correlation.getAsLong(), Either.left(refused.get()));
+            mPending.complete(correlation.getAsLong(), Either.left(failure.get()));
         }
     }
 
-    /** Closes the link for good; requests that wait fail. */
+    /** Closes the link permanently; pending requests fail. */
     void close() {
         Optional<Channel> channel;
         synchronized (mLock) {
@@ -111,14 +118,16 @@
             if (mConnection.isPresent()) {
                 return mConnection.get().write(frame)
                         ? Optional.empty()
-                        : rejection(ErrorKind.OVERLOADED, mPeer + " does not keep up");
+                        : rejection(ErrorKind.OVERLOADED, mPeer + " does not read fast enough");
             }
             connect = mChannel.isEmpty() && mQueue.isEmpty();
             if (connect && nowMs < mRetryAtMs) {
-                return rejection(ErrorKind.NOT_READY, mPeer + " could not be reached just now");
+                return rejection(
+                        ErrorKind.NOT_READY,
+                        mPeer + " was unreachable at the last attempt; retrying later");
             }
             if (mQueuedBytes + frame.wireBytes() > maxQueuedBytes()) {
-                return rejection(ErrorKind.OVERLOADED, "too much waits for " + mPeer);
+                return rejection(ErrorKind.OVERLOADED, "too many bytes queued for " + mPeer);
             }
             mQueue.add(frame);
             mQueuedBytes += frame.wireBytes();
@@ -161,7 +170,7 @@
             mChannel = Optional.of(channel);
             closed = mClosed;
         }
-        channel.closeFuture().addListener(done -> onDisconnected("its connection was closed"));
+        channel.closeFuture().addListener(done -> onDisconnected("the connection was closed"));
         connected.addListener(
                 done -> {
                     if (closed || !done.isSuccess()) {
@@ -195,8 +204,8 @@
             mConnection = Optional.empty();
             clearQueue();
         }
-        LOG.debug("{} can't be reached: {}", mPeer, reason);
-        mPending.failAll(kind, mPeer + " can't be reached: " + reason);
+        LOG.debug("{} is unreachable: {}", mPeer, reason);
+        mPending.failAll(kind, mPeer + " is unreachable: " + reason);
     }
 
     private void clearQueue() {
@@ -204,7 +213,7 @@
         mQueuedBytes = 0;
     }
 
-    /** Lays out the pipeline of a connection. */
+    /** Initializes the pipeline of a connection. */
     private final class Initializer extends ChannelInitializer<Channel> {
         private final InetSocketAddress mAddress;
 
--- a/transport/src/main/java/org/hornbeampass/transport/peer/PeerTransport.java
+++ b/transport/src/main/java/org/hornbeampass/transport/peer/PeerTransport.java
@@ -31,10 +31,10 @@
 import java.util.function.Function;
 
 /**
- * The {@link PeerNetwork} over TCP, with one connection in each direction between two routers.
+ * Implements {@link PeerNetwork} over TCP, with one connection per direction between two routers.
  *
- * <p>Invariant: a message is handled only after its sender has proved that it holds the shared key,
- * and only under the identity that it proved. Thread-safe.
+ * <p>Invariant: a message is handled only after its sender has proved that it holds the cluster
+ * key, and only under the identity authenticated by the handshake. Thread-safe.
  */
 public final class PeerTransport implements PeerNetwork, AutoCloseable {
     private final ConcurrentHashMap<String, PeerLink> mLinks = new ConcurrentHashMap<>();
@@ -55,12 +55,12 @@
     /**
      * Starts listening.
      *
-     * @param loops the event loops, which stay the caller's
-     * @param settings who this router is and what its bounds are
-     * @param clock the present time
-     * @param addresses gives the address of a VM by its name, where one is known; run on any
-     *     thread, must not block
-     * @throws IllegalStateException if the address can't be listened on
+     * @param loops the event loops, which the caller owns and closes
+     * @param settings the identity and limits of this router
+     * @param clock the clock for the current time
+     * @param addresses returns the address of a VM by its name, or empty if none is known; called
+     *     on any thread, so it must not block
+     * @throws IllegalStateException if binding the listen address fails
      */
     public static PeerTransport start(
             EventLoops loops,
@@ -74,7 +74,7 @@
     }
 
     /**
-     * Registers the handler of a message.
+     * Registers the handler of a message type.
      *
      * @throws IllegalArgumentException if the message is not listed in {@code PeerMessageType}, is
      *     a reply, or has a handler already
@@ -100,22 +100,22 @@
         link(vmName).request(nowMs, number, PeerCodec.encode(request), timeoutMs, done);
     }
 
-    /** Closes the link to a VM that is gone, so that nothing is kept for it. */
+    /** Closes and removes the link to a VM that has left, so that it uses no more resources. */
     public void forget(String vmName) {
         Optional.ofNullable(mLinks.remove(vmName)).ifPresent(PeerLink::close);
     }
 
-    /** Returns the address that is listened on, with the real port where 0 was asked for. */
+    /** Returns the bound listen address, with the actual port if port 0 was requested. */
     public InetSocketAddress address() {
         return (InetSocketAddress) mListener.localAddress();
     }
 
-    /** Returns the counts of what was sent and received. */
+    /** Returns the counters of this transport. */
     public PeerCounters counters() {
         return mContext.counters();
     }
 
-    /** Closes all connections; completed once no message comes in any more. */
+    /** Closes all connections; the future completes once no more messages can arrive. */
     public CompletableFuture<Void> stop() {
         CompletableFuture<Void> stopped = new CompletableFuture<>();
         mLinks.values().forEach(PeerLink::close);
@@ -172,7 +172,7 @@
         return bound.channel();
     }
 
-    /** Lays out the pipeline of a connection from another router. */
+    /** Initializes the pipeline of a connection from another router. */
     private final class Initializer extends ChannelInitializer<Channel> {
         @Override
         protected void initChannel(Channel channel) {
--- a/transport/src/main/java/org/hornbeampass/transport/peer/PendingRequests.java
+++ b/transport/src/main/java/org/hornbeampass/transport/peer/PendingRequests.java
@@ -16,17 +16,17 @@
 import java.util.function.BiConsumer;
 
 /**
- * The requests to one peer that wait for their replies.
+ * Tracks the requests to one peer that wait for their replies.
  *
- * <p>Invariant: each is ended exactly once, by its reply, its timeout or a failure. Thread-safe;
- * replies are run with no lock held.
+ * <p>Invariant: each request is completed exactly once, by its reply, its timeout or a failure.
+ * Thread-safe; callbacks run without a lock held.
  */
 final class PendingRequests {
     private final ConcurrentHashMap<Long, Pending> mPending = new ConcurrentHashMap<>();
     private final AtomicLong mLastCorrelation = new AtomicLong();
     private final PeerContext mContext;
 
-    /** One request; its timer is set after it can be found. */
+    /** A pending request; its timer is set only after it has been added to the map. */
     private static final class Pending {
         private final BiConsumer<Long, Either<Failure, PeerMessage>> mDone;
         private volatile Optional<Future<?>> mTimer = Optional.empty();
@@ -40,7 +40,7 @@
         mContext = context;
     }
 
-    /** Adds a request and returns its correlation id; empty where too many wait. */
+    /** Adds a request and returns its correlation id; empty if too many requests are pending. */
     OptionalLong add(
             String peer, long timeoutMs, BiConsumer<Long, Either<Failure, PeerMessage>> done) {
         if (mPending.size() >= mContext.settings().limits().maxPending()) {
@@ -61,7 +61,7 @@
         return OptionalLong.of(correlation);
     }
 
-    /** Ends a request, if it still waits. */
+    /** Completes a request, if it is still pending. */
     void complete(long correlation, Either<Failure, PeerMessage> reply) {
         Optional.ofNullable(mPending.remove(correlation))
                 .ifPresent(
@@ -71,7 +71,7 @@
                         });
     }
 
-    /** Fails all requests that wait. */
+    /** Fails all pending requests. */
     void failAll(ErrorKind kind, String reason) {
         for (Long correlation : List.copyOf(mPending.keySet())) {
             complete(correlation, Either.left(Failure.of(kind, reason)));
--- a/transport/src/main/java/org/hornbeampass/transport/peer/package-info.java
+++ b/transport/src/main/java/org/hornbeampass/transport/peer/package-info.java
@@ -1,2 +1,2 @@
-/** Typed messages between routers over TCP. */
+/** Sends and receives typed messages between routers over TCP. */
 package org.hornbeampass.transport.peer;
--- a/transport/src/test/java/org/hornbeampass/protocol/peer/HandshakeProofTest.java
+++ b/transport/src/test/java/org/hornbeampass/protocol/peer/HandshakeProofTest.java
@@ -9,7 +9,7 @@
 
 import java.util.Arrays;
 
-/** Tests {@link HandshakeProof}: a proof holds for its own handshake and side only. */
+/** Tests {@link HandshakeProof}: a proof is valid only for its own handshake and side. */
 class HandshakeProofTest {
     private static final Secret KEY = Secret.of("key");
     private static final VmId A = new VmId("vm-a", 1);
--- a/transport/src/test/java/org/hornbeampass/protocol/peer/PeerMessageTypeTest.java
+++ b/transport/src/test/java/org/hornbeampass/protocol/peer/PeerMessageTypeTest.java
@@ -25,7 +25,7 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-/** Tests that {@link PeerMessageType} lists each message once, in a form that can be sent. */
+/** Tests that {@link PeerMessageType} lists each message once and that messages can be encoded. */
 class PeerMessageTypeTest {
     private static final int LAST_NUMBER = 99;
 
--- a/transport/src/test/java/org/hornbeampass/transport/peer/BackoffTest.java
+++ b/transport/src/test/java/org/hornbeampass/transport/peer/BackoffTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Tests {@link Backoff}: failures and a random number to a delay. */
+/** Tests the delay that {@link Backoff} computes from failures and a random number. */
 class BackoffTest {
     @ParameterizedTest
     @CsvSource({
--- a/transport/src/test/java/org/hornbeampass/transport/peer/Note.java
+++ b/transport/src/test/java/org/hornbeampass/transport/peer/Note.java
@@ -4,6 +4,6 @@
 
 import org.hornbeampass.coordination.peer.PeerMessage;
 
-/** A message without a reply for tests. */
+/** A one-way message for tests. */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 record Note(String text) implements PeerMessage {}
--- a/transport/src/test/java/org/hornbeampass/transport/peer/OtherQuestion.java
+++ b/transport/src/test/java/org/hornbeampass/transport/peer/OtherQuestion.java
@@ -6,6 +6,6 @@
 
 import java.util.List;
 
-/** A message that can't be read as a {@link Question}, for tests. */
+/** A message that can't be decoded as a {@link Question}, for tests. */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 record OtherQuestion(List<String> texts) implements PeerMessage {}
--- a/transport/src/test/java/org/hornbeampass/transport/peer/PeerFleet.java
+++ b/transport/src/test/java/org/hornbeampass/transport/peer/PeerFleet.java
@@ -21,7 +21,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 
-/** A few transports on the loopback interface that know each other's addresses, for tests. */
+/** Starts transports on the loopback interface that know each other's addresses, for tests. */
 final class PeerFleet implements AutoCloseable {
     static final long WAIT_S = 20;
     static final Secret KEY = Secret.of("cluster key");
@@ -57,7 +57,7 @@
         return transport;
     }
 
-    /** Gives a name another address. */
+    /** Sets the address that the transports use for a VM name. */
     void setAddress(String name, InetSocketAddress address) {
         mAddresses.put(name, address);
     }
--- a/transport/src/test/java/org/hornbeampass/transport/peer/PeerInputProperties.java
+++ b/transport/src/test/java/org/hornbeampass/transport/peer/PeerInputProperties.java
@@ -25,7 +25,7 @@
 import java.util.Optional;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Tests that whatever comes in, nothing escapes a peer's connection and its bounds hold. */
+/** Tests that arbitrary input to a connection causes no exceptions and keeps within its limits. */
 class PeerInputProperties {
     private static final int MAX_FRAME_BYTES = 200;
 
@@ -80,24 +80,24 @@
 
     @Provide
     Arbitrary<List<byte[]>> reads() {
-        Arbitrary<byte[]> noise = Arbitraries.bytes().array(byte[].class).ofMaxSize(60);
+        Arbitrary<byte[]> randomBytes = Arbitraries.bytes().array(byte[].class).ofMaxSize(60);
         Arbitrary<Integer> kinds = Arbitraries.integers().between(0, FrameKind.values().length);
         Arbitrary<Integer> types = Arbitraries.integers().between(0, 4);
         Arbitrary<byte[]> frames =
                 Combinators.combine(kinds, types, bodies()).as(PeerInputProperties::frame);
-        return Arbitraries.oneOf(frames, frames, frames, noise).list().ofMaxSize(8);
+        return Arbitraries.oneOf(frames, frames, frames, randomBytes).list().ofMaxSize(8);
     }
 
     @Provide
     Arbitrary<byte[]> bodies() {
-        Arbitrary<byte[]> noise = Arbitraries.bytes().array(byte[].class).ofMaxSize(60);
+        Arbitrary<byte[]> randomBytes = Arbitraries.bytes().array(byte[].class).ofMaxSize(60);
         Arbitrary<byte[]> valid =
                 Arbitraries.of(
                         PeerCodec.encode(Question.of("?")),
                         PeerCodec.encode(new Note("note")),
                         new Handshake.Hello(1, new VmId("vm-b", 1), "vm-a", new byte[32]).encode());
-        // Lengths that the bytes don't cover, which must not be reserved.
-        Arbitrary<byte[]> lying =
+        // Declared lengths that exceed the bytes present; no memory may be allocated for them.
+        Arbitrary<byte[]> truncated =
                 Arbitraries.of(
                         new byte[] {(byte) 0xC6, 0x7F, -1, -1, -1},
                         new byte[] {(byte) 0x91, (byte) 0xC6, 0x7F, -1, -1, -1},
@@ -120,7 +120,7 @@
                             -1
                         },
                         new byte[] {(byte) 0xDF, 0x7F, -1, -1, -1});
-        return Arbitraries.oneOf(noise, valid, lying);
+        return Arbitraries.oneOf(randomBytes, valid, truncated);
     }
 
     private static byte[] frame(int kind, int type, byte[] body) {
--- a/transport/src/test/java/org/hornbeampass/transport/peer/PeerTransportTest.java
+++ b/transport/src/test/java/org/hornbeampass/transport/peer/PeerTransportTest.java
@@ -19,7 +19,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 
-/** Tests {@link PeerTransport} over sockets. */
+/** Tests {@link PeerTransport} over loopback sockets. */
 class PeerTransportTest {
     private final PeerFleet mFleet = new PeerFleet();
 
@@ -135,7 +135,7 @@
 
         assertFails(mFleet.request(c, "vm-b", Question.of("?")), ErrorKind.NOT_READY);
         assertFails(mFleet.request(a, "vm-c", Question.of("?")), ErrorKind.NOT_READY);
-        assertThat(c.counters().failedHandshakes()).isEqualTo(1);
+        assertThat(c.counters().rejectedHandshakes()).isEqualTo(1);
     }
 
     @Test
@@ -145,7 +145,7 @@
         mFleet.setAddress("vm-old", b.address());
 
         assertFails(mFleet.request(a, "vm-old", Question.of("?")), ErrorKind.NOT_READY);
-        assertThat(b.counters().failedHandshakes()).isEqualTo(1);
+        assertThat(b.counters().rejectedHandshakes()).isEqualTo(1);
     }
 
     @Test
--- a/transport/src/test/java/org/hornbeampass/transport/peer/Question.java
+++ b/transport/src/test/java/org/hornbeampass/transport/peer/Question.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** A request for tests, with parts of each sort that messages have. */
+/** A request for tests, with fields of each kind that messages have. */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 record Question(String text, long number, Optional<VmId> vm, List<String> more)
         implements PeerMessage {
