--- a/transport/src/main/java/org/hornbeampass/transport/peer/ConnectingHandshake.java
+++ b/transport/src/main/java/org/hornbeampass/transport/peer/ConnectingHandshake.java
@@ -14,25 +14,25 @@
 import java.util.Optional;
 
 /**
- * The connecting side of the handshake.
+ * Runs the connecting side of the handshake.
  *
- * <p>Invariant: nothing but the hello goes out before the other side has proved that it holds the
- * key and bears the name that was wanted. Not thread-safe: used on one event loop.
+ * <p>Invariant: only the hello is sent before the other side has proved that it holds the cluster
+ * key and has the requested VM name. Not thread-safe: used on one event loop.
  */
 final class ConnectingHandshake extends SimpleChannelInboundHandler<Frame> {
     private static final Logger LOG = LogManager.getLogger(ConnectingHandshake.class);
 
     private final PeerContext mContext;
     private final Handshake.Hello mHello;
-    private final Runnable mReady;
+    private final Runnable mOnCompleted;
     private Optional<HandshakeTimeout> mTimeout = Optional.empty();
 
-    ConnectingHandshake(PeerContext context, String peer, Runnable ready) {
+    ConnectingHandshake(PeerContext context, String peer, Runnable onCompleted) {
         mContext = context;
         mHello =
                 new Handshake.Hello(
                         FrameHeader.VERSION, context.settings().self(), peer, Nonces.next());
-        mReady = ready;
+        mOnCompleted = onCompleted;
     }
 
     @Override
@@ -52,30 +52,30 @@
                         : Optional.empty();
         Optional<HandshakeProof> proof = challenge.flatMap(this::verify);
         if (proof.isEmpty()) {
-            mContext.counters().refusedHandshake();
+            mContext.counters().recordRejectedHandshake();
             LOG.warn(
-                    "the VM at {} did not prove that it is {}",
+                    "handshake failed: the VM at {} did not prove that it is {}",
                     context.channel().remoteAddress(),
                     mHello.to());
             Channels.close(context.channel());
             return;
         }
         byte[] ownProof =
-                proof.get().prove(mContext.settings().key(), HandshakeProof.Side.CONNECTING);
+                proof.get().computeProof(mContext.settings().key(), HandshakeProof.Side.CONNECTING);
         Channels.send(context.channel(), Frame.handshake(FrameKind.PROOF, ownProof));
         mTimeout.ifPresent(HandshakeTimeout::cancel);
         context.pipeline()
                 .get(FrameCodec.class)
-                .trust(mContext.settings().limits().maxFrameBytes());
+                .setMaxFrameBytes(mContext.settings().limits().maxFrameBytes());
         context.pipeline().remove(this);
-        mContext.counters().connected();
-        mReady.run();
+        mContext.counters().recordConnected();
+        mOnCompleted.run();
     }
 
     private Optional<HandshakeProof> verify(Handshake.Challenge challenge) {
         HandshakeProof proof = new HandshakeProof(mHello, challenge.from(), challenge.nonce());
         boolean proved =
-                proof.proves(
+                proof.verifyProof(
                         challenge.proof(),
                         mContext.settings().key(),
                         HandshakeProof.Side.LISTENING);
--- a/transport/src/main/java/org/hornbeampass/transport/peer/PeerLink.java
+++ b/transport/src/main/java/org/hornbeampass/transport/peer/PeerLink.java
@@ -26,11 +26,12 @@
 import java.util.function.BiConsumer;
 
 /**
- * The way to one other router: connects when something is to be sent, and waits after failures.
+ * Sends messages to one other router: connects on demand, and backs off after failures.
  *
- * <p>Invariants: there is at most one connection, with those being made; what waits for it is
- * bounded; while the link waits after a failure, nothing is queued. Thread-safe: one lock guards
- * the state; it is taken before a channel's own locks, and never while a reply is run.
+ * <p>Invariants: there is at most one connection, including one that is being established; the
+ * queue of frames that wait for it is bounded; during the backoff after a failure, nothing is
+ * queued. Thread-safe: one lock guards the state; it is acquired before a channel's own locks, and
+ * is never held while a reply callback runs.
  */
 final class PeerLink {
     private static final Logger LOG = LogManager.getLogger(PeerLink.class);
@@ -41,7 +42,7 @@
     private final PendingRequests mPending;
     private final Backoff mBackoff;
     private final ArrayDeque<Frame> mQueue = new ArrayDeque<>();
-    private Optional<OutboundConnection> mReady = Optional.empty();
+    private Optional<OutboundConnection> mConnection = Optional.empty();
     private Optional<Channel> mChannel = Optional.empty();
     private int mQueuedBytes;
     private int mFailures;
@@ -56,15 +57,20 @@
         mBackoff = new Backoff(timing.minBackoffMs(), timing.maxBackoffMs());
     }
 
-    /** Sends a message without a reply. */
+    /** Sends a message that expects no reply; it is dropped and counted if it can't be sent. */
     void send(long nowMs, int typeNumber, byte[] body) {
         Frame frame = new Frame(FrameHeader.message(FrameKind.ONE_WAY, typeNumber, 0), body);
-        if (put(nowMs, frame).isPresent()) {
-            mContext.counters().dropped();
+        if (writeOrQueue(nowMs, frame).isPresent()) {
+            mContext.counters().recordDropped();
         }
     }
 
-    /** Sends a request. */
+    /**
+     * Sends a request.
+     *
+     * @param timeoutMs how long to wait for the reply, in milliseconds
+     * @param done receives the time in milliseconds and the reply or failure, exactly once
+     */
     void request(
             long nowMs,
             int typeNumber,
@@ -73,24 +79,25 @@
             BiConsumer<Long, Either<Failure, PeerMessage>> done) {
         OptionalLong correlation = mPending.add(mPeer, timeoutMs, done);
         if (correlation.isEmpty()) {
-            mContext.counters().dropped();
+            mContext.counters().recordDropped();
             done.accept(
                     nowMs,
                     Either.left(
                             Failure.of(
-                                    ErrorKind.OVERLOADED, "too many requests wait for " + mPeer)));
+                                    ErrorKind.OVERLOADED,
+                                    "too many pending requests to " + mPeer)));
             return;
         }
         FrameHeader header =
                 FrameHeader.message(FrameKind.REQUEST, typeNumber, correlation.getAsLong());
-        Optional<Failure> refused = put(nowMs, new Frame(header, body));
-        if (refused.isPresent()) {
-            mContext.counters().dropped();
-            mPending.end(correlation.getAsLong(), Either.left(refused.get()));
+        Optional<Failure> failure = writeOrQueue(nowMs, new Frame(header, body));
+        if (failure.isPresent()) {
+            mContext.counters().recordDropped();
+            mPending.complete(correlation.getAsLong(), Either.left(failure.get()));
         }
     }
 
-    /** Closes the link for good; requests that wait fail. */
+    /** Closes the link permanently; pending requests fail. */
     void close() {
         Optional<Channel> channel;
         synchronized (mLock) {
@@ -102,23 +109,25 @@
         mPending.failAll(ErrorKind.SHUTTING_DOWN, "the link to " + mPeer + " is closed");
     }
 
-    private Optional<Failure> put(long nowMs, Frame frame) {
+    private Optional<Failure> writeOrQueue(long nowMs, Frame frame) {
         boolean connect;
         synchronized (mLock) {
             if (mClosed) {
-                return refusal(ErrorKind.SHUTTING_DOWN, "the link to " + mPeer + " is closed");
+                return rejection(ErrorKind.SHUTTING_DOWN, "the link to " + mPeer + " is closed");
             }
-            if (mReady.isPresent()) {
-                return mReady.get().write(frame)
+            if (mConnection.isPresent()) {
+                return mConnection.get().write(frame)
                         ? Optional.empty()
-                        : refusal(ErrorKind.OVERLOADED, mPeer + " does not keep up");
+                        : rejection(ErrorKind.OVERLOADED, mPeer + " does not read fast enough");
             }
             connect = mChannel.isEmpty() && mQueue.isEmpty();
             if (connect && nowMs < mRetryAtMs) {
-                return refusal(ErrorKind.NOT_READY, mPeer + " could not be reached just now");
+                return rejection(
+                        ErrorKind.NOT_READY,
+                        mPeer + " was unreachable at the last attempt; retrying later");
             }
             if (mQueuedBytes + frame.wireBytes() > maxQueuedBytes()) {
-                return refusal(ErrorKind.OVERLOADED, "too much waits for " + mPeer);
+                return rejection(ErrorKind.OVERLOADED, "too many bytes queued for " + mPeer);
             }
             mQueue.add(frame);
             mQueuedBytes += frame.wireBytes();
@@ -133,14 +142,14 @@
         return mContext.settings().limits().maxQueuedBytes();
     }
 
-    private static Optional<Failure> refusal(ErrorKind kind, String message) {
+    private static Optional<Failure> rejection(ErrorKind kind, String message) {
         return Optional.of(Failure.of(kind, message));
     }
 
     private void connect() {
         Optional<InetSocketAddress> address = mContext.addresses().apply(mPeer);
         if (address.isEmpty()) {
-            down("no address is known");
+            onDisconnected("no address is known");
             return;
         }
         int timeoutMs = (int) mContext.settings().timing().handshakeMs();
@@ -161,7 +170,7 @@
             mChannel = Optional.of(channel);
             closed = mClosed;
         }
-        channel.closeFuture().addListener(done -> down("its connection was closed"));
+        channel.closeFuture().addListener(done -> onDisconnected("the connection was closed"));
         connected.addListener(
                 done -> {
                     if (closed || !done.isSuccess()) {
@@ -170,33 +179,33 @@
                 });
     }
 
-    private void ready(OutboundConnection connection) {
+    private void onConnected(OutboundConnection connection) {
         synchronized (mLock) {
             if (mClosed) {
                 connection.close();
                 return;
             }
-            mReady = Optional.of(connection);
+            mConnection = Optional.of(connection);
             mFailures = 0;
             mQueue.forEach(connection::write);
             clearQueue();
         }
-        connection.startChecks();
+        connection.startLivenessChecks();
     }
 
-    private void down(String reason) {
+    private void onDisconnected(String reason) {
         ErrorKind kind;
         synchronized (mLock) {
-            kind = mReady.isPresent() ? ErrorKind.OUTCOME_UNKNOWN : ErrorKind.NOT_READY;
+            kind = mConnection.isPresent() ? ErrorKind.OUTCOME_UNKNOWN : ErrorKind.NOT_READY;
             mFailures++;
             double random = ThreadLocalRandom.current().nextDouble();
             mRetryAtMs = mContext.clock().nowMs() + mBackoff.delayMs(mFailures, random);
             mChannel = Optional.empty();
-            mReady = Optional.empty();
+            mConnection = Optional.empty();
             clearQueue();
         }
-        LOG.debug("{} can't be reached: {}", mPeer, reason);
-        mPending.failAll(kind, mPeer + " can't be reached: " + reason);
+        LOG.debug("{} is unreachable: {}", mPeer, reason);
+        mPending.failAll(kind, mPeer + " is unreachable: " + reason);
     }
 
     private void clearQueue() {
@@ -204,7 +213,7 @@
         mQueuedBytes = 0;
     }
 
-    /** Lays out the pipeline of a connection. */
+    /** Initializes the pipeline of a connection. */
     private final class Initializer extends ChannelInitializer<Channel> {
         private final InetSocketAddress mAddress;
 
@@ -228,7 +237,7 @@
             channel.pipeline()
                     .addLast(
                             new FrameCodec(mContext.counters()),
-                            new ConnectingHandshake(mContext, mPeer, () -> ready(connection)),
+                            new ConnectingHandshake(mContext, mPeer, () -> onConnected(connection)),
                             connection);
         }
     }
--- a/transport/src/test/java/org/hornbeampass/protocol/peer/PeerMessageTypeTest.java
+++ b/transport/src/test/java/org/hornbeampass/protocol/peer/PeerMessageTypeTest.java
@@ -25,12 +25,12 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-/** Tests that {@link PeerMessageType} lists each message once, in a form that can be sent. */
+/** Tests that {@link PeerMessageType} lists each message once and that messages can be encoded. */
 class PeerMessageTypeTest {
     private static final int LAST_NUMBER = 99;
 
     @Test
-    void eachMessageOfTheLibrary_isListed() {
+    void eachMessageOfCoordination_isListed() {
         Set<String> listed =
                 Arrays.stream(PeerMessageType.values())
                         .map(t -> t.type().messageClass().getName())
@@ -70,13 +70,13 @@
 
     @ParameterizedTest
     @MethodSource("samples")
-    void decode_ofEncoded_isEqual(PeerMessage message) {
+    void decode_restoresTheEncodedMessage(PeerMessage message) {
         assertThat(PeerCodec.decode(PeerCodec.encode(message), message.getClass()).get())
                 .isEqualTo(message);
     }
 
     @Test
-    void types_ofOneNumberForTwo_areRefused() {
+    void types_rejectDuplicateNumbers() {
         PeerType ask = PeerMessageType.ASK_GRANT.type();
         PeerType other = new PeerType(ask.number(), MoveAck.class, PeerType.Form.ONE_WAY);
 
--- a/transport/src/test/java/org/hornbeampass/transport/peer/PeerFleet.java
+++ b/transport/src/test/java/org/hornbeampass/transport/peer/PeerFleet.java
@@ -21,7 +21,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 
-/** A few transports on the loopback interface that know each other's addresses, for tests. */
+/** Starts transports on the loopback interface that know each other's addresses, for tests. */
 final class PeerFleet implements AutoCloseable {
     static final long WAIT_S = 20;
     static final Secret KEY = Secret.of("cluster key");
@@ -57,17 +57,17 @@
         return transport;
     }
 
-    /** Gives a name another address. */
-    void place(String name, InetSocketAddress address) {
+    /** Sets the address that the transports use for a VM name. */
+    void setAddress(String name, InetSocketAddress address) {
         mAddresses.put(name, address);
     }
 
-    Either<Failure, PeerMessage> ask(PeerTransport from, String to, PeerMessage question)
+    Either<Failure, PeerMessage> request(PeerTransport from, String to, PeerMessage question)
             throws Exception {
-        return ask(from, to, question, TimeUnit.SECONDS.toMillis(WAIT_S));
+        return request(from, to, question, TimeUnit.SECONDS.toMillis(WAIT_S));
     }
 
-    Either<Failure, PeerMessage> ask(
+    Either<Failure, PeerMessage> request(
             PeerTransport from, String to, PeerMessage question, long timeoutMs) throws Exception {
         CompletableFuture<Either<Failure, PeerMessage>> reply = new CompletableFuture<>();
         from.request(mClock.nowMs(), to, question, timeoutMs, (atMs, r) -> reply.complete(r));
