--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/DeferredActions.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/AfterUnlockActions.java
@@ -8,7 +8,7 @@
  *
  * <p>Not thread-safe; used by the one thread that holds, then has released, the lock.
  */
-final class DeferredActions {
+final class AfterUnlockActions {
     private final List<Runnable> mSteps = new ArrayList<>();
 
     void add(Runnable step) {
@@ -23,6 +23,6 @@
     @FunctionalInterface
     interface LockRunner {
         /** Runs a step. */
-        void runLocked(java.util.function.Consumer<DeferredActions> step);
+        void runLocked(java.util.function.Consumer<AfterUnlockActions> step);
     }
 }
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/PendingClaims.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/PendingClaims.java
@@ -62,7 +62,7 @@
 
     /** Answers a claim according to the decision of the log, unless it was answered before. */
     void onDecision(
-            long nowMs, PendingClaim pending, EntryDecision decision, DeferredActions deferred) {
+            long nowMs, PendingClaim pending, EntryDecision decision, AfterUnlockActions deferred) {
         if (pending.mAnswered) {
             return;
         }
@@ -75,7 +75,7 @@
      * Answers the claims past their deadline as not run and returns them, so that they are
      * withdrawn.
      */
-    List<Claim> expire(long nowMs, DeferredActions deferred) {
+    List<Claim> expire(long nowMs, AfterUnlockActions deferred) {
         List<Claim> expired = new ArrayList<>();
         while (!mPending.isEmpty()) {
             PendingClaim first = mPending.peekFirst();
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/PendingSubmission.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/PendingSubmission.java
@@ -27,7 +27,7 @@
     }
 
     /** Records one decision; sends the reply once all entries are decided. */
-    void onDecision(int index, EntryDecision decision, DeferredActions deferred) {
+    void onDecision(int index, EntryDecision decision, AfterUnlockActions deferred) {
         if (mDecisions[index] != null) {
             return;
         }
@@ -44,7 +44,7 @@
      * Rejects the submission if it was received {@code maxWaitMs} ago or earlier and is not decided
      * yet; returns whether it has been answered.
      */
-    boolean rejectIfOverdue(long nowMs, long maxWaitMs, DeferredActions deferred) {
+    boolean rejectIfOverdue(long nowMs, long maxWaitMs, AfterUnlockActions deferred) {
         if (!mAnswered && nowMs - mReceivedMs >= maxWaitMs) {
             mAnswered = true;
             deferred.add(() -> mReply.accept(new EntriesRefused(maxWaitMs)));
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/RequestLedger.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/RequestLedger.java
@@ -203,7 +203,7 @@
         runLocked(deferred -> enqueueWithdrawal(nowMs, claim, deferred));
     }
 
-    private void enqueueWithdrawal(long nowMs, Claim claim, DeferredActions deferred) {
+    private void enqueueWithdrawal(long nowMs, Claim claim, AfterUnlockActions deferred) {
         long atMs = Math.max(nowMs, claim.admittedAtMs());
         AttemptId attempt = claim.attempt();
         enqueue(
@@ -241,7 +241,7 @@
             long nowMs,
             RequestEntry entry,
             BiConsumer<Long, EntryDecision> done,
-            DeferredActions deferred) {
+            AfterUnlockActions deferred) {
         String text = EntryCodec.encode(entry);
         boolean[] decided = new boolean[1];
         PendingEntry pending =
@@ -336,7 +336,7 @@
                 });
     }
 
-    private void finishDrain(long nowMs, DeferredActions deferred) {
+    private void finishDrain(long nowMs, AfterUnlockActions deferred) {
         if (mDrainCallbacks.isEmpty() || mPendingCount > 0 || !mDispatcher.isIdle()) {
             return;
         }
@@ -345,8 +345,8 @@
         callbacks.forEach(w -> deferred.add(() -> w.accept(nowMs)));
     }
 
-    private void runLocked(Consumer<DeferredActions> step) {
-        DeferredActions deferred = new DeferredActions();
+    private void runLocked(Consumer<AfterUnlockActions> step) {
+        AfterUnlockActions deferred = new AfterUnlockActions();
         synchronized (mLock) {
             step.accept(deferred);
         }
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/SettingsAgreement.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/SettingsAgreement.java
@@ -33,7 +33,7 @@
 
     private final Platform mPlatform;
     private final SharedSettings mOwnSettings;
-    private final DeferredActions.LockRunner mLockRunner;
+    private final AfterUnlockActions.LockRunner mLockRunner;
     private final SplittableRandom mRandom;
 
     private Comparison mComparison = Comparison.UNKNOWN;
@@ -61,7 +61,7 @@
     SettingsAgreement(
             Platform platform,
             LedgerSettings settings,
-            DeferredActions.LockRunner lockRunner,
+            AfterUnlockActions.LockRunner lockRunner,
             SplittableRandom random) {
         mPlatform = platform;
         mOwnSettings = new SharedSettings(RULES_VERSION, settings.shards(), settings.retention());
@@ -102,14 +102,14 @@
     }
 
     /** Reads the settings from the platform, if that is due. */
-    void step(long nowMs, DeferredActions deferred) {
+    void step(long nowMs, AfterUnlockActions deferred) {
         if (mComparison != Comparison.UNKNOWN || mCallOpen || nowMs < mNextTryMs) {
             return;
         }
         submit(nowMs, new PlatformCall.Get(KEY), deferred);
     }
 
-    private void submit(long nowMs, PlatformCall call, DeferredActions deferred) {
+    private void submit(long nowMs, PlatformCall call, AfterUnlockActions deferred) {
         mCallOpen = true;
         deferred.add(
                 () ->
@@ -120,7 +120,7 @@
                                         mLockRunner.runLocked(d -> onReply(atMs, reply, d))));
     }
 
-    private void onReply(long nowMs, PlatformReply reply, DeferredActions deferred) {
+    private void onReply(long nowMs, PlatformReply reply, AfterUnlockActions deferred) {
         mCallOpen = false;
         if (reply instanceof PlatformReply.Written) {
             mComparison = Comparison.SAME;
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/ShardDispatcher.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/ShardDispatcher.java
@@ -35,7 +35,7 @@
     private final VmId mSelf;
     private final ShardOwners mOwners;
     private final LedgerSettings mSettings;
-    private final DeferredActions.LockRunner mLockRunner;
+    private final AfterUnlockActions.LockRunner mLockRunner;
     private final BooleanSupplier mSettingsMatch;
     private final SplittableRandom mRandom;
     private final Map<Integer, LocalShard> mShards = new HashMap<>();
@@ -76,7 +76,7 @@
             VmId self,
             ShardOwners owners,
             LedgerSettings settings,
-            DeferredActions.LockRunner lockRunner,
+            AfterUnlockActions.LockRunner lockRunner,
             BooleanSupplier settingsMatch,
             SplittableRandom random) {
         mConnections = connections;
@@ -94,7 +94,7 @@
     }
 
     /** Adds an entry of this VM. */
-    void add(long nowMs, int shard, PendingEntry pending, DeferredActions deferred) {
+    void add(long nowMs, int shard, PendingEntry pending, AfterUnlockActions deferred) {
         refreshOwners(nowMs);
         LocalShard local = mShards.get(shard);
         local.mOutbox.add(pending);
@@ -102,7 +102,7 @@
     }
 
     /** Starts what is due in every shard, and rejects submissions that have waited too long. */
-    void tick(long nowMs, DeferredActions deferred) {
+    void tick(long nowMs, AfterUnlockActions deferred) {
         refreshOwners(nowMs);
         mShards.forEach(
                 (shard, local) -> {
@@ -126,7 +126,7 @@
                 });
     }
 
-    private void forward(long nowMs, int shard, LocalShard local, DeferredActions deferred) {
+    private void forward(long nowMs, int shard, LocalShard local, AfterUnlockActions deferred) {
         ShardOutbox outbox = local.mOutbox;
         if (!mSettingsMatch.getAsBoolean() || outbox.isEmpty()) {
             return;
@@ -169,7 +169,7 @@
      * others.
      */
     private void maintainReplica(
-            long nowMs, int shard, LocalShard local, DeferredActions deferred) {
+            long nowMs, int shard, LocalShard local, AfterUnlockActions deferred) {
         boolean owned = local.isOwnedBy(mSelf);
         if (local.mReplica.isEmpty()) {
             if (owned && mSettingsMatch.getAsBoolean() && loadingCount() < MAX_LOADING) {
@@ -201,7 +201,7 @@
             long nowMs,
             SubmitEntries message,
             Consumer<PeerMessage> reply,
-            DeferredActions deferred) {
+            AfterUnlockActions deferred) {
         List<RequestEntry> entries = new ArrayList<>();
         message.entries().forEach(t -> EntryCodec.decode(t).forEach(entries::add));
         LocalShard local = mShards.get(message.shard());
@@ -236,7 +236,7 @@
     }
 
     /** Rejects entries of another VM. */
-    static void reject(Consumer<PeerMessage> reply, DeferredActions deferred) {
+    static void reject(Consumer<PeerMessage> reply, AfterUnlockActions deferred) {
         deferred.add(() -> reply.accept(new EntriesRefused(MAX_DECISION_MS)));
     }
 
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/ShardOutbox.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/ShardOutbox.java
@@ -37,7 +37,7 @@
 
     private final int mShard;
     private final PeerNetwork mPeers;
-    private final DeferredActions.LockRunner mLockRunner;
+    private final AfterUnlockActions.LockRunner mLockRunner;
     private final SplittableRandom mRandom;
     private final Deque<PendingEntry> mQueue = new ArrayDeque<>();
 
@@ -51,7 +51,7 @@
     ShardOutbox(
             int shard,
             PeerNetwork peers,
-            DeferredActions.LockRunner lockRunner,
+            AfterUnlockActions.LockRunner lockRunner,
             SplittableRandom random) {
         mShard = shard;
         mPeers = peers;
@@ -82,7 +82,7 @@
     }
 
     /** Submits all waiting entries to the replica of the shard on this VM. */
-    void drainTo(long nowMs, ShardReplica replica, DeferredActions deferred) {
+    void drainTo(long nowMs, ShardReplica replica, AfterUnlockActions deferred) {
         while (!mQueue.isEmpty()) {
             replica.submit(nowMs, mQueue.removeFirst(), deferred);
         }
@@ -92,7 +92,7 @@
      * Sends waiting entries to the owner, unless too many messages are unanswered or a retry is not
      * due yet.
      */
-    void sendTo(long nowMs, VmId owner, DeferredActions deferred) {
+    void sendTo(long nowMs, VmId owner, AfterUnlockActions deferred) {
         if (mOpenMessages >= MAX_OPEN_MESSAGES || mQueue.isEmpty() || nowMs < mNextTryMs) {
             return;
         }
@@ -123,7 +123,7 @@
             long nowMs,
             List<PendingEntry> sent,
             Either<Failure, PeerMessage> reply,
-            DeferredActions deferred) {
+            AfterUnlockActions deferred) {
         mOpenMessages--;
         if (reply.isRight()
                 && reply.get() instanceof EntriesDecided decided
--- a/coordination/src/main/java/org/hornbeampass/coordination/requests/ShardReplica.java
+++ b/coordination/src/main/java/org/hornbeampass/coordination/requests/ShardReplica.java
@@ -40,7 +40,7 @@
     private final Storage mStorage;
     private final VmId mSelf;
     private final LedgerSettings mSettings;
-    private final DeferredActions.LockRunner mLockRunner;
+    private final AfterUnlockActions.LockRunner mLockRunner;
     private final LongSupplier mWriterSequences;
     private final SplittableRandom mRandom;
     private final Deque<PendingEntry> mPending = new ArrayDeque<>();
@@ -86,7 +86,7 @@
             Storage storage,
             VmId self,
             LedgerSettings settings,
-            DeferredActions.LockRunner lockRunner,
+            AfterUnlockActions.LockRunner lockRunner,
             LongSupplier writerSequences,
             SplittableRandom random) {
         mStorage = storage;
@@ -142,7 +142,7 @@
     }
 
     /** Adds an entry; answers it at once if it is already decided. */
-    void submit(long nowMs, PendingEntry pending, DeferredActions deferred) {
+    void submit(long nowMs, PendingEntry pending, AfterUnlockActions deferred) {
         if (mCaughtUp && answerIfDecided(nowMs, pending, deferred)) {
             return;
         }
@@ -152,7 +152,7 @@
         step(nowMs, deferred);
     }
 
-    private boolean answerIfDecided(long nowMs, PendingEntry pending, DeferredActions deferred) {
+    private boolean answerIfDecided(long nowMs, PendingEntry pending, AfterUnlockActions deferred) {
         return mState.finalDecision(pending.entry())
                 .map(
                         decision -> {
@@ -163,7 +163,7 @@
     }
 
     /** Starts the next call to the platform, if one is due. */
-    void step(long nowMs, DeferredActions deferred) {
+    void step(long nowMs, AfterUnlockActions deferred) {
         if (mCallOpen || nowMs < mNextTryMs) {
             return;
         }
@@ -191,7 +191,7 @@
     }
 
     /** Moves as many waiting entries as fit into a new batch; returns whether there are any. */
-    private boolean fillBatch(long nowMs, DeferredActions deferred) {
+    private boolean fillBatch(long nowMs, AfterUnlockActions deferred) {
         int bytes = 0;
         while (!mPending.isEmpty()) {
             PendingEntry next = mPending.peekFirst();
@@ -223,7 +223,7 @@
         mUrgentCount -= first.urgent() ? 1 : 0;
     }
 
-    private void append(long nowMs, DeferredActions deferred) {
+    private void append(long nowMs, AfterUnlockActions deferred) {
         mCallOpen = true;
         mLastWriteMs = nowMs;
         LogBatch batch = mOpenBatch;
@@ -240,7 +240,7 @@
     }
 
     private void onAppended(
-            long nowMs, Either<Failure, AppendResult> result, DeferredActions deferred) {
+            long nowMs, Either<Failure, AppendResult> result, AfterUnlockActions deferred) {
         mCallOpen = false;
         if (result.isLeft()) {
             onFailure(nowMs, result.getLeft());
@@ -258,7 +258,7 @@
         step(nowMs, deferred);
     }
 
-    private void applyOwn(long nowMs, DeferredActions deferred) {
+    private void applyOwn(long nowMs, AfterUnlockActions deferred) {
         mState.beginBatch(mOpenBatchMs);
         for (PendingEntry pending : mInFlight) {
             EntryDecision decision = mState.apply(pending.entry());
@@ -292,7 +292,7 @@
         mInFlight.clear();
     }
 
-    private void loadCheckpoint(long nowMs, DeferredActions deferred) {
+    private void loadCheckpoint(long nowMs, AfterUnlockActions deferred) {
         mCallOpen = true;
         BiConsumer<Long, Either<Failure, ShardState>> done =
                 (atMs, loaded) -> mLockRunner.runLocked(d -> onLoaded(atMs, loaded, d));
@@ -303,7 +303,7 @@
     }
 
     private void onLoaded(
-            long nowMs, Either<Failure, ShardState> loaded, DeferredActions deferred) {
+            long nowMs, Either<Failure, ShardState> loaded, AfterUnlockActions deferred) {
         mCallOpen = false;
         if (loaded.isLeft()) {
             onFailure(nowMs, loaded.getLeft());
@@ -321,7 +321,7 @@
      *
      * @param owned whether this VM owns the shard; other VMs leave checkpoints to the owner
      */
-    void maintainCheckpoint(long nowMs, boolean owned, DeferredActions deferred) {
+    void maintainCheckpoint(long nowMs, boolean owned, AfterUnlockActions deferred) {
         if (!mCaughtUp || mCheckpointing) {
             return;
         }
@@ -367,7 +367,7 @@
         }
     }
 
-    private void readNextPage(long nowMs, DeferredActions deferred) {
+    private void readNextPage(long nowMs, AfterUnlockActions deferred) {
         mCallOpen = true;
         long from = mState.nextSequence();
         deferred.add(
@@ -383,7 +383,7 @@
     }
 
     private void onPageRead(
-            long nowMs, Either<Failure, List<LogBatch>> batches, DeferredActions deferred) {
+            long nowMs, Either<Failure, List<LogBatch>> batches, AfterUnlockActions deferred) {
         mCallOpen = false;
         if (batches.isLeft()) {
             onFailure(nowMs, batches.getLeft());
--- a/router/src/main/java/org/hornbeampass/router/daemon/StoreViews.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/StoreViews.java
@@ -51,8 +51,8 @@
     private final WatchedView mConfig;
     private final WatchedView mUpstreams;
     private final ViewExchange mViewExchange;
-    private final RevisionTracker mConfigRevisions;
-    private final RevisionTracker mUpstreamsRevisions;
+    private final ViewRevisionTracker mConfigRevisions;
+    private final ViewRevisionTracker mUpstreamsRevisions;
     private long mRestartWatchesAtMs = Long.MAX_VALUE;
     private long mLastRestartMs;
 
@@ -110,13 +110,13 @@
                         otherVms,
                         random);
         mConfigRevisions =
-                new RevisionTracker(
+                new ViewRevisionTracker(
                         "configuration",
                         log,
                         announceConfig,
                         (nowMs, name) -> mViewExchange.requestNow(nowMs, configPrefix, name));
         mUpstreamsRevisions =
-                new RevisionTracker(
+                new ViewRevisionTracker(
                         "upstreams",
                         log,
                         announceUpstreams,
@@ -134,11 +134,11 @@
                 onChange);
     }
 
-    private RevisionTracker configRevisions() {
+    private ViewRevisionTracker configRevisions() {
         return mConfigRevisions;
     }
 
-    private RevisionTracker upstreamsRevisions() {
+    private ViewRevisionTracker upstreamsRevisions() {
         return mUpstreamsRevisions;
     }
 
--- a/router/src/main/java/org/hornbeampass/router/daemon/RevisionTracker.java
+++ b/router/src/main/java/org/hornbeampass/router/daemon/ViewRevisionTracker.java
@@ -20,7 +20,7 @@
  * <p>Invariant: a revision that this VM has seen itself is never requested. Confined to one event
  * loop.
  */
-final class RevisionTracker {
+final class ViewRevisionTracker {
     /**
      * Time for which this VM's own watch may be behind another VM before the changes are requested
      * from that VM, in milliseconds: a slow store takes some 350 ms for an answer, and an earlier
@@ -55,7 +55,7 @@
      * @param announce announces a revision to other VMs; receives the time in milliseconds first
      * @param request requests the view of the VM of a name; receives the time in milliseconds first
      */
-    RevisionTracker(
+    ViewRevisionTracker(
             String view,
             RelayLog log,
             BiConsumer<Long, Long> announce,
--- a/router/src/main/java/org/hornbeampass/router/relay/CrashHistory.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/CrashHistory.java
@@ -31,29 +31,33 @@
     }
 
     /** Returns how strongly the request is suspected at present of crashing upstreams. */
-    QuarantineStatus standing() {
-        return mIdentity.standing(mContext.quarantine().suspects());
+    QuarantineStatus status() {
+        return mIdentity.status(mContext.quarantine().suspects());
     }
 
-    /** Handles the loss of the request's connection; returns the request's standing before it. */
+    /**
+     * Handles the loss of the request's connection; returns the request's quarantine status before
+     * it.
+     */
     QuarantineStatus onConnectionLost(UpstreamInstance instance) {
-        QuarantineStatus before = standing();
+        QuarantineStatus before = status();
         mContext.crashDetector().onConnectionLost(instance, digest());
         return before;
     }
 
     /**
-     * Records that the request's upstream has restarted; returns the request's standing before it.
+     * Records that the request's upstream has restarted; returns the request's quarantine status
+     * before it.
      */
     QuarantineStatus onUpstreamRestarted(long nowMs, UpstreamInstance instance) {
-        QuarantineStatus before = standing();
+        QuarantineStatus before = status();
         mContext.crashDetector().onRestarted(nowMs, instance, digest());
         return before;
     }
 
     /** Returns whether the request may be sent to an upstream at present, possibly as a trial. */
     boolean mayBeSent(long nowMs) {
-        return standing().mayBeSent() || mContext.quarantine().isTrialDue(nowMs, digest());
+        return status().mayBeSent() || mContext.quarantine().isTrialDue(nowMs, digest());
     }
 
     /**
@@ -61,7 +65,7 @@
      * as a trial, the trial is counted and logged.
      */
     boolean tryBeginSend(long nowMs) {
-        if (standing().mayBeSent()) {
+        if (status().mayBeSent()) {
             return true;
         }
         mTrial = mContext.quarantine().tryStartTrial(nowMs, digest());
@@ -92,7 +96,7 @@
     void onAnswered(long nowMs, UpstreamInstance instance) {
         if (!mDelimited) {
             mContext.crashDetector().onConnectionLost(instance, digest());
-        } else if (standing() != QuarantineStatus.UNSUSPECTED) {
+        } else if (status() != QuarantineStatus.UNSUSPECTED) {
             mContext.quarantine().clear(nowMs, digest());
         }
     }
--- a/router/src/main/java/org/hornbeampass/router/relay/RelayAttempts.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/RelayAttempts.java
@@ -124,9 +124,7 @@
             mSend.get().instance().onErrorAnswer(nowMs);
             cancelConnection();
             onAttemptLost(
-                    nowMs,
-                    "the answer lacks the headers that prove its origin",
-                    mCrashes.standing());
+                    nowMs, "the answer lacks the headers that prove its origin", mCrashes.status());
             return true;
         }
         onProcessed(nowMs, head, outcome);
@@ -278,7 +276,7 @@
      *
      * @param nowMs the present time in milliseconds
      * @param reason what happened, for the log
-     * @param before the request's standing before this loss
+     * @param before the request's quarantine status before this loss
      */
     private void onAttemptLost(long nowMs, String reason, QuarantineStatus before) {
         LogFields fields = mSend.map(InFlightSend::fields).orElseGet(LogFields::new);
@@ -307,7 +305,7 @@
         }
         mSend.ifPresent(u -> u.instance().onNoAnswer(nowMs));
         cancelConnection();
-        onAttemptLost(nowMs, "the upstream was silent for too long", mCrashes.standing());
+        onAttemptLost(nowMs, "the upstream was silent for too long", mCrashes.status());
     }
 
     /** Ends the request at its deadline. */
--- a/router/src/main/java/org/hornbeampass/router/relay/RelayCall.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/RelayCall.java
@@ -323,15 +323,15 @@
 
     /** Returns the state of the budget that led to the refusal, as fields of a log line. */
     private LogFields shortageFields(long nowMs) {
-        EscrowBook.AdmissionState standing =
+        EscrowBook.AdmissionState admission =
                 mContext.budgets().admissionState(nowMs, organisation());
         return new LogFields()
                 .add("wanted", mHead.prompt().maxTokens())
-                .add("free", standing.free())
-                .add("unallocated", standing.unallocated())
-                .add("unspent", standing.unspent())
-                .add("heard_ago_ms", standing.storeReplyAgeMs().orElse(-1))
-                .add("store_lost", standing.storeUnreachable());
+                .add("free", admission.free())
+                .add("unallocated", admission.unallocated())
+                .add("unspent", admission.unspent())
+                .add("heard_ago_ms", admission.storeReplyAgeMs().orElse(-1))
+                .add("store_lost", admission.storeUnreachable());
     }
 
     private void onDeadline(long nowMs) {
--- a/router/src/main/java/org/hornbeampass/router/relay/RequestIdentity.java
+++ b/router/src/main/java/org/hornbeampass/router/relay/RequestIdentity.java
@@ -42,10 +42,10 @@
     }
 
     /**
-     * Returns the request's standing; the body is hashed only where the request's scope is
+     * Returns the request's quarantine status; the body is hashed only where the request's scope is
      * suspected.
      */
-    QuarantineStatus standing(SuspectTable suspects) {
+    QuarantineStatus status(SuspectTable suspects) {
         return suspects.isEmpty() || !suspects.containsScope(scope())
                 ? QuarantineStatus.UNSUSPECTED
                 : suspects.status(digest());
--- a/router/src/test/java/org/hornbeampass/router/daemon/RevisionTrackerTest.java
+++ b/router/src/test/java/org/hornbeampass/router/daemon/ViewRevisionTrackerTest.java
@@ -12,15 +12,15 @@
 import java.util.List;
 
 /** Checks when a VM requests changes from another VM whose view of the store is newer. */
-class RevisionTrackerTest {
+class ViewRevisionTrackerTest {
     private static final VmId PEER = new VmId("peer", 1);
     private static final VmId OTHER = new VmId("other", 1);
     private static final long RECEIVED_MS = 1_000;
 
     private final List<Long> mAnnounced = new ArrayList<>();
     private final List<String> mRequested = new ArrayList<>();
-    private final RevisionTracker mTracker =
-            new RevisionTracker(
+    private final ViewRevisionTracker mTracker =
+            new ViewRevisionTracker(
                     "configuration",
                     new RelayLog(new MetricRegistry()),
                     (nowMs, revision) -> mAnnounced.add(revision),
