--- a/router/src/test/java/org/hornbeampass/router/daemon/SettingsFileTest.java
+++ b/router/src/test/java/org/hornbeampass/router/daemon/SettingsFileTest.java
@@ -35,7 +35,10 @@
         assertThat(faults(text))
                 .anyMatch(line -> line.contains("name: it is missing"))
                 .anyMatch(line -> line.contains("nam: there is no such field"))
-                .anyMatch(line -> line.contains("listen.operators: the address is that of"))
+                .anyMatch(
+                        line ->
+                                line.contains(
+                                        "listen.operators: the address is used by listen.callers"))
                 .anyMatch(line -> line.contains("the key is shorter than 16 characters"));
     }
 
